--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -19,23 +19,23 @@
 
 /// What a class of request allows once an attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Running twice does no harm.
-    Safe,
+    Idempotent,
     /// Servers of one group drop repeats for a while.
-    Keyed {
+    IdempotencyKey {
         /// The servers that share what they have seen.
-        group: Group,
+        scope: DeduplicationScope,
         /// How long they remember, from the send of the first attempt that may have run.
         window: Micros,
     },
     /// Must never run twice.
-    Fragile,
+    NonIdempotent,
 }
 
 /// Which servers drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// Every server.
     All,
     /// The servers of one zone.
@@ -48,17 +48,17 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time earns full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The client's whole patience, over all its tries.
     pub deadline: Micros,
     /// Share of the worth that a late answer still earns.
-    pub late_worth: f64,
+    pub late_priority_weight: f64,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Whether it may run again.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Whether answers stream.
-    pub stream: bool,
+    pub streaming: bool,
 }
 
 /// A plan; its figures hold for each customer, over all gateways together.
@@ -69,28 +69,28 @@
     /// Most units the quota's store holds.
     pub burst: f64,
     /// Most attempts out at once; 0 means no such quota.
-    pub open: u32,
+    pub max_concurrency: u32,
     /// Multiplier on worth.
-    pub price: f64,
+    pub weight_multiplier: f64,
     /// Share of its worth that a request sent on beyond the quota earns.
-    pub over_worth: f64,
+    pub overage_weight: f64,
     /// Share of its worth that a request sent on beyond the quota costs.
-    pub over_cost: f64,
+    pub overage_cost: f64,
     /// Units a second that refill the hard ceiling; 0 means no ceiling.
-    pub ceiling_rate: f64,
+    pub hard_limit_rate: f64,
     /// Most units the ceiling holds.
-    pub ceiling_burst: f64,
+    pub hard_limit_burst: f64,
     /// Units by which the ceiling may be overdrawn.
-    pub ceiling_slack: f64,
+    pub hard_limit_overdraft: f64,
 }
 
 /// How load reports reach the gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReports {
     /// With answers and probes.
-    Answers,
+    WithResponses,
     /// With probes only.
-    Probe,
+    WithHealthChecks,
     /// Not at all.
     #[default]
     None,
@@ -98,15 +98,15 @@
 
 /// What the site lets a gateway do, and the prices that bear on a decision.
 #[derive(Clone, Debug, Default)]
-pub struct Allow {
+pub struct Capabilities {
     /// Servers may be probed.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Messages to other gateways are allowed.
-    pub peers: bool,
+    pub gossip: bool,
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// A request may have two attempts out at once.
-    pub second_copies: bool,
+    pub hedged_requests: bool,
     /// Clients are told how long to stay away.
     pub retry_after: bool,
     /// The longest time clients heed.
@@ -114,63 +114,63 @@
     /// Most attempts of one request.
     pub max_attempts: u32,
     /// Messages a second that a gateway takes in.
-    pub peer_in_per_s: f64,
+    pub gossip_messages_per_s: f64,
     /// Part of the result that one whole message a request costs.
-    pub peer_price: f64,
+    pub gossip_cost: f64,
     /// Part of the result that one probe a request costs.
-    pub probe_price: f64,
+    pub health_check_cost: f64,
     /// The shared counter may be called.
-    pub counter: bool,
+    pub shared_counter: bool,
     /// Part of the result that one call a request costs.
-    pub count_fee: f64,
+    pub counter_call_cost: f64,
     /// A call still unanswered by then ends.
-    pub count_limit: Micros,
+    pub counter_timeout: Micros,
     /// Clients mark their repeats.
-    pub marks_repeats: bool,
+    pub marks_retries: bool,
     /// Period of the use told in answers; 0 means none is told.
-    pub meter: Micros,
+    pub usage_report_period: Micros,
     /// Units named in requests are guesses, settled by the first good answer.
-    pub settles: bool,
+    pub settles_units: bool,
     /// How load reports arrive.
-    pub reports: Reports,
+    pub load_reports: LoadReports,
     /// The list of servers must be asked for.
-    pub must_ask: bool,
+    pub polls_discovery: bool,
 }
 
 /// The figures of the rules.
 #[derive(Clone, Debug, Default)]
-pub struct Rules {
+pub struct ProtocolRules {
     /// A final answer still counts this long after the client's deadline.
-    pub answer_slack: Micros,
+    pub response_grace: Micros,
     /// Share of its capacity at which a server starts, at least.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// A server is warm within this time.
-    pub cold: Micros,
+    pub warm_up: Micros,
     /// A cold server falls when sent more than this multiple of its capacity...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ...for this long.
-    pub fall: Micros,
+    pub overload_window: Micros,
 }
 
 /// Everything a gateway is told at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// This gateway's number.
-    pub me: usize,
+    pub gateway_index: usize,
     /// How many gateways there are.
-    pub gateways: usize,
+    pub gateway_count: usize,
     /// The zone this gateway is in.
     pub zone: u32,
     /// The shortest time between two batches of events.
-    pub tick: Micros,
+    pub batch_interval: Micros,
     /// Classes of request.
     pub classes: Vec<Class>,
     /// Plans.
     pub plans: Vec<Plan>,
     /// What is allowed.
-    pub allow: Allow,
+    pub capabilities: Capabilities,
     /// The rules' figures.
-    pub rules: Rules,
+    pub rules: ProtocolRules,
 }
 
 /// Why settings were refused.
@@ -192,7 +192,7 @@
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum EndpointState {
     /// Takes work.
     Ready,
     /// Finishes what it has.
@@ -204,15 +204,15 @@
 
 /// One entry of the list of servers.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
+pub struct Endpoint {
     /// Which server.
     pub server: ServerId,
     /// Its state.
-    pub state: State,
+    pub state: EndpointState,
     /// When it last started; 0 means long past.
-    pub ready_at: Micros,
+    pub started_at: Micros,
     /// A figure to compare with other servers'.
-    pub size: f64,
+    pub relative_size: f64,
     /// Its zone.
     pub zone: u32,
     /// Its cell.
@@ -221,11 +221,11 @@
 
 /// What kind of list an event brings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum WatchEvent {
     /// The complete list.
-    Full,
+    Snapshot,
     /// The complete list as last held, perhaps outdated.
-    Cached,
+    CachedSnapshot,
     /// Changed entries only.
     Delta,
     /// A call failed; the list held stays valid.
@@ -234,34 +234,34 @@
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum AttemptStatus {
     /// Served.
     Ok,
     /// The server answered with an error.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time.
     Timeout,
     /// No connection in time.
     ConnectFailed,
     /// The connection broke.
-    Reset,
+    ConnectionReset,
     /// Called off by this gateway.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 /// A server's report of its load; what it does not tell is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests it holds.
-    pub inflight: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Requests waiting.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
     /// Busy share of its cores.
-    pub util: Option<f64>,
+    pub utilization: Option<f64>,
     /// Recent service time, milliseconds.
     pub latency_ms: Option<f64>,
 }
@@ -270,11 +270,11 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the list of servers.
-    Servers {
+    EndpointsChanged {
         /// Full, cached, delta or failed.
-        kind: ListKind,
+        watch_event: WatchEvent,
         /// The entries.
-        entries: Vec<Entry>,
+        endpoints: Vec<Endpoint>,
     },
     /// A client's request came in.
     Request {
@@ -287,35 +287,35 @@
         /// Whose it is.
         customer: CustomerId,
         /// How long the client waits for this try.
-        patience: Micros,
+        client_timeout: Micros,
         /// Units it draws.
         units: f64,
         /// How many gateways the customer comes through.
-        spread: usize,
+        customer_gateway_count: usize,
         /// The first of them.
-        first: usize,
+        first_gateway: usize,
         /// The client marked it as a repeat of an earlier try.
-        repeat: bool,
-        /// Part of its body is still to come, and nothing of it is timed or in work until [`Event::Came`].
-        coming: bool,
+        is_retry: bool,
+        /// Part of its body is still to come, and nothing of it is timed or in work until [`Event::BodyComplete`].
+        body_incomplete: bool,
     },
     /// A streamed answer has begun.
-    Started {
+    ResponseStarted {
         /// The request.
         id: RequestId,
     },
     /// The rest of the request's body came and has gone on to the attempt that is out; its time counts from now.
-    Came {
+    BodyComplete {
         /// The request.
         id: RequestId,
     },
     /// Part of the request's body has gone on that is at hand no more: no further attempt can be sent.
-    Spent {
+    BodyConsumed {
         /// The request.
         id: RequestId,
     },
     /// An attempt ended.
-    Outcome {
+    AttemptCompleted {
         /// The request.
         id: RequestId,
         /// Attempts count from 0 in the order of their sends.
@@ -323,25 +323,25 @@
         /// Where it went.
         server: ServerId,
         /// How it ended.
-        status: Status,
+        status: AttemptStatus,
         /// Time since the send.
-        took: Micros,
+        elapsed: Micros,
         /// The request is over.
-        closed: bool,
+        request_finished: bool,
         /// The customer's use of its rate by all gateways in the meter's last period, as a share.
-        used: Option<f64>,
+        reported_usage: Option<f64>,
         /// The true units, where they are settled afterwards.
-        settled: Option<f64>,
+        settled_units: Option<f64>,
         /// The load report that came along.
-        load: Option<Load>,
+        load_report: Option<LoadReport>,
     },
     /// The process is told to stop and will be ended: whatever is open then must have its answer by this time.
-    Stop {
+    Shutdown {
         /// The time.
-        by: Micros,
+        deadline: Micros,
     },
     /// The request is over: the client left.
-    Gone {
+    ClientDisconnected {
         /// The request.
         id: RequestId,
     },
@@ -351,31 +351,31 @@
         timer: TimerId,
     },
     /// What a probe found.
-    Probed {
+    HealthCheckCompleted {
         /// The server.
         server: ServerId,
         /// How it ended.
-        status: Status,
+        status: AttemptStatus,
         /// The load report that came along.
-        load: Option<Load>,
+        load_report: Option<LoadReport>,
     },
     /// A message from another gateway.
-    Peer {
+    GossipReceived {
         /// Its number.
         from: usize,
         /// The message.
-        data: Vec<u8>,
+        message: Vec<u8>,
     },
     /// What a call of the counter gave.
-    Counted {
+    CounterReplied {
         /// The number's name.
         counter: CounterId,
         /// `Some` of the total, or `None` if the call was refused.
         total: Option<f64>,
         /// The call had no answer; the amount may have been added.
-        unsure: bool,
+        possibly_counted: bool,
         /// Time since the call.
-        took: Micros,
+        elapsed: Micros,
     },
 }
 
@@ -392,7 +392,7 @@
         timeout: Micros,
     },
     /// Final answer: refused, trying again does no harm.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// How long to stay away; 0 gives no advice.
@@ -418,21 +418,21 @@
         timer: TimerId,
     },
     /// Look at a server.
-    Probe {
+    CheckHealth {
         /// Which.
         server: ServerId,
     },
     /// Send a message to another gateway.
-    Tell {
+    SendGossip {
         /// Its number.
         to: usize,
         /// At most 256 bytes.
-        data: Vec<u8>,
+        message: Vec<u8>,
     },
     /// Subscribe to the list of servers.
-    Watch,
+    PollEndpoints,
     /// Add to a number of the shared counter.
-    Count {
+    AddToCounter {
         /// Its name.
         counter: CounterId,
         /// What to add.
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -33,7 +33,7 @@
         let room = LEAST_ROOM + (1.0 - LEAST_ROOM) * worth / self.highest_value.max(1e-9);
         let ready = self.servers.count(Subset::Ready) as f64;
         let slow = (ANSWER_OF_AIM / self.latency_estimate.max(1e-9)).min(1.0);
-        let floor = slow * FLOOR_HELD * ready / self.settings.gateways as f64;
+        let floor = slow * FLOOR_HELD * ready / self.settings.gateway_count as f64;
         let bound = floor.max(FLOW_ROOM * self.flow.get(now, MEMORY_S)).max(1.0);
         if bound < FEW && self.latency_estimate < ANSWER_OF_AIM {
             return false;
@@ -46,23 +46,24 @@
         let (s, Some(r)) = (&self.settings, self.requests.get(&id)) else { return false };
         let (class, plan, first) = (&s.classes[r.class], &s.plans[r.plan], r.attempts.is_empty());
         let ran = r.attempts.iter().find(|a| a.may_have_run);
-        let allowed = match class.effect {
-            Effect::Safe => true,
-            Effect::Keyed { window, .. } => ran.is_none_or(|a| now < a.sent + window),
-            Effect::Fragile => ran.is_none(),
+        let allowed = match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotencyKey { window, .. } => ran.is_none_or(|a| now < a.sent + window),
+            Idempotency::NonIdempotent => ran.is_none(),
         };
         let out_now = r.attempts.iter().any(|a| a.open);
         if r.done || r.started || r.spent || out_now || !allowed || now >= r.deadline {
             return false;
         }
         let cost = if ran.is_some() { 1.0 } else { UNSEEN_RETRY };
-        if r.attempts.len() >= s.allow.max_attempts as usize || !first && self.retry_budget < cost {
+        if r.attempts.len() >= s.capabilities.max_attempts as usize || !first && self.retry_budget < cost {
             return false;
         }
-        let left = (r.arrived + class.aim).saturating_sub(now + r.waited) as f64;
-        let most = if first { class.aim as f64 } else { left };
-        let full_worth = class.worth * plan.price * if r.inside { 1.0 } else { plan.over_worth };
-        let late = full_worth * class.late_worth;
+        let left = (r.arrived + class.latency_objective).saturating_sub(now + r.waited) as f64;
+        let most = if first { class.latency_objective as f64 } else { left };
+        let full_worth =
+            class.priority_weight * plan.weight_multiplier * if r.inside { 1.0 } else { plan.overage_weight };
+        let late = full_worth * class.late_priority_weight;
         let Some(Choice { server, wait }) = self.select_server(now, id, !first) else { return false };
         if wait > most || self.pressed(now, if left < wait { late } else { full_worth }) {
             return false;
@@ -71,7 +72,7 @@
         if first {
             let (units, customer) = (r.units, r.customer);
             let Some(c) = self.customers.get_mut(customer) else { return false };
-            if c.terms.ceiling_rate > 0.0 && c.slice < units {
+            if c.terms.hard_limit_rate > 0.0 && c.slice < units {
                 return false;
             }
             c.slice -= units;
@@ -126,15 +127,15 @@
     fn silent_after(&self, now: Micros, id: RequestId, server: ServerId, wait: f64) -> Option<Micros> {
         let (s, r) = (&self.settings, self.requests.get(&id)?);
         let class = &s.classes[r.class];
-        let limit = self.patience.limit(r.class, class.aim);
+        let limit = self.patience.limit(r.class, class.latency_objective);
         let ran = r.attempts.iter().find(|a| a.may_have_run).map_or(now, |a| a.sent);
-        let remembered = match class.effect {
-            Effect::Keyed { window, .. } => now + limit < ran + window,
+        let remembered = match class.idempotency {
+            Idempotency::IdempotencyKey { window, .. } => now + limit < ran + window,
             _ => true,
         };
-        let follows = remembered && self.has_alternative(now, server, class.effect);
-        let more = r.attempts.len() + 1 < s.allow.max_attempts as usize && self.retry_budget >= 2.0;
-        let aimed = (r.arrived + class.aim).saturating_sub(r.waited);
+        let follows = remembered && self.has_alternative(now, server, class.idempotency);
+        let more = r.attempts.len() + 1 < s.capabilities.max_attempts as usize && self.retry_budget >= 2.0;
+        let aimed = (r.arrived + class.latency_objective).saturating_sub(r.waited);
         (follows && more && now + limit + (wait as Micros) < aimed.min(r.deadline)).then_some(limit)
     }
 
@@ -143,44 +144,48 @@
         now: Micros,
         id: RequestId,
         attempt: u32,
-        end: (Status, Micros, bool),
+        end: (AttemptStatus, Micros, bool),
         out: Out,
     ) {
         let (status, took, closed) = end;
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some(a) = r.attempts.get_mut(attempt as usize).filter(|a| a.open) else { return };
         a.open = false;
-        a.may_have_run = !matches!(status, Status::Full | Status::ConnectFailed | Status::Moot);
-        let (server, held, cut, aim) = (a.server, a.held, a.cut, self.settings.classes[r.class].aim);
-        if status == Status::Ok || status == Status::Timeout && cut {
+        a.may_have_run = !matches!(
+            status,
+            AttemptStatus::Rejected | AttemptStatus::ConnectFailed | AttemptStatus::NotSent
+        );
+        let (server, held, cut, aim) =
+            (a.server, a.held, a.cut, self.settings.classes[r.class].latency_objective);
+        if status == AttemptStatus::Ok || status == AttemptStatus::Timeout && cut {
             self.patience.learn(r.class, aim, took);
         }
         let (working, done, plan) = (u32::from(a.working), r.done, r.plan);
         let (late, aim) = (cut || took >= aim, seconds(aim));
         self.out_now = self.out_now.saturating_sub(working);
-        if matches!(status, Status::Ok | Status::Timeout | Status::Cancelled) {
+        if matches!(status, AttemptStatus::Ok | AttemptStatus::Timeout | AttemptStatus::Cancelled) {
             self.latency_estimate += LATENCY_GAIN * (seconds(took) / aim - self.latency_estimate);
         }
-        if status == Status::Ok {
+        if status == AttemptStatus::Ok {
             self.flow.add(now, ANSWER_OF_AIM * aim, MEMORY_S);
         }
         self.servers.update(now, server, |x| {
             x.open = x.open.saturating_sub(working);
             match status {
-                Status::Ok => {
+                AttemptStatus::Ok => {
                     x.item_us += ITEM_GAIN * (took as f64 / (held + 1.0) - x.item_us);
                     x.judge(now, true, false);
                     x.shut.remove(&plan);
                 }
                 // Remembered for this plan alone: a server may turn one plan away and have room for others.
-                Status::Full => {
+                AttemptStatus::Rejected => {
                     let f = x.shut.entry(plan).or_default();
                     let gap = now.saturating_sub(x.judged).min(FIRST_FULL_PAUSE << FULL_PAUSE_DOUBLINGS);
                     *f = (now + (FIRST_FULL_PAUSE << f.1.min(FULL_PAUSE_DOUBLINGS)).max(gap / 2), f.1 + 1);
                 }
-                Status::Error | Status::Reset => x.judge(now, false, false),
-                Status::ConnectFailed => x.judge(now, false, true),
-                Status::Timeout | Status::Cancelled if late => x.judge(now, false, false),
+                AttemptStatus::Error | AttemptStatus::ConnectionReset => x.judge(now, false, false),
+                AttemptStatus::ConnectFailed => x.judge(now, false, true),
+                AttemptStatus::Timeout | AttemptStatus::Cancelled if late => x.judge(now, false, false),
                 _ => {}
             }
         });
--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -36,17 +36,18 @@
     /// A gateway that starts now, or the field of the settings that makes no sense.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         crate::check::check(&settings)?;
-        let n = settings.gateways;
-        let worth = settings.classes.iter().map(|c| c.worth).fold(0.0, f64::max);
+        let n = settings.gateway_count;
+        let worth = settings.classes.iter().map(|c| c.priority_weight).fold(0.0, f64::max);
         let most = |of: fn(&Plan) -> f64| settings.plans.iter().map(of).fold(0.0, f64::max);
         // So seldom does one gateway write to each of its peers that all of them fill no one's intake.
-        let gap =
-            ((n - 1) as f64 * 1e6 / (GOSSIP_OF_INTAKE * settings.allow.peer_in_per_s).max(0.1)) as Micros;
+        let gap = ((n - 1) as f64 * 1e6
+            / (GOSSIP_OF_INTAKE * settings.capabilities.gossip_messages_per_s).max(0.1))
+            as Micros;
         Ok(Gateway {
             life: (seed ^ (seed >> 32)) as u32 & 0xff_ffff,
             launched: now,
-            highest_value: worth * most(|p| p.price),
-            highest_overage_cost: most(|p| p.price * p.over_cost),
+            highest_value: worth * most(|p| p.weight_multiplier),
+            highest_overage_cost: most(|p| p.weight_multiplier * p.overage_cost),
             usual: settings.classes.iter().map(|c| c.deadline as f64).collect(),
             patience: Patience::new(&settings.classes),
             retry_budget: MAX_RETRY_BUDGET / 2.0,
@@ -56,7 +57,7 @@
             gossip_budget: MAX_GOSSIP_BUDGET / 2.0,
             gossip_interval: gap,
             // Few enough to tell each other every unit; among more, only news that matters is told.
-            near: settings.allow.peers && gap <= HEARTBEAT,
+            near: settings.capabilities.gossip && gap <= HEARTBEAT,
             peers: vec![0; n],
             calls: if n > OFTEN { FIRST_SAVED_CALLS } else { MAX_SAVED_CALLS / 2.0 },
             call_share: if n > OFTEN { FIRST_CALLS_PER_REQUEST } else { 1.0 },
@@ -71,14 +72,14 @@
     /// with this process, since an earlier life may have drawn it down.
     pub(crate) fn customer(&mut self, now: Micros, id: CustomerId, plan: usize, spread: usize, first: usize) {
         let Some(p) = self.settings.plans.get(plan) else { return };
-        let spread = spread.clamp(1, self.settings.gateways);
+        let spread = spread.clamp(1, self.settings.gateway_count);
         if let Some(c) = self.customers.get_mut(id) {
             c.spread = c.spread.max(spread);
             c.first = first;
             return;
         }
         let (terms, even) = (p.clone(), 1.0 / spread as f64);
-        let slice = seconds(now - self.launched) * p.ceiling_rate * even;
+        let slice = seconds(now - self.launched) * p.hard_limit_rate * even;
         let fresh = Customer { plan, terms, spread, first, slice, filled: now, ..Customer::default() };
         let fresh = Customer { interval_at: now, bucket_level: p.burst, local_allowance: p.burst, ..fresh };
         self.customers.insert(id, fresh);
@@ -88,11 +89,13 @@
     /// first, the request waits for its word, no longer than any hold.
     fn arrive(&mut self, now: Micros, id: RequestId, r: Request, out: Out) {
         let left = r.deadline.saturating_sub(now) as f64;
-        let cap = (self.settings.classes[r.class].aim as f64 * HOLD_OF_AIM).min(left * HOLD_OF_LEFT);
+        let cap =
+            (self.settings.classes[r.class].latency_objective as f64 * HOLD_OF_AIM).min(left * HOLD_OF_LEFT);
         let Some(source) = self.customers.get(r.customer).map(|c| self.usage_source(now, c)) else { return };
         self.gossip_budget = (self.gossip_budget + GOSSIP_PER_REQUEST).min(MAX_GOSSIP_BUDGET);
         self.calls = (self.calls + self.call_share).min(MAX_SAVED_CALLS);
-        let worth = self.settings.classes[r.class].worth * self.settings.plans[r.plan].price;
+        let worth =
+            self.settings.classes[r.class].priority_weight * self.settings.plans[r.plan].weight_multiplier;
         let paid = self.paid(r.plan) || self.pressed(now, worth); // or no room at the back end: no call
         let Some(c) = self.customers.get_mut(r.customer) else { return };
         c.refill(now, r.units, source);
@@ -104,10 +107,14 @@
         let covered = c.covers(now, units, source);
         let sure = source == UsageSource::Exact && c.bucket_level >= COUNT_SURE * c.terms.burst;
         // The fewer calls are left, the more use beyond must cost to be worth one; less where others try too.
-        let gain = c.terms.price * c.terms.over_cost / c.demand(now).max(1.0);
+        let gain = c.terms.weight_multiplier * c.terms.overage_cost / c.demand(now).max(1.0);
         let spared = !c.few() && gain < self.highest_overage_cost * (1.0 - self.calls / CALLS_SPARED);
-        let ask =
-            self.settings.allow.counter && !spared && !sure && !c.calm && !paid && c.bucket_level >= units;
+        let ask = self.settings.capabilities.shared_counter
+            && !spared
+            && !sure
+            && !c.calm
+            && !paid
+            && c.bucket_level >= units;
         let reserve = if c.demand(now) > 1.0 { 0.0 } else { units };
         let mut leave = (c.next_leave.max(now) + (c.delay_ms * 1e3) as Micros).min(now + cap as Micros);
         out.push(Action::Timer { at: deadline, timer: TimerId(id.0 << 1) });
@@ -131,7 +138,8 @@
     pub(crate) fn leave(&mut self, now: Micros, id: RequestId, out: Out) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.done) else { return };
         r.held = false;
-        let (units, customer, plan, aim) = (r.units, r.customer, r.plan, self.settings.classes[r.class].aim);
+        let (units, customer, plan, aim) =
+            (r.units, r.customer, r.plan, self.settings.classes[r.class].latency_objective);
         let pays = self.paid(plan);
         let source = self.customers.get(customer).map(|c| self.usage_source(now, c));
         let (Some(c), Some(source)) = (self.customers.get_mut(customer), source) else { return };
@@ -157,17 +165,20 @@
         let s = &self.settings;
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.done && !r.started) else { return };
         let ran = r.attempts.iter().any(|a| a.may_have_run || a.open);
-        let harmless = match s.classes[r.class].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+        let harmless = match s.classes[r.class].idempotency {
+            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => {
+                true
+            }
             _ => !ran,
         };
         out.push(if harmless {
-            let advice = if s.allow.retry_after { wait.min(s.allow.max_retry_after) } else { 0 };
-            Action::Refuse { id, retry_after: advice }
+            let advice =
+                if s.capabilities.retry_after { wait.min(s.capabilities.max_retry_after) } else { 0 };
+            Action::Reject { id, retry_after: advice }
         } else {
             Action::Fail { id }
         });
-        for (k, _) in r.attempts.iter().enumerate().filter(|(_, a)| a.open && s.allow.cancel) {
+        for (k, _) in r.attempts.iter().enumerate().filter(|(_, a)| a.open && s.capabilities.cancellation) {
             out.push(Action::Cancel { id, attempt: k as u32 });
         }
         self.close(id);
@@ -192,7 +203,7 @@
             let Some(c) = self.customers.get(id) else { continue };
             let due = c.uncounted != 0.0 && !self.paid(c.plan);
             let spare = c.few() || c.uncounted < 0.0 || self.calls >= CALLS_SPARED;
-            let (due, repeats) = (self.settings.allow.counter && due, c.sent > 1.0);
+            let (due, repeats) = (self.settings.capabilities.shared_counter && due, c.sent > 1.0);
             if self.near && repeats {
                 self.publish(id);
             }
@@ -208,17 +219,20 @@
         let subset = subset * self.servers.ramp_sum(now).max(1.0) / ready;
         let rules = &self.settings.rules;
         self.servers.update_cold(|x| {
-            let pace = COLD_SAFETY * rules.fall_multiple * x.ramp(now, rules) * sends / subset;
-            let most = (pace * seconds(rules.fall)).max(1.0);
+            let pace = COLD_SAFETY * rules.overload_multiple * x.ramp(now, rules) * sends / subset;
+            let most = (pace * seconds(rules.overload_window)).max(1.0);
             x.cold_budget = (x.cold_budget + pace * seconds(ROUND)).clamp(-most, most);
         });
         let every = PROBE_EVERY.max((ready / (PROBE_SHARE * sends).max(1e-3) * 1e6) as Micros);
-        let s = &self.settings.allow;
-        if s.probes && s.reports == Reports::Probe && seconds(every) <= REPORT_S && now >= self.probed + every
+        let s = &self.settings.capabilities;
+        if s.health_checks
+            && s.load_reports == LoadReports::WithHealthChecks
+            && seconds(every) <= REPORT_S
+            && now >= self.probed + every
         {
             self.probed = now;
-            let ready = self.servers.iter().filter(|x| x.entry.state == State::Ready);
-            out.extend(ready.map(|x| Action::Probe { server: x.entry.server }));
+            let ready = self.servers.iter().filter(|x| x.entry.state == EndpointState::Ready);
+            out.extend(ready.map(|x| Action::CheckHealth { server: x.entry.server }));
         }
         self.customers.forget_idle(now);
         out.push(Action::Timer { at: now + ROUND, timer: TURN });
@@ -237,21 +251,34 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.servers.advance(now);
         if !std::mem::replace(&mut self.begun, true) {
-            if self.settings.allow.must_ask {
-                out.push(Action::Watch);
+            if self.settings.capabilities.polls_discovery {
+                out.push(Action::PollEndpoints);
             }
             self.tick(now, out);
         }
         match event {
-            Event::Servers { kind, entries } => self.update_servers(now, kind, entries, out),
-            Event::Request { id, class, plan, customer, patience, units, spread, first, repeat, coming } => {
-                let (s, margin) = (&self.settings, 2 * self.settings.tick);
+            Event::EndpointsChanged { watch_event: kind, endpoints: entries } => {
+                self.update_servers(now, kind, entries, out)
+            }
+            Event::Request {
+                id,
+                class,
+                plan,
+                customer,
+                client_timeout: patience,
+                units,
+                customer_gateway_count: spread,
+                first_gateway: first,
+                is_retry: repeat,
+                body_incomplete: coming,
+            } => {
+                let (s, margin) = (&self.settings, 2 * self.settings.batch_interval);
                 let sane = class < s.classes.len() && plan < s.plans.len() && (0.0..1e9).contains(&units);
                 if self.requests.contains_key(&id) {
                     return;
                 }
                 if !sane || patience <= margin {
-                    return out.push(Action::Refuse { id, retry_after: 0 });
+                    return out.push(Action::Reject { id, retry_after: 0 });
                 }
                 self.customer(now, customer, plan, spread, first);
                 let deadline = now.saturating_add(patience - margin).min(self.ends);
@@ -259,22 +286,32 @@
                 let (deadline_us, left) = (self.settings.classes[class].deadline, patience as f64);
                 let up = if left > self.usual[class] { USUAL_QUANTILE } else { USUAL_QUANTILE - 1.0 };
                 self.usual[class] += up * USUAL_STEP * deadline_us as f64;
-                let marks = self.settings.allow.marks_repeats;
+                let marks = self.settings.capabilities.marks_retries;
                 let short = if marks { repeat } else { left < SHORT * self.usual[class] };
                 let waited = if short { deadline_us.saturating_sub(patience) } else { 0 };
                 let request = Request { class, plan, customer, units, arrived: now, ..Request::default() };
                 self.arrive(now, id, Request { waited, deadline, coming, ..request }, out);
             }
-            Event::Came { id } => self.came(now, id, out),
-            Event::Spent { id } => drop(self.requests.entry(id).and_modify(|r| r.spent = true)),
-            Event::Started { id } => drop(self.requests.entry(id).and_modify(|r| r.started = true)),
-            Event::Outcome { id, attempt, server, status, took, closed, used, settled, load } => {
+            Event::BodyComplete { id } => self.came(now, id, out),
+            Event::BodyConsumed { id } => drop(self.requests.entry(id).and_modify(|r| r.spent = true)),
+            Event::ResponseStarted { id } => drop(self.requests.entry(id).and_modify(|r| r.started = true)),
+            Event::AttemptCompleted {
+                id,
+                attempt,
+                server,
+                status,
+                elapsed: took,
+                request_finished: closed,
+                reported_usage: used,
+                settled_units: settled,
+                load_report: load,
+            } => {
                 self.report(now, server, load);
                 self.meter(now, id, used, settled);
                 self.outcome(now, id, attempt, (status, took, closed), out);
             }
-            Event::Stop { by } => self.stop(by, out),
-            Event::Gone { id } => self.close(id),
+            Event::Shutdown { deadline: by } => self.stop(by, out),
+            Event::ClientDisconnected { id } => self.close(id),
             // A request's timers bear its number twice: even at its deadline, odd at the end of its hold.
             Event::Timer { timer: TURN } => self.tick(now, out),
             Event::Timer { timer: TimerId(k) } => match self.requests.get(&RequestId(k >> 1)) {
@@ -283,9 +320,9 @@
                 Some(r) if r.held => self.leave(now, RequestId(k >> 1), out),
                 _ => {}
             },
-            Event::Probed { server, load, .. } => self.report(now, server, load),
-            Event::Peer { from, data } => self.receive_gossip(now, from, &data),
-            Event::Counted { counter, total, unsure, took } => {
+            Event::HealthCheckCompleted { server, load_report: load, .. } => self.report(now, server, load),
+            Event::GossipReceived { from, message: data } => self.receive_gossip(now, from, &data),
+            Event::CounterReplied { counter, total, possibly_counted: unsure, elapsed: took } => {
                 self.counted(now, counter, (total, unsure, took), out);
             }
         }
--- a/crates/core/src/customers.rs
+++ b/crates/core/src/customers.rs
@@ -106,8 +106,8 @@
             let most = (plan.burst * part).max(FEWEST * units).max(told);
             self.local_allowance = (self.local_allowance + dt * plan.rate * part).min(most);
         }
-        let most = (plan.ceiling_burst + plan.ceiling_slack) * even;
-        self.slice = (self.slice + dt * plan.ceiling_rate * even).min(most);
+        let most = (plan.hard_limit_burst + plan.hard_limit_overdraft) * even;
+        self.slice = (self.slice + dt * plan.hard_limit_rate * even).min(most);
         self.filled = self.filled.max(now);
     }
 
@@ -141,16 +141,16 @@
 
     /// Whether a try may go within the quota: told unit by unit, by the bucket; else by its slice as well.
     pub fn covers(&self, now: Micros, units: f64, source: UsageSource) -> bool {
-        let most_open = (f64::from(self.terms.open) * self.share(now, source)).round().max(1.0);
+        let most_open = (f64::from(self.terms.max_concurrency) * self.share(now, source)).round().max(1.0);
         (self.terms.rate == 0.0 || self.available(source) >= units)
-            && (self.terms.open == 0 || f64::from(self.open) <= most_open)
+            && (self.terms.max_concurrency == 0 || f64::from(self.open) <= most_open)
     }
 
     /// How long until an unused customer is as good as new: its stores have filled again.
     pub fn idle_after(&self) -> Micros {
         let (p, fill) = (&self.terms, |most: f64, rate: f64| if rate > 0.0 { most / rate } else { 0.0 });
         let quota = fill(p.burst * (1.0 + DEBT_OF_BURST), p.rate) * self.spread as f64;
-        let ceiling = fill(p.ceiling_burst + p.ceiling_slack, p.ceiling_rate);
+        let ceiling = fill(p.hard_limit_burst + p.hard_limit_overdraft, p.hard_limit_rate);
         ((quota.max(ceiling) + 1.0) * 1e6) as Micros
     }
 
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -20,10 +20,10 @@
     pub(crate) fn publish(&mut self, id: CustomerId) {
         let Some((first, spread)) = self.customers.get(id).map(|c| (c.first, c.spread)) else { return };
         let cost = if self.near { 0.0 } else { spread as f64 };
-        if self.settings.allow.peers && self.gossip_budget >= cost {
+        if self.settings.capabilities.gossip && self.gossip_budget >= cost {
             self.gossip_budget -= cost;
             for k in 0..spread {
-                self.gossip_queue.insert((first + k) % self.settings.gateways, id);
+                self.gossip_queue.insert((first + k) % self.settings.gateway_count, id);
             }
         }
     }
@@ -35,8 +35,9 @@
             return;
         }
         let beat = self.near && since >= HEARTBEAT;
-        let due = if beat { (0..self.settings.gateways).collect() } else { self.gossip_queue.gateways() };
-        for to in due.into_iter().filter(|to| *to != self.settings.me) {
+        let due =
+            if beat { (0..self.settings.gateway_count).collect() } else { self.gossip_queue.gateways() };
+        for to in due.into_iter().filter(|to| *to != self.settings.gateway_index) {
             self.last_gossip = now;
             self.visited += 1;
             let most = self.gossip_queue.take(to, LINES);
@@ -45,12 +46,12 @@
                 let total = (c.sent * 8.0) as u64 as u32;
                 Line { customer, plan: c.plan, spread: c.spread, total, demand: c.demand }
             });
-            out.push(Action::Tell { to, data: write(self.life, &lines.collect::<Vec<_>>()) });
+            out.push(Action::SendGossip { to, message: write(self.life, &lines.collect::<Vec<_>>()) });
         }
     }
 
     pub(crate) fn receive_gossip(&mut self, now: Micros, from: usize, data: &[u8]) {
-        let known = from < self.peers.len() && from != self.settings.me;
+        let known = from < self.peers.len() && from != self.settings.gateway_index;
         let phase = self.random_source.next_fraction();
         let Some((life, lines)) = read(data).filter(|_| known) else { return };
         self.peers[from] = now;
--- a/crates/core/src/handover.rs
+++ b/crates/core/src/handover.rs
@@ -126,7 +126,7 @@
 
     fn read_customer(&self, words: &mut SplitAsciiWhitespace<'_>) -> Option<(CustomerId, Customer)> {
         let (id, seen) = (CustomerId(next(words)?), read_customer(words)?);
-        let (terms, gateways) = (self.settings.plans.get(seen.plan)?.clone(), self.settings.gateways);
+        let (terms, gateways) = (self.settings.plans.get(seen.plan)?.clone(), self.settings.gateway_count);
         if !(1..=gateways).contains(&seen.spread) || seen.first >= gateways {
             return None;
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -17,7 +17,7 @@
 //!         deadline: 2_000_000,
 //!         late_worth: 0.0,
 //!         worth: 1.0,
-//!         effect: Effect::Safe,
+//!         effect: Idempotency::Idempotent,
 //!         stream: false,
 //!     }],
 //!     plans: vec![Plan {
@@ -31,14 +31,14 @@
 //!         ceiling_burst: 0.0,
 //!         ceiling_slack: 0.0,
 //!     }],
-//!     allow: Allow {
+//!     allow: Capabilities {
 //!         cancel: true,
 //!         retry_after: true,
 //!         max_retry_after: 1_000_000,
 //!         max_attempts: 3,
-//!         ..Allow::default()
+//!         ..Capabilities::default()
 //!     },
-//!     rules: Rules {
+//!     rules: ProtocolRules {
 //!         answer_slack: 5_000,
 //!         cold_from: 0.2,
 //!         cold: 10_000_000,
@@ -48,8 +48,8 @@
 //! };
 //! let mut actions = Vec::new();
 //! let mut gateway = Gateway::new(settings, 7, 0)?;
-//! let entry = Entry { server: ServerId(1), state: State::Ready, ready_at: 0, size: 1.0, zone: 0, cell: 0 };
-//! gateway.handle(0, Event::Servers { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
+//! let entry = Endpoint { server: ServerId(1), state: EndpointState::Ready, ready_at: 0, size: 1.0, zone: 0, cell: 0 };
+//! gateway.handle(0, Event::EndpointsChanged { kind: WatchEvent::Snapshot, entries: vec![entry] }, &mut actions);
 //! let request = Event::Request {
 //!     id: RequestId(1),
 //!     class: 0,
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -10,27 +10,27 @@
 
 impl Gateway {
     /// Takes a list of servers, or the changed entries of one.
-    pub(crate) fn update_servers(&mut self, now: Micros, kind: ListKind, entries: Vec<Entry>, out: Out) {
-        if kind == ListKind::Failed {
-            return out.push(Action::Watch);
+    pub(crate) fn update_servers(&mut self, now: Micros, kind: WatchEvent, entries: Vec<Endpoint>, out: Out) {
+        if kind == WatchEvent::Failed {
+            return out.push(Action::PollEndpoints);
         }
         if self.start_times.observe(now, kind, &entries) {
             self.correct_starts(now);
         }
         // Servers that a complete list does not name are gone.
-        let gone = if kind == ListKind::Delta { Vec::new() } else { self.servers.unlisted(&entries) };
+        let gone = if kind == WatchEvent::Delta { Vec::new() } else { self.servers.unlisted(&entries) };
         for id in gone {
-            self.servers.update(now, id, |x| x.entry.state = State::Gone);
+            self.servers.update(now, id, |x| x.entry.state = EndpointState::Gone);
         }
-        let shortest = self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(0) as f64;
+        let shortest = self.settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(0) as f64;
         let usual = self.servers.mean_item_us().filter(|usual| usual.is_finite());
         let item_us = usual.unwrap_or(START_OF_AIM * shortest);
         for entry in entries {
             let id = entry.server;
             let known = self.servers.get(id);
             let open = known.map_or(0, |x| x.open);
-            let told_start = entry.ready_at;
-            let entry = Entry { ready_at: self.start_times.local(told_start), ..entry };
+            let told_start = entry.started_at;
+            let entry = Endpoint { started_at: self.start_times.local(told_start), ..entry };
             if known.is_some_and(|x| x.told_start == told_start) {
                 self.servers.update(now, id, |x| x.entry = entry);
                 continue;
@@ -49,17 +49,18 @@
         let servers: Vec<ServerId> = self.servers.iter().map(|x| x.entry.server).collect();
         for id in servers {
             let start_times = &self.start_times;
-            self.servers.update(now, id, |x| x.entry.ready_at = start_times.local(x.told_start));
+            self.servers.update(now, id, |x| x.entry.started_at = start_times.local(x.told_start));
         }
     }
 
     /// Takes the load that a server reports.
-    pub(crate) fn report(&mut self, now: Micros, server: ServerId, load: Option<Load>) {
+    pub(crate) fn report(&mut self, now: Micros, server: ServerId, load: Option<LoadReport>) {
         let Some(load) = load else { return };
-        let gateways = self.settings.gateways as f64;
+        let gateways = self.settings.gateway_count as f64;
         let senders = self.senders_per_server();
         self.servers.update(now, server, |x| {
-            let held = load.inflight.map(|l| l - f64::from(x.open)).or(load.queue.map(|l| l - l / gateways));
+            let held =
+                load.in_flight.map(|l| l - f64::from(x.open)).or(load.queued.map(|l| l - l / gateways));
             let Some(held) = held.filter(|h| h.is_finite()) else { return };
             // All that send there act on the same report: each makes up for its part of a difference alone.
             x.others = held.max(0.0) / (senders - 1.0).max(1.0);
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -43,11 +43,12 @@
     /// How others' use of this customer's quota is known.
     pub(crate) fn usage_source(&self, now: Micros, c: &Customer) -> UsageSource {
         let s = &self.settings;
-        let fresh =
-            |g: usize| g == s.me || now < self.peers[g].saturating_add(PEER_FRESH) && self.peers[g] > 0;
-        let told = s.allow.counter && c.counted > 0 && now <= c.counted + COUNT_FRESH
-            || self.near && (0..c.spread).all(|k| fresh((c.first + k) % s.gateways));
-        match (told, s.allow.meter > 0 && now <= self.metered + METER_STALE) {
+        let fresh = |g: usize| {
+            g == s.gateway_index || now < self.peers[g].saturating_add(PEER_FRESH) && self.peers[g] > 0
+        };
+        let told = s.capabilities.shared_counter && c.counted > 0 && now <= c.counted + COUNT_FRESH
+            || self.near && (0..c.spread).all(|k| fresh((c.first + k) % s.gateway_count));
+        match (told, s.capabilities.usage_report_period > 0 && now <= self.metered + METER_STALE) {
             (true, _) => UsageSource::Exact,
             (_, true) => UsageSource::Metered,
             _ => UsageSource::Unknown,
@@ -56,7 +57,7 @@
 
     /// Whether a request pays beyond its quota too: then nobody needs to know whether it is inside.
     pub(crate) fn paid(&self, plan: usize) -> bool {
-        let pays = self.settings.plans.get(plan).is_some_and(|p| p.over_worth > p.over_cost);
+        let pays = self.settings.plans.get(plan).is_some_and(|p| p.overage_weight > p.overage_cost);
         pays && self.latency_estimate < ANSWER_OF_AIM
     }
 
@@ -64,7 +65,7 @@
     pub(crate) fn meter(&mut self, now: Micros, id: RequestId, used: Option<f64>, settled: Option<f64>) {
         let phase = self.random_source.next_fraction();
         let Some(r) = self.requests.get(&id) else { return };
-        let (customer, meter) = (r.customer, seconds(self.settings.allow.meter));
+        let (customer, meter) = (r.customer, seconds(self.settings.capabilities.usage_report_period));
         let Some(c) = self.customers.get_mut(customer) else { return };
         let plan = &c.terms;
         if let Some(units) = settled.filter(|u| u.is_finite() && r.inside && !r.done) {
@@ -114,7 +115,7 @@
         let counter = CounterId(id.0 ^ (window / 1_000) << NAME_BITS);
         self.calls -= 1.0;
         self.asked.insert(counter, (id, window, start));
-        out.push(Action::Count { counter, amount, ttl: WINDOW });
+        out.push(Action::AddToCounter { counter, amount, ttl: WINDOW });
     }
 
     /// A total of the counter: what it rose by besides our own is others' use. Few put nothing right on it.
@@ -126,7 +127,7 @@
         out: Out,
     ) {
         let ((total, lost, took), fraction) = (end, self.random_source.next_fraction());
-        let (limit, many) = (self.settings.allow.count_limit, self.settings.gateways > OFTEN);
+        let (limit, many) = (self.settings.capabilities.counter_timeout, self.settings.gateway_count > OFTEN);
         let quick = if many { QUICK_DIVISOR_OF_MANY } else { QUICK_DIVISOR };
         let quick = total.is_some() && (limit == 0 || took < limit / quick);
         if quick || now >= self.cut + CROWDED {
--- a/crates/core/src/selection.rs
+++ b/crates/core/src/selection.rs
@@ -83,13 +83,16 @@
 
     /// How many of so many servers one gateway sends to.
     pub(crate) fn subset_size(&self, servers: usize) -> usize {
-        (servers * GATEWAYS_PER_SERVER).div_ceil(self.settings.gateways).max(MIN_SUBSET_SIZE).min(servers)
+        (servers * GATEWAYS_PER_SERVER)
+            .div_ceil(self.settings.gateway_count)
+            .max(MIN_SUBSET_SIZE)
+            .min(servers)
     }
 
     /// How many gateways have a server in their subset, on average.
     pub(crate) fn senders_per_server(&self) -> f64 {
         let ready = self.servers.count(Subset::Ready).max(1);
-        self.settings.gateways as f64 * self.subset_size(ready) as f64 / ready as f64
+        self.settings.gateway_count as f64 * self.subset_size(ready) as f64 / ready as f64
     }
 
     /// Subsets begin at places spread evenly over the list, those of neighbours far apart.
@@ -97,29 +100,29 @@
         if size == ready {
             return 0;
         }
-        ((self.settings.me as f64 * GOLDEN_RATIO).fract() * ready as f64) as usize
+        ((self.settings.gateway_index as f64 * GOLDEN_RATIO).fract() * ready as f64) as usize
     }
 
     /// Where repeats of a request that may have run are dropped, if not everywhere.
     fn required_site(&self, request: &Request) -> Option<Site> {
         let ran = request.attempts.iter().find(|a| a.may_have_run || a.open)?;
         let home = &self.servers.get(ran.server)?.entry;
-        match self.settings.classes[request.class].effect {
-            Effect::Keyed { group, .. } => site(group, home),
+        match self.settings.classes[request.class].idempotency {
+            Idempotency::IdempotencyKey { scope: group, .. } => site(group, home),
             _ => None,
         }
     }
 
     /// Whether a server besides this one could take a further attempt of a request that may have run there.
-    pub(crate) fn has_alternative(&self, now: Micros, server: ServerId, effect: Effect) -> bool {
+    pub(crate) fn has_alternative(&self, now: Micros, server: ServerId, effect: Idempotency) -> bool {
         let Some(home) = self.servers.get(server) else { return false };
         let group = match effect {
-            Effect::Safe => Group::All,
-            Effect::Keyed { group, .. } => group,
-            Effect::Fragile => return false,
+            Idempotency::Idempotent => DeduplicationScope::All,
+            Idempotency::IdempotencyKey { scope: group, .. } => group,
+            Idempotency::NonIdempotent => return false,
         };
         let Some(site) = site(group, &home.entry) else {
-            let itself = home.entry.state == State::Ready && home.ejected <= now;
+            let itself = home.entry.state == EndpointState::Ready && home.ejected <= now;
             return self.servers.count(Subset::Trusted) > usize::from(itself);
         };
         let mut near = self.servers.at_site(site, 0.0).take(MAX_SUBSTITUTES);
@@ -128,11 +131,11 @@
 }
 
 /// The servers of a group that one server is in; `None` for all.
-fn site(group: Group, home: &Entry) -> Option<Site> {
+fn site(group: DeduplicationScope, home: &Endpoint) -> Option<Site> {
     match group {
-        Group::All => None,
-        Group::Zone => Some(Site::Zone(home.zone)),
-        Group::Cell => Some(Site::Cell(home.cell)),
+        DeduplicationScope::All => None,
+        DeduplicationScope::Zone => Some(Site::Zone(home.zone)),
+        DeduplicationScope::Cell => Some(Site::Cell(home.cell)),
     }
 }
 
@@ -164,7 +167,7 @@
     /// Compares servers of one zone or cell, beginning at a part of them that differs between gateways.
     fn compare_site(&mut self, site: Site) {
         let servers = &self.gateway.servers;
-        let from = (self.gateway.settings.me as f64 * GOLDEN_RATIO).fract();
+        let from = (self.gateway.settings.gateway_index as f64 * GOLDEN_RATIO).fract();
         for x in servers.at_site(site, from).take(MAX_SUBSTITUTES) {
             if self.usable >= self.wanted {
                 return;
--- a/crates/core/src/server_index.rs
+++ b/crates/core/src/server_index.rs
@@ -25,7 +25,7 @@
 #[derive(Default)]
 pub(crate) struct Server {
     /// As it is listed; its start by this process's clock.
-    pub entry: Entry,
+    pub entry: Endpoint,
     /// Its start by the fleet's clock, as it was told.
     pub told_start: Micros,
     /// Attempts out there from here.
@@ -52,7 +52,7 @@
 /// What the index holds of a record.
 #[derive(Clone, Copy, PartialEq)]
 struct Indexed {
-    state: State,
+    state: EndpointState,
     zone: u32,
     cell: u32,
     ready_at: Micros,
@@ -63,32 +63,39 @@
 
 impl Indexed {
     /// As if not in the table.
-    const ABSENT: Indexed =
-        Indexed { state: State::Gone, zone: 0, cell: 0, ready_at: 0, ejected: 0, idle: false, item_us: 0.0 };
+    const ABSENT: Indexed = Indexed {
+        state: EndpointState::Gone,
+        zone: 0,
+        cell: 0,
+        ready_at: 0,
+        ejected: 0,
+        idle: false,
+        item_us: 0.0,
+    };
 
     fn of(x: &Server) -> Indexed {
-        let Entry { state, zone, cell, ready_at, .. } = x.entry;
+        let Endpoint { state, zone, cell, started_at: ready_at, .. } = x.entry;
         Indexed { state, zone, cell, ready_at, ejected: x.ejected, idle: x.open == 0, item_us: x.item_us }
     }
 
     fn is_ready(&self) -> bool {
-        self.state == State::Ready
+        self.state == EndpointState::Ready
     }
 
     fn is_listed(&self) -> bool {
-        self.state != State::Gone
+        self.state != EndpointState::Gone
     }
 
     /// Removed from the list, with no request out there.
     fn is_vacated(&self) -> bool {
-        self.state == State::Gone && self.idle
+        self.state == EndpointState::Gone && self.idle
     }
 }
 
 /// The servers, by number.
 #[derive(Default)]
 pub(crate) struct ServerIndex {
-    rules: Rules,
+    rules: ProtocolRules,
     records: Vec<Server>,
     free: Vec<Slot>,
     order: RankedTree,
@@ -107,7 +114,7 @@
 
 impl ServerIndex {
     /// An empty table under these rules of the cold ramp.
-    pub fn new(rules: Rules) -> ServerIndex {
+    pub fn new(rules: ProtocolRules) -> ServerIndex {
         ServerIndex { rules, ..ServerIndex::default() }
     }
 
@@ -165,7 +172,7 @@
     /// How many ready servers are ejected at a time; walks the ejected ones.
     pub fn ejected_at(&self, now: Micros) -> usize {
         let out = self.ejected.range((now.saturating_add(1), 0)..);
-        out.filter(|(_, slot)| self.record(*slot).entry.state == State::Ready).count()
+        out.filter(|(_, slot)| self.record(*slot).entry.state == EndpointState::Ready).count()
     }
 
     /// Servers still ramping, ready or not, as of the last [`Self::advance`].
@@ -204,7 +211,7 @@
     }
 
     /// The servers that a complete list does not name; makes room for those that only it does.
-    pub fn unlisted(&mut self, list: &[Entry]) -> Vec<ServerId> {
+    pub fn unlisted(&mut self, list: &[Endpoint]) -> Vec<ServerId> {
         let further = list.len().saturating_sub(self.len());
         self.records.reserve(further);
         self.order.reserve(further);
@@ -264,7 +271,7 @@
             let server = std::mem::take(&mut self.records[slot as usize]);
             self.visited.set(self.visited.get() + 1);
             self.ejected.remove(&(server.ejected, slot));
-            self.cold.remove(&(server.entry.ready_at, slot));
+            self.cold.remove(&(server.entry.started_at, slot));
             self.item_us_sum -= server.item_us;
             self.order.remove(server.entry.server.0);
             self.free.push(slot);
@@ -314,13 +321,13 @@
 
     fn place_in_subsets(&mut self, slot: Slot) {
         let x = &self.records[slot as usize];
-        let ready = x.entry.state == State::Ready;
+        let ready = x.entry.state == EndpointState::Ready;
         let trusted = ready && !self.ejected.contains(&(x.ejected, slot));
-        let available = trusted && !self.cold.contains(&(x.entry.ready_at, slot));
+        let available = trusted && !self.cold.contains(&(x.entry.started_at, slot));
         self.order.set_membership(slot, [ready, trusted, available]);
     }
 }
 
 fn is_ready(x: &Server) -> bool {
-    x.entry.state == State::Ready
+    x.entry.state == EndpointState::Ready
 }
--- a/crates/core/src/servers.rs
+++ b/crates/core/src/servers.rs
@@ -28,17 +28,19 @@
     }
 
     /// Share of its capacity that is there at least.
-    pub fn ramp(&self, now: Micros, rules: &Rules) -> f64 {
-        if self.entry.ready_at == 0 || rules.cold == 0 {
+    pub fn ramp(&self, now: Micros, rules: &ProtocolRules) -> f64 {
+        if self.entry.started_at == 0 || rules.warm_up == 0 {
             return 1.0;
         }
-        let (up, from) =
-            (now.saturating_sub(self.entry.ready_at) as f64 / rules.cold as f64, rules.cold_from.min(1.0));
+        let (up, from) = (
+            now.saturating_sub(self.entry.started_at) as f64 / rules.warm_up as f64,
+            rules.initial_capacity.min(1.0),
+        );
         (from + (1.0 - from) * up).clamp(0.01, 1.0)
     }
 
     /// How long an answer to one more request should take, µs.
-    pub fn wait(&self, now: Micros, rules: &Rules) -> f64 {
+    pub fn wait(&self, now: Micros, rules: &ProtocolRules) -> f64 {
         (self.holds(now) + 1.0) * self.item_us / self.ramp(now, rules)
     }
 
@@ -85,7 +87,7 @@
 impl Patience {
     /// Before anything was answered, half of the aim is given to an attempt.
     pub fn new(classes: &[Class]) -> Patience {
-        Patience(classes.iter().map(|c| 0.5 * c.aim as f64 / SILENT).collect())
+        Patience(classes.iter().map(|c| 0.5 * c.latency_objective as f64 / SILENT).collect())
     }
 
     /// Books an attempt that was answered after this time, or given up then.
--- a/crates/core/src/start_times.rs
+++ b/crates/core/src/start_times.rs
@@ -29,14 +29,14 @@
 
 impl StartTimes {
     /// Takes the starts of a list that came now. Whether the difference was corrected.
-    pub fn observe(&mut self, now: Micros, kind: ListKind, entries: &[Entry]) -> bool {
-        let told = entries.iter().map(|entry| entry.ready_at);
+    pub fn observe(&mut self, now: Micros, kind: WatchEvent, entries: &[Endpoint]) -> bool {
+        let told = entries.iter().map(|entry| entry.started_at);
         let newest = told.filter(|at| self.age(now, *at) > -(MAX_STEP as i64)).max().unwrap_or(0);
         let is_news = newest > self.newest;
         self.newest = self.newest.max(newest);
         let age = self.age(now, newest);
         let is_ahead = self.answered.is_some_and(|before| age > (now - before + NEWS_DELAY) as i64);
-        if kind != ListKind::Cached {
+        if kind != WatchEvent::CachedSnapshot {
             self.answered = Some(now);
         }
         let is_off = is_news && (age < 0 || is_ahead);
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -11,11 +11,11 @@
     assert_eq!(sent(&actions), Some(ServerId(1)));
     let done = rig.run_to(2 * S);
     let answers: Vec<_> =
-        done.iter().filter(|(_, a)| matches!(a, Action::Refuse { id: i, .. } if *i == id)).collect();
+        done.iter().filter(|(_, a)| matches!(a, Action::Reject { id: i, .. } if *i == id)).collect();
     assert_eq!(answers.len(), 1);
     assert!(answers[0].0 <= S + 300 * MS && answers[0].0 >= S + 280 * MS);
     assert!(done.contains(&(answers[0].0, Action::Cancel { id, attempt: 0 })));
-    let late = rig.outcome(id, 0, ServerId(1), Status::Cancelled);
+    let late = rig.outcome(id, 0, ServerId(1), AttemptStatus::Cancelled);
     assert!(late.is_empty(), "nothing follows the final answer: {late:?}");
 }
 
@@ -30,19 +30,19 @@
 fn a_client_that_left_gets_nothing() {
     let mut rig = Rig::new(settings(), &[entry(1, 0)]);
     let (id, _) = rig.request(0, 5, 300 * MS);
-    rig.event(Event::Gone { id });
+    rig.event(Event::ClientDisconnected { id });
     let done = rig.run_to(3 * S);
     assert!(done.is_empty(), "{done:?}");
-    assert!(rig.outcome(id, 0, ServerId(1), Status::Error).is_empty());
+    assert!(rig.outcome(id, 0, ServerId(1), AttemptStatus::Error).is_empty());
 }
 
 #[test]
 fn a_started_stream_is_left_alone() {
     let mut s = settings();
-    s.classes[0].stream = true;
+    s.classes[0].streaming = true;
     let mut rig = Rig::new(s, &[entry(1, 0)]);
     let (id, _) = rig.request(0, 5, 300 * MS);
-    rig.event(Event::Started { id });
+    rig.event(Event::ResponseStarted { id });
     assert!(rig.run_to(3 * S).is_empty());
 }
 
@@ -50,27 +50,35 @@
 fn strange_events_are_borne() {
     let mut rig = Rig::new(settings(), &[entry(1, 0)]);
     let unknown = RequestId(99);
-    assert!(rig.outcome(unknown, 7, ServerId(1), Status::Ok).is_empty());
-    assert!(rig.event(Event::Gone { id: unknown }).is_empty());
+    assert!(rig.outcome(unknown, 7, ServerId(1), AttemptStatus::Ok).is_empty());
+    assert!(rig.event(Event::ClientDisconnected { id: unknown }).is_empty());
     assert!(rig.event(Event::Timer { timer: TimerId(12345) }).is_empty());
-    let load =
-        Load { inflight: Some(f64::NAN), queue: Some(-1e300), util: None, latency_ms: Some(f64::INFINITY) };
+    let load = LoadReport {
+        in_flight: Some(f64::NAN),
+        queued: Some(-1e300),
+        utilization: None,
+        latency_ms: Some(f64::INFINITY),
+    };
     for server in [1, 77] {
-        rig.event(Event::Probed { server: ServerId(server), status: Status::Ok, load: Some(load) });
+        rig.event(Event::HealthCheckCompleted {
+            server: ServerId(server),
+            status: AttemptStatus::Ok,
+            load_report: Some(load),
+        });
     }
-    rig.event(Event::Peer { from: 9, data: vec![1; 300] });
-    rig.event(Event::Peer { from: 1, data: vec![0; 3] });
+    rig.event(Event::GossipReceived { from: 9, message: vec![1; 300] });
+    rig.event(Event::GossipReceived { from: 1, message: vec![0; 3] });
     let request = |class, plan, units| Event::Request {
         id: RequestId(1000 + class as u64 * 10 + plan as u64),
         class,
         plan,
         customer: CustomerId(1),
-        patience: S,
+        client_timeout: S,
         units,
-        spread: 0,
-        first: 9,
-        repeat: false,
-        coming: false,
+        customer_gateway_count: 0,
+        first_gateway: 9,
+        is_retry: false,
+        body_incomplete: false,
     };
     assert!(refused(&rig.event(request(3, 0, 1.0))));
     assert!(refused(&rig.event(request(0, 3, 1.0))));
@@ -89,10 +97,13 @@
     assert_eq!(refusal(|s| s.classes.clear()).as_deref(), Some("classes"));
     assert_eq!(refusal(|s| s.plans.clear()).as_deref(), Some("plans"));
     assert_eq!(refusal(|s| s.plans[0].rate = -1.0).as_deref(), Some("plans[0].rate"));
-    assert_eq!(refusal(|s| s.plans[0].ceiling_rate = f64::NAN).as_deref(), Some("plans[0].ceiling_rate"));
-    assert_eq!(refusal(|s| s.me = 2).as_deref(), Some("me"));
-    assert_eq!(refusal(|s| s.tick = 0).as_deref(), Some("tick"));
-    assert_eq!(refusal(|s| s.rules.fall_multiple = f64::INFINITY).as_deref(), Some("rules.fall_multiple"));
+    assert_eq!(refusal(|s| s.plans[0].hard_limit_rate = f64::NAN).as_deref(), Some("plans[0].ceiling_rate"));
+    assert_eq!(refusal(|s| s.gateway_index = 2).as_deref(), Some("me"));
+    assert_eq!(refusal(|s| s.batch_interval = 0).as_deref(), Some("tick"));
+    assert_eq!(
+        refusal(|s| s.rules.overload_multiple = f64::INFINITY).as_deref(),
+        Some("rules.fall_multiple")
+    );
 }
 
 /// What has gone on of a long body is at hand no more, whatever the class allows.
@@ -101,9 +112,9 @@
     let mut rig = Rig::new(settings(), &[entry(1, 0), entry(2, 0)]);
     let (id, actions) = rig.request(0, 100, 2 * S);
     let server = sent(&actions).expect("a first attempt");
-    rig.event(Event::Spent { id });
-    let actions = rig.outcome(id, 0, server, Status::ConnectFailed);
-    assert!(matches!(actions[..], [Action::Refuse { .. }]), "{actions:?}");
+    rig.event(Event::BodyConsumed { id });
+    let actions = rig.outcome(id, 0, server, AttemptStatus::ConnectFailed);
+    assert!(matches!(actions[..], [Action::Reject { .. }]), "{actions:?}");
 }
 
 /// A body that is still coming is no work of any server, and its request is not timed; both begin with its end.
@@ -116,19 +127,19 @@
         class: 0,
         plan: 0,
         customer: CustomerId(5),
-        patience: 300 * MS,
+        client_timeout: 300 * MS,
         units: 1.0,
-        spread: 2,
-        first: 0,
-        repeat: false,
-        coming: true,
+        customer_gateway_count: 2,
+        first_gateway: 0,
+        is_retry: false,
+        body_incomplete: true,
     });
     assert_eq!(sent(&actions), Some(ServerId(1)));
-    assert!(rig.run_to(rig.now + 3 * S).iter().all(|(_, a)| !matches!(a, Action::Refuse { .. })));
-    rig.event(Event::Came { id });
+    assert!(rig.run_to(rig.now + 3 * S).iter().all(|(_, a)| !matches!(a, Action::Reject { .. })));
+    rig.event(Event::BodyComplete { id });
     let came = rig.now;
     let done = rig.run_to(came + S);
-    let answered: Vec<_> = done.iter().filter(|(_, a)| matches!(a, Action::Refuse { .. })).collect();
+    let answered: Vec<_> = done.iter().filter(|(_, a)| matches!(a, Action::Reject { .. })).collect();
     assert_eq!(answered.len(), 1);
     assert!((280 * MS..=300 * MS).contains(&(answered[0].0 - came)));
 }
@@ -137,22 +148,22 @@
 #[test]
 fn whatever_is_open_when_the_process_must_end_is_answered_before() {
     let mut settings = settings();
-    settings.classes.push(class(Effect::Fragile));
+    settings.classes.push(class(Idempotency::NonIdempotent));
     let mut rig = Rig::new(settings, &[entry(1, 0)]);
     let (safe, fragile) = (rig.request(0, 1, 2 * S), rig.request(1, 2, 2 * S));
     assert!(sent(&safe.1).is_some() && sent(&fragile.1).is_some());
     let by = rig.now + 500 * MS;
-    rig.event(Event::Stop { by });
+    rig.event(Event::Shutdown { deadline: by });
     rig.now += 100 * MS;
     let late = rig.request(0, 3, 2 * S);
     assert!(sent(&late.1).is_some());
     assert!(rig
         .run_to(by - 1)
         .iter()
-        .all(|(_, a)| !matches!(a, Action::Refuse { .. } | Action::Fail { .. })));
+        .all(|(_, a)| !matches!(a, Action::Reject { .. } | Action::Fail { .. })));
     let ends: Vec<_> = rig.run_to(by).into_iter().map(|(_, action)| action).collect();
     for id in [safe.0, late.0] {
-        assert!(ends.iter().any(|a| matches!(a, Action::Refuse { id: of, .. } if *of == id)));
+        assert!(ends.iter().any(|a| matches!(a, Action::Reject { id: of, .. } if *of == id)));
     }
     assert!(ends.iter().any(|a| matches!(a, Action::Fail { id } if *id == fragile.0)), "it may have run");
     rig.now += MS;
--- a/crates/core/tests/bounded_work.rs
+++ b/crates/core/tests/bounded_work.rs
@@ -16,16 +16,17 @@
 }
 
 impl Load {
-    fn new(gateways: usize, servers: &[Entry]) -> Load {
+    fn new(gateways: usize, servers: &[Endpoint]) -> Load {
         let mut s = settings();
-        (s.gateways, s.me) = (gateways, 7 % gateways);
-        s.allow.meter = 500 * MS;
-        s.allow.peers = true;
-        s.classes.push(class(Effect::Keyed { group: Group::Cell, window: 500 * MS }));
+        (s.gateway_count, s.gateway_index) = (gateways, 7 % gateways);
+        s.capabilities.usage_report_period = 500 * MS;
+        s.capabilities.gossip = true;
+        s.classes
+            .push(class(Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: 500 * MS }));
         s.plans[0] = Plan { rate: 200.0, burst: 400.0, ..plan() };
         let gateway = Gateway::new(s, 11, S).expect("sound settings");
         let mut load = Load { gateway, now: 2 * S, requests: 0, out: Vec::new() };
-        load.list(ListKind::Full, servers.to_vec());
+        load.list(WatchEvent::Snapshot, servers.to_vec());
         load
     }
 
@@ -37,8 +38,8 @@
         self.gateway.entries_visited() - before
     }
 
-    fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> u64 {
-        self.event(Event::Servers { kind, entries })
+    fn list(&mut self, kind: WatchEvent, entries: Vec<Endpoint>) -> u64 {
+        self.event(Event::EndpointsChanged { watch_event: kind, endpoints: entries })
     }
 
     fn request(&mut self, class: usize, customer: u64) -> u64 {
@@ -49,26 +50,26 @@
             class,
             plan: 0,
             customer: CustomerId(customer),
-            patience: 2 * S,
+            client_timeout: 2 * S,
             units: 1.0,
-            spread: 4,
-            first: 5,
-            repeat: false,
-            coming: false,
+            customer_gateway_count: 4,
+            first_gateway: 5,
+            is_retry: false,
+            body_incomplete: false,
         })
     }
 
-    fn outcome(&mut self, attempt: u32, server: ServerId, status: Status, used: f64) -> u64 {
-        self.event(Event::Outcome {
+    fn outcome(&mut self, attempt: u32, server: ServerId, status: AttemptStatus, used: f64) -> u64 {
+        self.event(Event::AttemptCompleted {
             id: RequestId(self.requests),
             attempt,
             server,
             status,
-            took: 30 * MS,
-            closed: status == Status::Ok,
-            used: Some(used),
-            settled: None,
-            load: None,
+            elapsed: 30 * MS,
+            request_finished: status == AttemptStatus::Ok,
+            reported_usage: Some(used),
+            settled_units: None,
+            load_report: None,
         })
     }
 
@@ -78,8 +79,8 @@
     }
 }
 
-fn pool(servers: usize) -> Vec<Entry> {
-    (1..=servers as u64).map(|k| Entry { cell: (k % 300) as u32, ..entry(k, (k % 33) as u32) }).collect()
+fn pool(servers: usize) -> Vec<Endpoint> {
+    (1..=servers as u64).map(|k| Endpoint { cell: (k % 300) as u32, ..entry(k, (k % 33) as u32) }).collect()
 }
 
 /// The most entries visited for a request and its answer, a tick, and a changed member.
@@ -88,14 +89,14 @@
     for k in 0..60 {
         let mut visited = load.request(0, k);
         let server = sent(&load.out).expect("there is room");
-        visited += load.outcome(0, server, Status::Ok, if k % 10 == 0 { 3.0 } else { 0.1 });
+        visited += load.outcome(0, server, AttemptStatus::Ok, if k % 10 == 0 { 3.0 } else { 0.1 });
         request = request.max(visited);
         if k % 3 == 0 {
             tick = tick.max(load.tick());
-            let new = Entry { ready_at: load.now, ..entry(servers as u64 + 1 + k, 0) };
-            change = change.max(load.list(ListKind::Delta, vec![new]));
-            let old = Entry { state: State::Gone, ..entry(servers as u64 + 1 + k, 0) };
-            change = change.max(load.list(ListKind::Delta, vec![old]));
+            let new = Endpoint { started_at: load.now, ..entry(servers as u64 + 1 + k, 0) };
+            change = change.max(load.list(WatchEvent::Delta, vec![new]));
+            let old = Endpoint { state: EndpointState::Gone, ..entry(servers as u64 + 1 + k, 0) };
+            change = change.max(load.list(WatchEvent::Delta, vec![old]));
         }
     }
     (request, tick, change)
@@ -126,7 +127,7 @@
         for customer in 0..customers as u64 {
             load.request(0, 1_000 + customer);
             let server = sent(&load.out).expect("there is room");
-            load.outcome(0, server, Status::Ok, 0.1);
+            load.outcome(0, server, AttemptStatus::Ok, 0.1);
         }
         for _ in 0..customers / 1_000 + 2 {
             load.tick();
@@ -144,37 +145,41 @@
 fn a_tick_looks_at_a_bounded_number_of_changed_customers() {
     for customers in SIZES {
         let mut s = settings();
-        s.gateways = 100;
-        s.allow.counter = true;
+        s.gateway_count = 100;
+        s.capabilities.shared_counter = true;
         let mut gateway = Gateway::new(s, 11, S).expect("sound settings");
         let mut out = Vec::new();
-        gateway.handle(S, Event::Servers { kind: ListKind::Full, entries: pool(61) }, &mut out);
+        gateway.handle(
+            S,
+            Event::EndpointsChanged { watch_event: WatchEvent::Snapshot, endpoints: pool(61) },
+            &mut out,
+        );
         for k in 0..customers as u64 {
             let request = Event::Request {
                 id: RequestId(k),
                 class: 0,
                 plan: 0,
                 customer: CustomerId(k),
-                patience: 2 * S,
+                client_timeout: 2 * S,
                 units: 1.0,
-                spread: 100,
-                first: 5,
-                repeat: false,
-                coming: false,
+                customer_gateway_count: 100,
+                first_gateway: 5,
+                is_retry: false,
+                body_incomplete: false,
             };
             out.clear();
             gateway.handle(2 * S, request, &mut out);
             if let Some(server) = sent(&out) {
-                let end = Event::Outcome {
+                let end = Event::AttemptCompleted {
                     id: RequestId(k),
                     attempt: 0,
                     server,
-                    status: Status::Ok,
-                    took: 30 * MS,
-                    closed: true,
-                    used: None,
-                    settled: None,
-                    load: None,
+                    status: AttemptStatus::Ok,
+                    elapsed: 30 * MS,
+                    request_finished: true,
+                    reported_usage: None,
+                    settled_units: None,
+                    load_report: None,
                 };
                 gateway.handle(2 * S, end, &mut out);
             }
@@ -207,10 +212,10 @@
         // This gateway's subset begins at 0.326 of the list.
         let from = servers as u64 * 3 / 10;
         let restarted =
-            (from..from + servers as u64 / 4).map(|k| Entry { ready_at: load.now, ..entry(k, 0) });
-        let restarted: Vec<Entry> = restarted.collect();
+            (from..from + servers as u64 / 4).map(|k| Endpoint { started_at: load.now, ..entry(k, 0) });
+        let restarted: Vec<Endpoint> = restarted.collect();
         let cold: BTreeSet<ServerId> = restarted.iter().map(|e| e.server).collect();
-        load.list(ListKind::Delta, restarted);
+        load.list(WatchEvent::Delta, restarted);
         let visited = load.request(0, 5);
         let server = sent(&load.out).expect("warm servers are left");
         assert!(!cold.contains(&server), "none of them has a budget yet");
@@ -227,7 +232,7 @@
         for k in 0..5 {
             load.request(1, k);
             let first = sent(&load.out).expect("goes at once");
-            let visited = load.outcome(0, first, Status::Error, 0.1);
+            let visited = load.outcome(0, first, AttemptStatus::Error, 0.1);
             let again = sent(&load.out).expect("the cell has others");
             assert!(again != first && again.0 % 300 == first.0 % 300, "{first:?} then {again:?}");
             assert!(visited <= 600, "{servers} servers: {visited}");
@@ -260,11 +265,11 @@
     for k in 0..4_000 {
         load.request(0, k);
         let server = sent(&load.out).expect("there is room");
-        let status = if fails(server) { Status::ConnectFailed } else { Status::Ok };
+        let status = if fails(server) { AttemptStatus::ConnectFailed } else { AttemptStatus::Ok };
         load.outcome(0, server, status, 0.1);
         late += u32::from(k >= 3_000 && fails(server));
         if let Some(server) = sent(&load.out) {
-            load.outcome(1, server, Status::Ok, 0.1);
+            load.outcome(1, server, AttemptStatus::Ok, 0.1);
         }
     }
     assert!(late <= 50, "{late} of 1,000 went to a fifth that fails");
--- a/crates/core/tests/ceiling.rs
+++ b/crates/core/tests/ceiling.rs
@@ -9,9 +9,9 @@
     s.plans[0] = Plan {
         rate: 1000.0,
         burst: 1000.0,
-        ceiling_rate: 10.0,
-        ceiling_burst: 20.0,
-        ceiling_slack: 2.0,
+        hard_limit_rate: 10.0,
+        hard_limit_burst: 20.0,
+        hard_limit_overdraft: 2.0,
         ..plan()
     };
     s
@@ -23,7 +23,7 @@
         let (id, actions) = rig.request(0, 5, S);
         if let Some(server) = sent(&actions) {
             went += 1;
-            rig.outcome(id, 0, server, Status::Ok);
+            rig.outcome(id, 0, server, AttemptStatus::Ok);
         }
     }
     went
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -6,8 +6,15 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Effect) -> Class {
-    Class { aim: 600 * MS, deadline: 2 * S, late_worth: 0.0, worth: 1.0, effect, stream: false }
+pub fn class(effect: Idempotency) -> Class {
+    Class {
+        latency_objective: 600 * MS,
+        deadline: 2 * S,
+        late_priority_weight: 0.0,
+        priority_weight: 1.0,
+        idempotency: effect,
+        streaming: false,
+    }
 }
 
 /// Two units a second, four at once, no ceiling.
@@ -15,45 +22,52 @@
     Plan {
         rate: 2.0,
         burst: 4.0,
-        open: 0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
-        ceiling_rate: 0.0,
-        ceiling_burst: 0.0,
-        ceiling_slack: 0.0,
+        max_concurrency: 0,
+        weight_multiplier: 1.0,
+        overage_weight: 0.0,
+        overage_cost: 1.0,
+        hard_limit_rate: 0.0,
+        hard_limit_burst: 0.0,
+        hard_limit_overdraft: 0.0,
     }
 }
 
 /// Two gateways, one safe class, one plan, nothing but the list of servers.
 pub fn settings() -> Settings {
     Settings {
-        me: 0,
-        gateways: 2,
+        gateway_index: 0,
+        gateway_count: 2,
         zone: 0,
-        tick: 2 * MS,
-        classes: vec![class(Effect::Safe)],
+        batch_interval: 2 * MS,
+        classes: vec![class(Idempotency::Idempotent)],
         plans: vec![plan()],
-        allow: Allow {
-            cancel: true,
+        capabilities: Capabilities {
+            cancellation: true,
             retry_after: true,
             max_retry_after: S,
             max_attempts: 4,
-            peer_in_per_s: 40.0,
-            ..Allow::default()
+            gossip_messages_per_s: 40.0,
+            ..Capabilities::default()
         },
-        rules: Rules {
-            answer_slack: 8 * MS,
-            cold_from: 0.2,
-            cold: 10 * S,
-            fall_multiple: 3.0,
-            fall: 1_500 * MS,
+        rules: ProtocolRules {
+            response_grace: 8 * MS,
+            initial_capacity: 0.2,
+            warm_up: 10 * S,
+            overload_multiple: 3.0,
+            overload_window: 1_500 * MS,
         },
     }
 }
 
-pub fn entry(server: u64, zone: u32) -> Entry {
-    Entry { server: ServerId(server), state: State::Ready, ready_at: 0, size: 1.0, zone, cell: zone }
+pub fn entry(server: u64, zone: u32) -> Endpoint {
+    Endpoint {
+        server: ServerId(server),
+        state: EndpointState::Ready,
+        started_at: 0,
+        relative_size: 1.0,
+        zone,
+        cell: zone,
+    }
 }
 
 /// A gateway with its clock, its pending timers and what it did last.
@@ -66,10 +80,10 @@
 
 impl Rig {
     /// Starts at one second with the given servers listed.
-    pub fn new(settings: Settings, servers: &[Entry]) -> Rig {
+    pub fn new(settings: Settings, servers: &[Endpoint]) -> Rig {
         let gateway = Gateway::new(settings, 11, S).expect("sound settings");
         let mut rig = Rig { gateway, now: S, timers: Vec::new(), next: 0 };
-        rig.event(Event::Servers { kind: ListKind::Full, entries: servers.to_vec() });
+        rig.event(Event::EndpointsChanged { watch_event: WatchEvent::Snapshot, endpoints: servers.to_vec() });
         rig
     }
 
@@ -105,19 +119,19 @@
             class,
             plan: 0,
             customer: CustomerId(customer),
-            patience,
+            client_timeout: patience,
             units: 1.0,
-            spread: 2,
-            first: 0,
-            repeat: false,
-            coming: false,
+            customer_gateway_count: 2,
+            first_gateway: 0,
+            is_retry: false,
+            body_incomplete: false,
         });
         (id, actions)
     }
 
     /// Plays a fresh customer's request to its end, each attempt ending as `status` says of its server;
     /// returns the servers tried.
-    pub fn play(&mut self, customer: u64, status: impl Fn(ServerId) -> Status) -> Vec<ServerId> {
+    pub fn play(&mut self, customer: u64, status: impl Fn(ServerId) -> AttemptStatus) -> Vec<ServerId> {
         let (id, mut actions) = self.request(0, customer, 2 * S);
         let mut tried = Vec::new();
         while let Some(server) = sent(&actions) {
@@ -127,17 +141,23 @@
         tried
     }
 
-    pub fn outcome(&mut self, id: RequestId, attempt: u32, server: ServerId, status: Status) -> Vec<Action> {
-        self.event(Event::Outcome {
+    pub fn outcome(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        server: ServerId,
+        status: AttemptStatus,
+    ) -> Vec<Action> {
+        self.event(Event::AttemptCompleted {
             id,
             attempt,
             server,
             status,
-            took: 30 * MS,
-            closed: status == Status::Ok,
-            used: None,
-            settled: None,
-            load: None,
+            elapsed: 30 * MS,
+            request_finished: status == AttemptStatus::Ok,
+            reported_usage: None,
+            settled_units: None,
+            load_report: None,
         })
     }
 }
@@ -151,7 +171,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/crates/core/tests/counter.rs
+++ b/crates/core/tests/counter.rs
@@ -6,23 +6,23 @@
 
 fn counting() -> Settings {
     let mut s = settings();
-    s.gateways = 4;
-    s.allow.counter = true;
-    s.allow.count_limit = 80 * MS;
-    s.allow.meter = S;
+    s.gateway_count = 4;
+    s.capabilities.shared_counter = true;
+    s.capabilities.counter_timeout = 80 * MS;
+    s.capabilities.usage_report_period = S;
     s
 }
 
 fn call(actions: &[Action]) -> Option<(CounterId, f64)> {
     actions.iter().find_map(|a| match a {
-        Action::Count { counter, amount, .. } => Some((*counter, *amount)),
+        Action::AddToCounter { counter, amount, .. } => Some((*counter, *amount)),
         _ => None,
     })
 }
 
 fn reply(rig: &mut Rig, counter: CounterId, total: Option<f64>) -> Vec<Action> {
     rig.now += 2 * MS;
-    rig.event(Event::Counted { counter, total, unsure: total.is_none(), took: 2 * MS })
+    rig.event(Event::CounterReplied { counter, total, possibly_counted: total.is_none(), elapsed: 2 * MS })
 }
 
 #[test]
@@ -140,17 +140,17 @@
         let (id, actions) = rig.request(0, 5, 2 * S);
         let (counter, _) = call(&actions).expect("a call");
         let server = sent(&reply(&mut rig, counter, Some(total))).expect("it goes");
-        let (status, used) = (Status::Ok, Some(used));
-        let end = Event::Outcome {
+        let (status, used) = (AttemptStatus::Ok, Some(used));
+        let end = Event::AttemptCompleted {
             id,
             attempt: 0,
             server,
             status,
-            took: 2 * MS,
-            closed: true,
-            used,
-            settled: None,
-            load: None,
+            elapsed: 2 * MS,
+            request_finished: true,
+            reported_usage: used,
+            settled_units: None,
+            load_report: None,
         };
         rig.event(end);
         let (_, mut done) = rig.request(0, 5, 2 * S);
@@ -168,16 +168,16 @@
     let (id, actions) = rig.request(0, 5, 2 * S);
     let (counter, _) = call(&actions).expect("a call");
     let server = sent(&reply(&mut rig, counter, Some(1.0))).expect("sent");
-    rig.event(Event::Outcome {
+    rig.event(Event::AttemptCompleted {
         id,
         attempt: 0,
         server,
-        status: Status::Ok,
-        took: 10 * MS,
-        closed: true,
-        used: None,
-        settled: Some(2.5),
-        load: None,
+        status: AttemptStatus::Ok,
+        elapsed: 10 * MS,
+        request_finished: true,
+        reported_usage: None,
+        settled_units: Some(2.5),
+        load_report: None,
     });
     let later: Vec<_> = rig.run_to(rig.now + S).into_iter().map(|d| d.1).collect();
     assert_eq!(call(&later), Some((counter, 1.5)));
@@ -221,10 +221,15 @@
         let mut done: Vec<Action> = actions;
         done.extend(rig.run_to(until).into_iter().map(|d| d.1));
         let server = sent(&done).expect("sent within the hold, as the customer is new");
-        rig.outcome(id, 0, server, Status::Ok);
+        rig.outcome(id, 0, server, AttemptStatus::Ok);
         if let Some((counter, _)) = asked {
             calls += 1;
-            rig.event(Event::Counted { counter, total: None, unsure: true, took: 80 * MS });
+            rig.event(Event::CounterReplied {
+                counter,
+                total: None,
+                possibly_counted: true,
+                elapsed: 80 * MS,
+            });
         }
     }
     assert!((5..=40).contains(&calls), "{calls}");
@@ -238,7 +243,12 @@
         let (_, actions) = rig.request(0, 1_000 + k, 2 * S);
         let (counter, amount) = call(&actions).expect("a call");
         rig.run_to(rig.now + 12 * MS);
-        rig.event(Event::Counted { counter, total: Some(amount), unsure: false, took: 12 * MS });
+        rig.event(Event::CounterReplied {
+            counter,
+            total: Some(amount),
+            possibly_counted: false,
+            elapsed: 12 * MS,
+        });
         rig.run_to(rig.now + 50 * MS);
     }
 }
@@ -248,7 +258,8 @@
     let mut s = settings();
     s.plans.push(plan());
     let mut rig = Rig::new(s, &[entry(1, 0), entry(2, 0)]);
-    let full_at_one = |server| if server == ServerId(1) { Status::Full } else { Status::Ok };
+    let full_at_one =
+        |server| if server == ServerId(1) { AttemptStatus::Rejected } else { AttemptStatus::Ok };
     let first = rig.play(1_000, full_at_one);
     assert_eq!(first, [ServerId(1), ServerId(2)], "turned away unseen, then served elsewhere");
     // With work out at the other server, this plan still avoids the full one; another plan goes there.
@@ -259,12 +270,12 @@
         class: 0,
         plan: 1,
         customer: CustomerId(900),
-        patience: 2 * S,
+        client_timeout: 2 * S,
         units: 1.0,
-        spread: 2,
-        first: 0,
-        repeat: false,
-        coming: false,
+        customer_gateway_count: 2,
+        first_gateway: 0,
+        is_retry: false,
+        body_incomplete: false,
     });
     assert_eq!(sent(&other), Some(ServerId(1)));
     rig.run_to(rig.now + 10 * S);
@@ -278,9 +289,9 @@
         change(&mut s);
         Gateway::new(s, 1, 0).err().map(|e| e.field)
     };
-    assert_eq!(bad(|s| s.gateways = 65_536).as_deref(), Some("gateways"));
-    assert_eq!(bad(|s| s.gateways = 65_535), None);
-    assert_eq!(bad(|s| s.me = 2).as_deref(), Some("me"));
-    assert_eq!(bad(|s| s.allow.count_fee = -0.1).as_deref(), Some("allow.count_fee"));
-    assert_eq!(bad(|s| s.allow.peer_price = f64::NAN).as_deref(), Some("allow.peer_price"));
+    assert_eq!(bad(|s| s.gateway_count = 65_536).as_deref(), Some("gateways"));
+    assert_eq!(bad(|s| s.gateway_count = 65_535), None);
+    assert_eq!(bad(|s| s.gateway_index = 2).as_deref(), Some("me"));
+    assert_eq!(bad(|s| s.capabilities.counter_call_cost = -0.1).as_deref(), Some("allow.count_fee"));
+    assert_eq!(bad(|s| s.capabilities.gossip_cost = f64::NAN).as_deref(), Some("allow.peer_price"));
 }
--- a/crates/core/tests/handover.rs
+++ b/crates/core/tests/handover.rs
@@ -5,7 +5,7 @@
 use grebehook_core::*;
 
 /// A gateway that has just started, with the same servers.
-fn fresh(servers: &[Entry]) -> Rig {
+fn fresh(servers: &[Endpoint]) -> Rig {
     Rig::new(settings(), servers)
 }
 
@@ -13,10 +13,10 @@
 fn use_and_verdicts_outlive_the_process() {
     let servers = [entry(1, 0), entry(2, 0), entry(3, 0)];
     let mut old = fresh(&servers);
-    let dead = |s| if s == ServerId(1) { Status::ConnectFailed } else { Status::Ok };
+    let dead = |s| if s == ServerId(1) { AttemptStatus::ConnectFailed } else { AttemptStatus::Ok };
     (0..10).for_each(|k| drop(old.play(100 + k, dead)));
     // A plan's burst is four.
-    (0..4).for_each(|_| drop(old.play(5, |_| Status::Ok)));
+    (0..4).for_each(|_| drop(old.play(5, |_| AttemptStatus::Ok)));
     let text = old.gateway.hand_over(S);
     let mut new = fresh(&servers);
     assert!(
@@ -33,7 +33,7 @@
 #[test]
 fn what_cannot_be_read_changes_nothing() {
     let mut old = fresh(&[entry(1, 0)]);
-    (0..4).for_each(|_| drop(old.play(5, |_| Status::Ok)));
+    (0..4).for_each(|_| drop(old.play(5, |_| AttemptStatus::Ok)));
     let text = old.gateway.hand_over(S);
     let line = text.lines().count();
     let bad = [
--- a/crates/core/tests/legal_orders.rs
+++ b/crates/core/tests/legal_orders.rs
@@ -11,22 +11,27 @@
 enum Step {
     Wait(u64),
     Arrive { class: usize, customer: u64, patience: u64 },
-    End { pick: usize, status: Status },
+    End { pick: usize, status: AttemptStatus },
     Leave { pick: usize },
-    List { server: u64, state: State },
+    List { server: u64, state: EndpointState },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let status = prop::sample::select(vec![
-        Status::Ok,
-        Status::Ok,
-        Status::Error,
-        Status::Full,
-        Status::ConnectFailed,
-        Status::Reset,
-        Status::Timeout,
+        AttemptStatus::Ok,
+        AttemptStatus::Ok,
+        AttemptStatus::Error,
+        AttemptStatus::Rejected,
+        AttemptStatus::ConnectFailed,
+        AttemptStatus::ConnectionReset,
+        AttemptStatus::Timeout,
+    ]);
+    let state = prop::sample::select(vec![
+        EndpointState::Ready,
+        EndpointState::Ready,
+        EndpointState::Draining,
+        EndpointState::Gone,
     ]);
-    let state = prop::sample::select(vec![State::Ready, State::Ready, State::Draining, State::Gone]);
     prop_oneof![
         3 => (1u64..120).prop_map(Step::Wait),
         6 => (0usize..4, 0u64..5, 20u64..2000)
@@ -42,7 +47,7 @@
     due: Micros,
     answers: usize,
     closed: bool,
-    sends: Vec<(ServerId, Micros, Option<Status>)>,
+    sends: Vec<(ServerId, Micros, Option<AttemptStatus>)>,
 }
 
 fn zone(server: ServerId) -> u64 {
@@ -71,7 +76,7 @@
                 assert_eq!(self.ready.get(server), Some(&true), "sent to a server that is not ready");
                 assert!(r.sends.iter().all(|s| s.2.is_some()), "two attempts at once");
                 assert!(r.sends.len() < 4);
-                let proven = [Status::Full, Status::ConnectFailed, Status::Moot];
+                let proven = [AttemptStatus::Rejected, AttemptStatus::ConnectFailed, AttemptStatus::NotSent];
                 if let Some(ran) = r.sends.iter().find(|s| s.2.is_some_and(|x| !proven.contains(&x))) {
                     match r.class {
                         1 => panic!("a fragile request sent again"),
@@ -84,11 +89,11 @@
                 }
                 r.sends.push((*server, at, None));
             }
-            Action::Refuse { id, .. } | Action::Fail { id } => {
+            Action::Reject { id, .. } | Action::Fail { id } => {
                 let r = self.seen.get_mut(id).expect("a known request");
                 assert!(!r.closed, "answered after its end");
-                let proven = [Status::Full, Status::ConnectFailed, Status::Moot];
-                if matches!(action, Action::Refuse { .. }) && (r.class == 1 || r.class == 2) {
+                let proven = [AttemptStatus::Rejected, AttemptStatus::ConnectFailed, AttemptStatus::NotSent];
+                if matches!(action, Action::Reject { .. }) && (r.class == 1 || r.class == 2) {
                     assert!(
                         r.sends.iter().all(|s| s.2.is_some_and(|x| proven.contains(&x))),
                         "refused after it may have run"
@@ -125,10 +130,21 @@
 /// Plays the steps and returns all actions, each with its time.
 fn play(steps: Vec<Step>) -> Vec<(Micros, Action)> {
     let mut s = settings();
-    let keyed = |group| class(Effect::Keyed { group, window: 500 * MS });
-    s.classes = vec![class(Effect::Safe), class(Effect::Fragile), keyed(Group::Zone), keyed(Group::All)];
-    s.plans[0] =
-        Plan { ceiling_rate: 6.0, ceiling_burst: 8.0, ceiling_slack: 2.0, rate: 5.0, burst: 8.0, ..plan() };
+    let keyed = |group| class(Idempotency::IdempotencyKey { scope: group, window: 500 * MS });
+    s.classes = vec![
+        class(Idempotency::Idempotent),
+        class(Idempotency::NonIdempotent),
+        keyed(DeduplicationScope::Zone),
+        keyed(DeduplicationScope::All),
+    ];
+    s.plans[0] = Plan {
+        hard_limit_rate: 6.0,
+        hard_limit_burst: 8.0,
+        hard_limit_overdraft: 2.0,
+        rate: 5.0,
+        burst: 8.0,
+        ..plan()
+    };
     let servers: Vec<_> = (1..5).map(|k| entry(k, (k % 2) as u32)).collect();
     let rig = Rig::new(s, &servers);
     let ready = servers.iter().map(|e| (e.server, true)).collect();
@@ -157,12 +173,12 @@
                     class,
                     plan: 0,
                     customer,
-                    patience,
+                    client_timeout: patience,
                     units: 1.0,
-                    spread: 2,
-                    first: 0,
-                    repeat: false,
-                    coming: false,
+                    customer_gateway_count: 2,
+                    first_gateway: 0,
+                    is_retry: false,
+                    body_incomplete: false,
                 });
             }
             Step::End { pick, status } => {
@@ -178,31 +194,31 @@
                 let (server, sent, end) = &mut r.sends[attempt];
                 *end = Some(status);
                 let (server, took) = (*server, w.rig.now - *sent);
-                let closed = r.closed || status == Status::Ok;
+                let closed = r.closed || status == AttemptStatus::Ok;
                 r.closed = closed;
                 let attempt = attempt as u32;
-                w.event(Event::Outcome {
+                w.event(Event::AttemptCompleted {
                     id,
                     attempt,
                     server,
                     status,
-                    took,
-                    closed,
-                    used: None,
-                    settled: None,
-                    load: None,
+                    elapsed: took,
+                    request_finished: closed,
+                    reported_usage: None,
+                    settled_units: None,
+                    load_report: None,
                 });
             }
             Step::Leave { pick } => {
                 let open: Vec<_> = w.seen.iter().filter(|(_, r)| !r.closed).map(|(id, _)| *id).collect();
                 let Some(id) = (!open.is_empty()).then(|| open[pick % open.len()]) else { continue };
                 w.seen.get_mut(&id).expect("just listed").closed = true;
-                w.event(Event::Gone { id });
+                w.event(Event::ClientDisconnected { id });
             }
             Step::List { server, state } => {
-                let e = Entry { state, ..entry(server, (server % 2) as u32) };
-                w.ready.insert(e.server, state == State::Ready);
-                w.event(Event::Servers { kind: ListKind::Delta, entries: vec![e] });
+                let e = Endpoint { state, ..entry(server, (server % 2) as u32) };
+                w.ready.insert(e.server, state == EndpointState::Ready);
+                w.event(Event::EndpointsChanged { watch_event: WatchEvent::Delta, endpoints: vec![e] });
             }
         }
     }
--- a/crates/core/tests/many.rs
+++ b/crates/core/tests/many.rs
@@ -7,11 +7,15 @@
 
 /// One of `n` gateways, seeded by its number, with ten servers listed.
 fn gateway(mut s: Settings, me: usize, n: usize, seed: u64) -> Gateway {
-    s.me = me;
-    s.gateways = n;
+    s.gateway_index = me;
+    s.gateway_count = n;
     let mut g = Gateway::new(s, seed, S).expect("sound settings");
     let entries = (1..=10).map(|k| entry(k, 0)).collect();
-    g.handle(S, Event::Servers { kind: ListKind::Full, entries }, &mut Vec::new());
+    g.handle(
+        S,
+        Event::EndpointsChanged { watch_event: WatchEvent::Snapshot, endpoints: entries },
+        &mut Vec::new(),
+    );
     g
 }
 
@@ -21,12 +25,12 @@
         class: 0,
         plan: 0,
         customer: CustomerId(customer),
-        patience: 2 * S,
+        client_timeout: 2 * S,
         units: 1.0,
-        spread,
-        first: 0,
-        repeat: false,
-        coming: false,
+        customer_gateway_count: spread,
+        first_gateway: 0,
+        is_retry: false,
+        body_incomplete: false,
     }
 }
 
@@ -46,17 +50,17 @@
 
 fn served(g: &mut Gateway, now: Micros, k: u64, server: ServerId, used: f64) -> Vec<Action> {
     let mut out = Vec::new();
-    let (id, status, took) = (RequestId(k), Status::Ok, 50 * MS);
-    let end = Event::Outcome {
+    let (id, status, took) = (RequestId(k), AttemptStatus::Ok, 50 * MS);
+    let end = Event::AttemptCompleted {
         id,
         attempt: 0,
         server,
         status,
-        took,
-        closed: true,
-        used: Some(used),
-        settled: None,
-        load: Some(Load { inflight: Some(0.0), ..Load::default() }),
+        elapsed: took,
+        request_finished: true,
+        reported_usage: Some(used),
+        settled_units: None,
+        load_report: Some(LoadReport { in_flight: Some(0.0), ..LoadReport::default() }),
     };
     g.handle(now, end, &mut out);
     out
@@ -64,7 +68,7 @@
 
 fn metered() -> Settings {
     let mut s = settings();
-    s.allow.meter = 500 * MS;
+    s.capabilities.usage_report_period = 500 * MS;
     s
 }
 
@@ -81,7 +85,7 @@
 #[test]
 fn a_customer_over_its_quota_is_cut_to_it_over_all_gateways() {
     let mut s = metered();
-    s.allow.peers = true;
+    s.capabilities.gossip = true;
     let n = 160;
     let mut all: Vec<Gateway> = (0..n).map(|me| gateway(s.clone(), me, n, me as u64)).collect();
     // One gateway reads five times the quota and tells the others.
@@ -91,8 +95,12 @@
     all[0].handle(2 * S + 100 * MS, Event::Timer { timer: TimerId(u64::MAX) }, &mut news);
     let mut told = 0;
     for action in news {
-        if let Action::Tell { to, data } = action {
-            all[to].handle(2 * S + 110 * MS, Event::Peer { from: 0, data }, &mut Vec::new());
+        if let Action::SendGossip { to, message: data } = action {
+            all[to].handle(
+                2 * S + 110 * MS,
+                Event::GossipReceived { from: 0, message: data },
+                &mut Vec::new(),
+            );
             told += 1;
         }
     }
@@ -116,8 +124,9 @@
     let mut got = [0; 11];
     for me in 0..300 {
         let mut g = gateway(metered(), me, 300, 77 * me as u64 + 1);
-        let load = Some(Load { inflight: Some(0.0), ..Load::default() });
-        let report = Event::Probed { server: ServerId(3), status: Status::Ok, load };
+        let load = Some(LoadReport { in_flight: Some(0.0), ..LoadReport::default() });
+        let report =
+            Event::HealthCheckCompleted { server: ServerId(3), status: AttemptStatus::Ok, load_report: load };
         g.handle(S, report, &mut Vec::new());
         got[play(&mut g, 2 * S, 1, me as u64, 300).expect("sent").0 as usize] += 1;
     }
@@ -134,8 +143,12 @@
         let mut g = gateway(metered(), me, n, 77 * me as u64 + 1);
         for server in 1..=10 {
             let inflight = if server == 3 { 0.0 } else { held };
-            let load = Some(Load { inflight: Some(inflight), ..Load::default() });
-            let report = Event::Probed { server: ServerId(server), status: Status::Ok, load };
+            let load = Some(LoadReport { in_flight: Some(inflight), ..LoadReport::default() });
+            let report = Event::HealthCheckCompleted {
+                server: ServerId(server),
+                status: AttemptStatus::Ok,
+                load_report: load,
+            };
             g.handle(S, report, &mut Vec::new());
         }
         for k in 0..each {
@@ -151,20 +164,28 @@
 fn a_cold_server_gets_from_all_gateways_its_part_and_no_more() {
     let n = 300;
     let mut all: Vec<Gateway> = (0..n).map(|me| gateway(metered(), me, n, 31 * me as u64 + 7)).collect();
-    let cold = Entry { ready_at: 3 * S, ..entry(20, 0) };
+    let cold = Endpoint { started_at: 3 * S, ..entry(20, 0) };
     let (mut to_cold, mut total) = (0, 0);
     for (me, g) in all.iter_mut().enumerate() {
         for k in 0..12 {
             let now = 2 * S + k * 250 * MS + me as u64 * 300;
             if k == 4 {
                 let entries = vec![cold.clone()];
-                g.handle(now, Event::Servers { kind: ListKind::Delta, entries }, &mut Vec::new());
+                g.handle(
+                    now,
+                    Event::EndpointsChanged { watch_event: WatchEvent::Delta, endpoints: entries },
+                    &mut Vec::new(),
+                );
             }
             if k == 8 && me % 3 == 0 {
                 // Restarted: nothing of what it sent is remembered.
                 *g = gateway(metered(), me, n, 1_000 + me as u64);
                 let entries = vec![cold.clone()];
-                g.handle(now, Event::Servers { kind: ListKind::Delta, entries }, &mut Vec::new());
+                g.handle(
+                    now,
+                    Event::EndpointsChanged { watch_event: WatchEvent::Delta, endpoints: entries },
+                    &mut Vec::new(),
+                );
             }
             g.handle(now, Event::Timer { timer: TimerId(u64::MAX) }, &mut Vec::new());
             if let Some(server) = play(g, now, 100 + k, 1_000 * me as u64 + k, n) {
@@ -197,12 +218,13 @@
         let mut s = metered();
         s.plans[0] = Plan { rate: 1000.0, burst: 1000.0, ..plan() };
         let rules = s.rules.clone();
-        let list: Vec<Entry> = (0..servers as u64).map(|k| entry(k, 0)).collect();
+        let list: Vec<Endpoint> = (0..servers as u64).map(|k| entry(k, 0)).collect();
         let mut all: Vec<Gateway> = (0..n)
             .map(|me| {
-                (s.me, s.gateways) = (me, n);
+                (s.gateway_index, s.gateway_count) = (me, n);
                 let mut g = Gateway::new(s.clone(), 31 * me as u64 + 7, S).expect("sound settings");
-                let event = Event::Servers { kind: ListKind::Full, entries: list.clone() };
+                let event =
+                    Event::EndpointsChanged { watch_event: WatchEvent::Snapshot, endpoints: list.clone() };
                 g.handle(S, event, &mut Vec::new());
                 g
             })
@@ -217,15 +239,20 @@
                 pace = now / (100 * MS);
                 let mut entries = Vec::new();
                 if pace == born / (100 * MS) {
-                    entries.push(Entry { ready_at: born, ..entry(1_000, 0) });
+                    entries.push(Endpoint { started_at: born, ..entry(1_000, 0) });
                 } else if changing && pace > born / (100 * MS) && pace % 3 == 0 {
                     // Another is replaced by one that is warm.
-                    let old = Entry { state: State::Gone, ..entry(pace / 3 % (servers as u64 / 2), 0) };
+                    let old =
+                        Endpoint { state: EndpointState::Gone, ..entry(pace / 3 % (servers as u64 / 2), 0) };
                     entries = vec![old, entry(2_000 + pace, 0)];
                 }
                 for g in &mut all {
-                    let (kind, entries) = (ListKind::Delta, entries.clone());
-                    g.handle(now, Event::Servers { kind, entries }, &mut Vec::new());
+                    let (kind, entries) = (WatchEvent::Delta, entries.clone());
+                    g.handle(
+                        now,
+                        Event::EndpointsChanged { watch_event: kind, endpoints: entries },
+                        &mut Vec::new(),
+                    );
                     g.handle(now, Event::Timer { timer: TimerId(u64::MAX) }, &mut Vec::new());
                 }
             }
@@ -238,18 +265,19 @@
                     to_cold.push(now);
                 }
                 let full = attempt == 0 && k % 5 == 0;
-                let (status, closed) = if full { (Status::Full, false) } else { (Status::Ok, true) };
+                let (status, closed) =
+                    if full { (AttemptStatus::Rejected, false) } else { (AttemptStatus::Ok, true) };
                 let id = RequestId(k);
-                let end = Event::Outcome {
+                let end = Event::AttemptCompleted {
                     id,
                     attempt,
                     server,
                     status,
-                    took: 50 * MS,
-                    closed,
-                    used: None,
-                    settled: None,
-                    load: None,
+                    elapsed: 50 * MS,
+                    request_finished: closed,
+                    reported_usage: None,
+                    settled_units: None,
+                    load_report: None,
                 };
                 out = Vec::new();
                 all[me].handle(now, end, &mut out);
@@ -258,10 +286,10 @@
         }
         assert!(total > 20 * servers as u64 * 7, "{total}");
         for (k, from) in to_cold.iter().enumerate() {
-            let got = to_cold[k..].iter().take_while(|at| **at < from + rules.fall).count() as f64;
-            let up = (from - born) as f64 / rules.cold as f64;
-            let ramp = rules.cold_from + (1.0 - rules.cold_from) * up;
-            let budget = rules.fall_multiple * ramp * 20.0 * rules.fall as f64 / 1e6;
+            let got = to_cold[k..].iter().take_while(|at| **at < from + rules.overload_window).count() as f64;
+            let up = (from - born) as f64 / rules.warm_up as f64;
+            let ramp = rules.initial_capacity + (1.0 - rules.initial_capacity) * up;
+            let budget = rules.overload_multiple * ramp * 20.0 * rules.overload_window as f64 / 1e6;
             let most = budget + 2.0 * budget.sqrt() + 2.0;
             let age = (from - born) / MS;
             assert!(
@@ -279,9 +307,9 @@
     s.plans[0] = Plan {
         rate: 1000.0,
         burst: 1000.0,
-        ceiling_rate: 40.0,
-        ceiling_burst: 320.0,
-        ceiling_slack: 32.0,
+        hard_limit_rate: 40.0,
+        hard_limit_burst: 320.0,
+        hard_limit_overdraft: 32.0,
         ..plan()
     };
     let n = 160;
@@ -291,10 +319,14 @@
         for k in 0..40 {
             let now = 2 * S + k * 250 * MS;
             if k == 20 && me % 2 == 0 {
-                (s.me, s.gateways) = (me, n);
+                (s.gateway_index, s.gateway_count) = (me, n);
                 g = Gateway::new(s.clone(), 9_000 + me as u64, now).expect("sound settings");
                 let entries = vec![entry(1, 0)];
-                g.handle(now, Event::Servers { kind: ListKind::Full, entries }, &mut Vec::new());
+                g.handle(
+                    now,
+                    Event::EndpointsChanged { watch_event: WatchEvent::Snapshot, endpoints: entries },
+                    &mut Vec::new(),
+                );
             }
             if let Some(server) = play(&mut g, now, k, 5, n) {
                 served(&mut g, now + 50 * MS, k, server, 0.0);
@@ -309,7 +341,7 @@
 #[test]
 fn strange_messages_make_no_units_and_do_no_harm() {
     let mut s = metered();
-    s.allow.peers = true;
+    s.capabilities.gossip = true;
     let mut g = gateway(s, 0, 160, 1);
     let good = [&[1, 0, 0, 1][..], &7u64.to_be_bytes(), &[0, 0, 160, 255, 255, 255, 255]].concat();
     let strange: [(usize, Vec<u8>); 8] = [
@@ -324,7 +356,7 @@
     ];
     for (from, data) in strange {
         let mut out = Vec::new();
-        g.handle(2 * S, Event::Peer { from, data }, &mut out);
+        g.handle(2 * S, Event::GossipReceived { from, message: data }, &mut out);
         assert!(out.iter().all(|a| matches!(a, Action::Timer { .. })), "{out:?}");
     }
     let went = (0..60).filter(|k| play(&mut g, 3 * S, *k, 7, 160).is_some()).count();
@@ -335,7 +367,7 @@
 #[test]
 fn news_costs_no_more_than_own_requests_pay_for() {
     let mut s = metered();
-    s.allow.peers = true;
+    s.capabilities.gossip = true;
     let mut g = gateway(s, 0, 400, 1);
     let mut told = 0;
     for k in 0..400 {
@@ -345,7 +377,7 @@
         }
         let mut out = Vec::new();
         g.handle(now + 50 * MS, Event::Timer { timer: TimerId(u64::MAX) }, &mut out);
-        told += out.iter().filter(|a| matches!(a, Action::Tell { .. })).count();
+        told += out.iter().filter(|a| matches!(a, Action::SendGossip { .. })).count();
     }
     assert!(told > 300 && told <= 200 + 6 * 400, "{told}");
 }
@@ -357,10 +389,14 @@
     let mut got = vec![0; servers];
     for me in 0..gateways {
         let mut s = metered();
-        (s.me, s.gateways) = (me, gateways);
+        (s.gateway_index, s.gateway_count) = (me, gateways);
         let mut g = Gateway::new(s, 31 * me as u64 + 7, S).expect("sound settings");
         let entries = (0..servers as u64).map(|k| entry(k, 0)).collect();
-        g.handle(S, Event::Servers { kind: ListKind::Full, entries }, &mut Vec::new());
+        g.handle(
+            S,
+            Event::EndpointsChanged { watch_event: WatchEvent::Snapshot, endpoints: entries },
+            &mut Vec::new(),
+        );
         let mut used = BTreeSet::new();
         for k in 0..requests {
             let now = 2 * S + k * 200 * MS;
@@ -385,8 +421,8 @@
 impl Counting {
     fn new(gateways: usize) -> Counting {
         let mut s = metered();
-        s.allow.counter = true;
-        s.allow.count_limit = 80 * MS;
+        s.capabilities.shared_counter = true;
+        s.capabilities.counter_timeout = 80 * MS;
         let all = (0..gateways).map(|me| gateway(s.clone(), me, gateways, 31 * me as u64 + 7)).collect();
         Counting { all, totals: BTreeMap::new(), next: 0 }
     }
@@ -424,12 +460,16 @@
             went |= sent(&out).is_some();
             let mut done = Vec::new();
             for action in out {
-                if let Action::Count { counter, amount, .. } = action {
+                if let Action::AddToCounter { counter, amount, .. } = action {
                     now += 2 * MS;
                     let total = self.totals.entry(counter).or_default();
                     *total += amount;
                     let (total, unsure, took) = (Some(*total), false, 2 * MS);
-                    self.all[me].handle(now, Event::Counted { counter, total, unsure, took }, &mut done);
+                    self.all[me].handle(
+                        now,
+                        Event::CounterReplied { counter, total, possibly_counted: unsure, elapsed: took },
+                        &mut done,
+                    );
                 }
             }
             out = done;
@@ -502,7 +542,7 @@
     let mut rounds = 0;
     while !pending.is_empty() {
         let calls = std::mem::take(&mut pending).into_iter().filter_map(|(me, a)| match a {
-            Action::Count { counter, amount, .. } => {
+            Action::AddToCounter { counter, amount, .. } => {
                 let total = fleet.totals.entry(counter).or_default();
                 *total += amount;
                 Some((me, counter, *total))
@@ -511,7 +551,12 @@
         });
         for (me, counter, total) in calls.collect::<Vec<_>>() {
             let mut out = Vec::new();
-            let answer = Event::Counted { counter, total: Some(total), unsure: false, took: 2 * MS };
+            let answer = Event::CounterReplied {
+                counter,
+                total: Some(total),
+                possibly_counted: false,
+                elapsed: 2 * MS,
+            };
             fleet.all[me].handle(now + 2 * MS, answer, &mut out);
             pending.extend(out.into_iter().map(|a| (me, a)));
         }
@@ -526,9 +571,9 @@
 #[test]
 fn few_calls_go_where_use_beyond_the_quota_costs_most() {
     let mut s = settings();
-    (s.allow.counter, s.allow.count_limit) = (true, 80 * MS);
-    s.plans.push(Plan { over_cost: 0.2, ..plan() });
-    s.plans.push(Plan { over_cost: 0.0, ..plan() });
+    (s.capabilities.shared_counter, s.capabilities.counter_timeout) = (true, 80 * MS);
+    s.plans.push(Plan { overage_cost: 0.2, ..plan() });
+    s.plans.push(Plan { overage_cost: 0.0, ..plan() });
     let mut g = gateway(s, 0, 160, 3);
     let mut asks = |k: u64, plan: usize, customer: u64| {
         let mut event = request(k, customer, 160);
@@ -537,7 +582,7 @@
         }
         let mut out = Vec::new();
         g.handle(1_000 * S, event, &mut out);
-        out.iter().any(|a| matches!(a, Action::Count { .. }))
+        out.iter().any(|a| matches!(a, Action::AddToCounter { .. }))
     };
     // Two calls are saved at first.
     assert_eq!([asks(1, 2, 1_001), asks(2, 1, 1_002), asks(3, 0, 1_003)], [false, false, true]);
@@ -553,7 +598,7 @@
         let mut fleet = Counting::new(gateways);
         let mut out = Vec::new();
         (0..10).for_each(|k| fleet.all[0].handle(2 * S, request(k, 100 + k, gateways), &mut out));
-        out.iter().filter(|a| matches!(a, Action::Count { .. })).count()
+        out.iter().filter(|a| matches!(a, Action::AddToCounter { .. })).count()
     };
     assert_eq!(calls(3), 10, "a small fleet asks for each new customer");
     assert!((2..=5).contains(&calls(100)), "{} calls for ten new customers", calls(100));
@@ -565,7 +610,8 @@
 #[test]
 fn use_told_after_the_fact_leaves_the_calls_to_those_who_ask() {
     let mut s = settings();
-    (s.allow.counter, s.allow.settles, s.allow.count_limit) = (true, true, 80 * MS);
+    (s.capabilities.shared_counter, s.capabilities.settles_units, s.capabilities.counter_timeout) =
+        (true, true, 80 * MS);
     let mut g = gateway(s, 0, 160, 3);
     let mut does = |now: Micros, event| {
         let mut out = Vec::new();
@@ -574,12 +620,13 @@
     };
     let counts = |out: &[Action]| -> Vec<(CounterId, f64)> {
         let count = |a: &Action| match a {
-            Action::Count { counter, amount, .. } => Some((*counter, *amount)),
+            Action::AddToCounter { counter, amount, .. } => Some((*counter, *amount)),
             _ => None,
         };
         out.iter().filter_map(count).collect()
     };
-    let told = |counter, total| Event::Counted { counter, total, unsure: false, took: 5 * MS };
+    let told =
+        |counter, total| Event::CounterReplied { counter, total, possibly_counted: false, elapsed: 5 * MS };
     let round = || Event::Timer { timer: TimerId(u64::MAX) };
     let now = 2 * S;
     // One that asked turns out to have taken three units, not one.
@@ -587,17 +634,17 @@
     assert_eq!(asked[0].1, 1.0);
     // The store filled by four units since the number's window began, and they ran over.
     let server = sent(&does(now, told(asked[0].0, Some(5.0)))).expect("room at first");
-    let (id, status, settled) = (RequestId(1), Status::Ok, Some(3.0));
-    let end = Event::Outcome {
+    let (id, status, settled) = (RequestId(1), AttemptStatus::Ok, Some(3.0));
+    let end = Event::AttemptCompleted {
         id,
         attempt: 0,
         server,
         status,
-        took: 50 * MS,
-        closed: true,
-        used: None,
-        settled,
-        load: None,
+        elapsed: 50 * MS,
+        request_finished: true,
+        reported_usage: None,
+        settled_units: settled,
+        load_report: None,
     };
     does(now, end);
     for k in 1..5 {
@@ -607,7 +654,7 @@
     let asked = counts(&does(now, request(2, 5, 160)));
     assert_eq!(asked[0].1, 3.0, "the difference goes along");
     // Its client leaves: the two units stay told, the one that was reserved goes back.
-    does(now, Event::Gone { id: RequestId(2) });
+    does(now, Event::ClientDisconnected { id: RequestId(2) });
     assert_eq!(counts(&does(now, told(asked[0].0, Some(8.0)))), [(asked[0].0, -1.0)]);
     assert!(counts(&does(now, round())).is_empty(), "once");
 }
@@ -616,7 +663,7 @@
 #[test]
 fn use_that_nobody_asked_for_is_told_once_calls_are_saved() {
     let mut s = settings();
-    (s.allow.counter, s.allow.count_limit) = (true, 80 * MS);
+    (s.capabilities.shared_counter, s.capabilities.counter_timeout) = (true, 80 * MS);
     let mut g = gateway(s, 0, 160, 3);
     let mut does = |now: Micros, event| {
         let mut out = Vec::new();
@@ -625,7 +672,7 @@
     };
     let amounts = |out: &[Action]| -> Vec<f64> {
         let amount = |a: &Action| match a {
-            Action::Count { amount, .. } => Some(*amount),
+            Action::AddToCounter { amount, .. } => Some(*amount),
             _ => None,
         };
         out.iter().filter_map(amount).collect()
@@ -634,10 +681,13 @@
     // Those behind the first wait for its call, and save some.
     (10..18).for_each(|k| drop(does(now, request(k, 8, 160))));
     let asks = does(now, request(1, 6, 160));
-    let Some(Action::Count { counter, .. }) = asks.iter().find(|a| matches!(a, Action::Count { .. })) else {
+    let Some(Action::AddToCounter { counter, .. }) =
+        asks.iter().find(|a| matches!(a, Action::AddToCounter { .. }))
+    else {
         panic!("it does not ask")
     };
-    let refused = Event::Counted { counter: *counter, total: None, unsure: false, took: 5 * MS };
+    let refused =
+        Event::CounterReplied { counter: *counter, total: None, possibly_counted: false, elapsed: 5 * MS };
     assert!(sent(&does(now, refused)).is_some(), "room at first");
     assert!(amounts(&does(now + 100 * MS, round())).is_empty(), "a call that nobody waits for");
     (20..50).for_each(|k| drop(does(now + 100 * MS, request(k, 8, 160))));
@@ -649,14 +699,14 @@
 fn a_plan_without_a_rate_is_never_refused() {
     let mut s = metered();
     (s.plans[0].rate, s.plans[0].burst) = (0.0, 0.0);
-    (s.allow.counter, s.allow.count_limit) = (true, 80 * MS);
+    (s.capabilities.shared_counter, s.capabilities.counter_timeout) = (true, 80 * MS);
     for n in [2, 160] {
         let mut g = gateway(s.clone(), 0, n, 3);
         for k in 0..20 {
             let (now, mut out) = (2 * S + k * 100 * MS, Vec::new());
             g.handle(now, request(k, 5, n), &mut out);
             let server = sent(&out).expect("it goes at once");
-            assert!(!out.iter().any(|a| matches!(a, Action::Count { .. })), "nobody need be asked");
+            assert!(!out.iter().any(|a| matches!(a, Action::AddToCounter { .. })), "nobody need be asked");
             served(&mut g, now + 50 * MS, k, server, 0.0);
         }
     }
--- a/crates/core/tests/pacing.rs
+++ b/crates/core/tests/pacing.rs
@@ -38,7 +38,7 @@
     assert!(held >= 5);
     let done = rig.run_to(S + 900 * MS);
     let times: Vec<_> =
-        done.iter().filter(|(_, a)| matches!(a, Action::Refuse { .. })).map(|d| d.0).collect();
+        done.iter().filter(|(_, a)| matches!(a, Action::Reject { .. })).map(|d| d.0).collect();
     assert!(times.len() >= 4, "{times:?}");
     assert!(times.windows(2).take(2).all(|w| w[1] - w[0] >= 7 * MS), "{times:?}");
     let last = times.iter().max().expect("some left");
@@ -54,7 +54,7 @@
     let held = (0..6).filter(|_| !refused(&rig.request(0, 5, 100 * MS).1)).count();
     assert!(held >= 5, "{held}");
     let done = rig.run_to(S + 500 * MS + 50 * MS);
-    let turned = done.iter().filter(|(_, a)| matches!(a, Action::Refuse { .. })).count();
+    let turned = done.iter().filter(|(_, a)| matches!(a, Action::Reject { .. })).count();
     assert_eq!(turned, held, "some are still held after half of their time");
 }
 
@@ -64,7 +64,7 @@
     burst(&mut rig, 4);
     let (_, actions) = rig.request(0, 5, 2 * S);
     // Empty bucket, one unit, filled at the even slice of one a second.
-    assert!(matches!(actions[..], [Action::Refuse { retry_after: 1_000_000, .. }]), "{actions:?}");
+    assert!(matches!(actions[..], [Action::Reject { retry_after: 1_000_000, .. }]), "{actions:?}");
 }
 
 #[test]
@@ -79,7 +79,7 @@
         done.extend(rig.run_to(rig.now + 95 * MS).into_iter().map(|d| d.1));
         if let Some(server) = sent(&done) {
             went += 1;
-            rig.outcome(id, 0, server, Status::Ok);
+            rig.outcome(id, 0, server, AttemptStatus::Ok);
         }
     }
     assert!((9..=11).contains(&went), "ten seconds at one a second: {went}");
@@ -88,7 +88,7 @@
 #[test]
 fn a_metered_share_of_all_use_fills_the_bucket_at_the_whole_quota() {
     let mut s = settings();
-    s.allow.meter = 500 * MS;
+    s.capabilities.usage_report_period = 500 * MS;
     let mut rig = rig(s);
     burst(&mut rig, 10);
     let mut went = 0;
@@ -99,16 +99,16 @@
         done.extend(rig.run_to(rig.now + 95 * MS).into_iter().map(|d| d.1));
         if let Some(server) = sent(&done) {
             went += 1;
-            rig.event(Event::Outcome {
+            rig.event(Event::AttemptCompleted {
                 id,
                 attempt: 0,
                 server,
-                status: Status::Ok,
-                took: 30 * MS,
-                closed: true,
-                used: Some(0.5), // all use there is, and it is ours
-                settled: None,
-                load: None,
+                status: AttemptStatus::Ok,
+                elapsed: 30 * MS,
+                request_finished: true,
+                reported_usage: Some(0.5), // all use there is, and it is ours
+                settled_units: None,
+                load_report: None,
             });
         }
     }
--- a/crates/core/tests/pressure.rs
+++ b/crates/core/tests/pressure.rs
@@ -10,8 +10,11 @@
 }
 
 fn rig() -> Rig {
-    let mut s = Settings { gateways: 1, ..settings() };
-    s.classes = vec![class(Effect::Safe), Class { worth: 4.0, ..class(Effect::Safe) }];
+    let mut s = Settings { gateway_count: 1, ..settings() };
+    s.classes = vec![
+        class(Idempotency::Idempotent),
+        Class { priority_weight: 4.0, ..class(Idempotency::Idempotent) },
+    ];
     Rig::new(s, &[entry(1, 0), entry(2, 0), entry(3, 0), entry(4, 0)])
 }
 
@@ -34,16 +37,16 @@
         for k in 0..60 {
             let (id, actions) = rig.request(1, k, 2 * S);
             let server = sent(&actions).expect("room for one");
-            rig.event(Event::Outcome {
+            rig.event(Event::AttemptCompleted {
                 id,
                 attempt: 0,
                 server,
-                status: Status::Ok,
-                took,
-                closed: true,
-                used: None,
-                settled: None,
-                load: None,
+                status: AttemptStatus::Ok,
+                elapsed: took,
+                request_finished: true,
+                reported_usage: None,
+                settled_units: None,
+                load_report: None,
             });
         }
         rig.run_to(20 * S);
--- a/crates/core/tests/start_times.rs
+++ b/crates/core/tests/start_times.rs
@@ -16,14 +16,14 @@
 /// Discovery tells at least so often that it has nothing new.
 const LIST_EVERY: u64 = OFFERED / 2;
 
-fn delta(entries: Vec<Entry>) -> Event {
-    Event::Servers { kind: ListKind::Delta, entries }
+fn delta(entries: Vec<Endpoint>) -> Event {
+    Event::EndpointsChanged { watch_event: WatchEvent::Delta, endpoints: entries }
 }
 
 /// Requests that go to server 2 in three seconds from when it was told to have started just now, and from a minute
 /// later, beside two warm servers. The gateway's clock is `ahead` of the fleet's, or behind it.
 fn sends_after_a_start(ahead: i64) -> (usize, usize) {
-    let mut rig = Rig::new(Settings { gateways: 1, ..settings() }, &[entry(1, 0), entry(3, 0)]);
+    let mut rig = Rig::new(Settings { gateway_count: 1, ..settings() }, &[entry(1, 0), entry(3, 0)]);
     rig.run_to(2 * HOUR);
     let begin = rig.now;
     let fleet_time = |now: Micros| now.saturating_add_signed(-ahead);
@@ -35,7 +35,7 @@
             rig.event(delta(Vec::new()));
         }
         if k == OFFERED {
-            let started = Entry { ready_at: fleet_time(rig.now), ..entry(2, 0) };
+            let started = Endpoint { started_at: fleet_time(rig.now), ..entry(2, 0) };
             rig.event(delta(vec![started]));
         }
         let (id, actions) = rig.request(0, 100 + k, 2 * S);
@@ -43,7 +43,7 @@
         open.push_back((id, server));
         if open.len() > OPEN {
             let (id, server) = open.pop_front().expect("not empty");
-            rig.outcome(id, 0, server, Status::Ok);
+            rig.outcome(id, 0, server, AttemptStatus::Ok);
         }
         let to_started = usize::from(server == ServerId(2));
         match k / OFFERED {
--- a/crates/core/tests/unit/server_index.rs
+++ b/crates/core/tests/unit/server_index.rs
@@ -9,14 +9,19 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    List { server: u64, state: State, site: u32, age_s: Option<u64> },
+    List { server: u64, state: EndpointState, site: u32, age_s: Option<u64> },
     Change { server: u64, eject_s: Option<u64>, open: u32, item_us: f64 },
     Sweep,
     Wait { ms: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let state = prop::sample::select(vec![State::Ready, State::Ready, State::Draining, State::Gone]);
+    let state = prop::sample::select(vec![
+        EndpointState::Ready,
+        EndpointState::Ready,
+        EndpointState::Draining,
+        EndpointState::Gone,
+    ]);
     prop_oneof![
         4 => (0u64..40, state, 0u32..6, prop::option::of(0u64..14))
             .prop_map(|(server, state, site, age_s)| Step::List { server, state, site, age_s }),
@@ -27,8 +32,14 @@
     ]
 }
 
-fn rules() -> Rules {
-    Rules { answer_slack: 0, cold_from: 0.2, cold: 10 * S, fall_multiple: 3.0, fall: S }
+fn rules() -> ProtocolRules {
+    ProtocolRules {
+        response_grace: 0,
+        initial_capacity: 0.2,
+        warm_up: 10 * S,
+        overload_multiple: 3.0,
+        overload_window: S,
+    }
 }
 
 /// The servers in a plain map, searched from end to end.
@@ -37,7 +48,7 @@
 
 impl Model {
     fn ready(&self) -> Vec<&Server> {
-        self.0.values().filter(|x| x.entry.state == State::Ready).collect()
+        self.0.values().filter(|x| x.entry.state == EndpointState::Ready).collect()
     }
 
     fn members(&self, subset: Subset, now: Micros) -> Vec<ServerId> {
@@ -65,7 +76,7 @@
 fn agree(index: &ServerIndex, model: &Model, now: Micros) {
     assert_eq!(index.len(), model.0.len());
     assert!(index.iter().map(|x| x.entry.server).eq(model.0.keys().copied()));
-    assert_eq!(index.listed(), model.0.values().filter(|x| x.entry.state != State::Gone).count());
+    assert_eq!(index.listed(), model.0.values().filter(|x| x.entry.state != EndpointState::Gone).count());
     for subset in [Subset::Ready, Subset::Trusted, Subset::Available] {
         let members = model.members(subset, now);
         assert_eq!(index.count(subset), members.len(), "{subset:?}");
@@ -102,7 +113,8 @@
             Step::List { server, state, site, age_s } => {
                 let ready_at = age_s.map_or(0, |age| now - age * S);
                 let (id, zone, cell) = (ServerId(server), site % 3, site);
-                let entry = Entry { server: id, state, ready_at, size: 1.0, zone, cell };
+                let entry =
+                    Endpoint { server: id, state, started_at: ready_at, relative_size: 1.0, zone, cell };
                 let fresh = || Server { entry: entry.clone(), ok: 1.0, item_us: 40e3, ..Server::default() };
                 index.insert(now, fresh());
                 model.0.insert(id, fresh());
@@ -118,7 +130,7 @@
             }
             Step::Sweep => {
                 index.remove_vacated();
-                model.0.retain(|_, x| x.entry.state != State::Gone || x.open > 0);
+                model.0.retain(|_, x| x.entry.state != EndpointState::Gone || x.open > 0);
             }
             Step::Wait { ms } => {
                 now += ms * 1_000;
@@ -144,12 +156,17 @@
     let (mut index, now) = (ServerIndex::new(rules()), 20 * S);
     for k in 0..2_000_u64 {
         let ready_at = if k % 3 == 0 { now - k * 5_000 } else { 0 };
-        let entry = Entry { server: ServerId(k), state: State::Ready, ready_at, ..Entry::default() };
+        let entry = Endpoint {
+            server: ServerId(k),
+            state: EndpointState::Ready,
+            started_at: ready_at,
+            ..Endpoint::default()
+        };
         index.insert(now, Server { entry, item_us: 100.0 + k as f64 / 7.0, ..Server::default() });
         index.update(now, ServerId(k / 2), |x| x.item_us *= 1.01);
     }
     for k in (0..2_000).step_by(4) {
-        index.update(now, ServerId(k), |x| x.entry.state = State::Gone);
+        index.update(now, ServerId(k), |x| x.entry.state = EndpointState::Gone);
     }
     index.remove_vacated();
     assert_eq!(index.len(), 1_500);
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::link::Link;
 use crate::stream::{Answered, Upload};
-use grebehook_core::{Event, Load, Micros, RequestId, ServerId, Status};
+use grebehook_core::{AttemptStatus, Event, LoadReport, Micros, RequestId, ServerId};
 use hyper::{HeaderMap, Method, Response, Uri};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -34,27 +34,37 @@
 /// How an attempt ended.
 pub struct Reply {
     /// By the protocol's table.
-    pub status: Status,
+    pub status: AttemptStatus,
     /// The customer's use, where the answer told it.
     pub used: Option<f64>,
     /// The request's true units, where a good answer told them.
     pub settled: Option<f64>,
     /// The server's load, where the answer told it.
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
     /// The answer to pass on, if it was served.
     pub answer: Option<Response<Answered>>,
 }
 
 impl Reply {
     /// An end without an answer.
-    pub fn bare(status: Status) -> Reply {
+    pub fn bare(status: AttemptStatus) -> Reply {
         Reply { status, used: None, settled: None, load: None, answer: None }
     }
 
     /// What the decision core is told of the attempt; `closed` where its request is over.
     pub fn outcome(self, id: RequestId, attempt: u32, server: ServerId, took: Micros, closed: bool) -> Event {
         let Reply { status, used, settled, load, .. } = self;
-        Event::Outcome { id, attempt, server, status, took, closed, used, settled, load }
+        Event::AttemptCompleted {
+            id,
+            attempt,
+            server,
+            status,
+            elapsed: took,
+            request_finished: closed,
+            reported_usage: used,
+            settled_units: settled,
+            load_report: load,
+        }
     }
 }
 
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -12,7 +12,9 @@
 use crate::request_table::{RequestTable, Running};
 use crate::timers::{Due, Timers};
 use crate::upstream::Upstream;
-use grebehook_core::{Action, Event, Gateway, ListKind, Micros, RequestId, ServerId, Status, TimerId};
+use grebehook_core::{
+    Action, AttemptStatus, Event, Gateway, Micros, RequestId, ServerId, TimerId, WatchEvent,
+};
 use hyper::header::HeaderValue;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -83,13 +85,13 @@
     }
 
     /// News of the list of servers.
-    pub fn servers(self: &Rc<Self>, kind: ListKind, members: Vec<Member>) {
-        if kind != ListKind::Failed {
-            self.upstream.pool.update(kind != ListKind::Delta, &members);
+    pub fn servers(self: &Rc<Self>, kind: WatchEvent, members: Vec<Member>) {
+        if kind != WatchEvent::Failed {
+            self.upstream.pool.update(kind != WatchEvent::Delta, &members);
         }
         let entries = members.into_iter().map(|m| m.entry).collect();
         let mut inner = self.inner.borrow_mut();
-        inner.events.push_back(Event::Servers { kind, entries });
+        inner.events.push_back(Event::EndpointsChanged { watch_event: kind, endpoints: entries });
         self.recall(&mut inner);
         self.work(&mut inner);
     }
@@ -99,18 +101,18 @@
     fn recall(&self, inner: &mut Inner) {
         let waits = |r: &Running| r.slot.connecting() && !self.upstream.pool.ready(r.server);
         for id in inner.requests.with_attempt(waits) {
-            self.stop(inner, id, Status::ConnectFailed);
+            self.stop(inner, id, AttemptStatus::ConnectFailed);
         }
     }
 
     /// Every request has its final answer by this time.
     pub fn stop_by(self: &Rc<Self>, by: Instant) {
-        self.handle(Event::Stop { by: self.clock.at(by) });
+        self.handle(Event::Shutdown { deadline: self.clock.at(by) });
     }
 
     /// A message from another gateway.
     pub fn heard(self: &Rc<Self>, from: usize, data: Vec<u8>) {
-        self.handle(Event::Peer { from, data });
+        self.handle(Event::GossipReceived { from, message: data });
     }
 
     /// What the module knows, for the process that follows.
@@ -150,8 +152,18 @@
         self.arm(&mut inner, limit, Due::Limit(id.0));
         let Terms { class, plan, customer, patience, units, spread, first, repeat, .. } = terms;
         let coming = self.await_rest(id, patience, &inner.requests);
-        let event =
-            Event::Request { id, class, plan, customer, patience, units, spread, first, repeat, coming };
+        let event = Event::Request {
+            id,
+            class,
+            plan,
+            customer,
+            client_timeout: patience,
+            units,
+            customer_gateway_count: spread,
+            first_gateway: first,
+            is_retry: repeat,
+            body_incomplete: coming,
+        };
         inner.events.push_back(event);
         // The same time for the module's deadline as for the limit: on a busy machine a second look at the
         // clock can be late by more than the module's margin, and the limit would then come first.
@@ -176,7 +188,7 @@
             self.arm(&mut inner, limit, Due::Attempt(id.0, attempt));
         }
         self.arm(&mut inner, limit, Due::Limit(id.0));
-        inner.events.push_back(Event::Came { id });
+        inner.events.push_back(Event::BodyComplete { id });
         self.work_from(&mut inner, now);
     }
 
@@ -187,10 +199,10 @@
         let never = held.cannot_have_run();
         if held.answer.take().is_some() {
             let unsent = held.running.as_ref().is_some_and(|r| !r.slot.written());
-            inner.events.push_back(Event::Gone { id });
+            inner.events.push_back(Event::ClientDisconnected { id });
             // Nothing is sent for a request that is over: not even what only waits for its connection.
             if unsent {
-                self.stop(&mut inner, id, Status::Moot);
+                self.stop(&mut inner, id, AttemptStatus::NotSent);
             }
             inner.requests.forget(id);
             self.work(&mut inner);
@@ -228,29 +240,29 @@
     fn perform(self: &Rc<Self>, inner: &mut Inner, now: Micros, action: Action) {
         match action {
             Action::Send { id, server, timeout } => self.send(inner, now, id, server, timeout),
-            Action::Refuse { id, retry_after } => inner.requests.answer(id, Answer::Refused(retry_after)),
+            Action::Reject { id, retry_after } => inner.requests.answer(id, Answer::Refused(retry_after)),
             Action::Fail { id } => inner.requests.answer(id, Answer::Failed),
             Action::Cancel { id, attempt } => {
                 if inner.requests.is_running(id, attempt) {
-                    self.stop(inner, id, Status::Cancelled);
+                    self.stop(inner, id, AttemptStatus::Cancelled);
                 }
             }
             Action::Timer { at, timer } => self.arm(inner, at, Due::Module(timer.0)),
-            Action::Probe { server } => {
+            Action::CheckHealth { server } => {
                 let core = self.clone();
                 tokio::task::spawn_local(async move {
                     let (status, load) = core.upstream.probe(server, core.probe_path, PROBE_LIMIT).await;
-                    core.handle(Event::Probed { server, status, load });
+                    core.handle(Event::HealthCheckCompleted { server, status, load_report: load });
                 });
             }
-            Action::Tell { to, data } => {
+            Action::SendGossip { to, message: data } => {
                 if let Some(peers) = &self.peers {
                     peers.send(to, &data);
                 }
             }
             // The watch is always open and takes itself up again after a failed call.
-            Action::Watch => {}
-            Action::Count { counter, amount, ttl } => match &self.counter {
+            Action::PollEndpoints => {}
+            Action::AddToCounter { counter, amount, ttl } => match &self.counter {
                 Some(shared) => {
                     let (core, shared) = (self.clone(), shared.clone());
                     tokio::task::spawn_local(async move {
@@ -258,9 +270,12 @@
                     });
                 }
                 // Where there is no shared counter a call of it is refused, and nothing is added.
-                None => {
-                    inner.events.push_back(Event::Counted { counter, total: None, unsure: false, took: 0 })
-                }
+                None => inner.events.push_back(Event::CounterReplied {
+                    counter,
+                    total: None,
+                    possibly_counted: false,
+                    elapsed: 0,
+                }),
             },
             Action::Log { text } => self.log.message(&text),
         }
@@ -279,7 +294,8 @@
         held.attempts += 1;
         // Never two attempts at once, nor one for a request that is over or past its time.
         if held.running.is_some() || held.answer.is_none() || now >= held.limit {
-            let event = Reply::bare(Status::Moot).outcome(id, attempt, server, 0, held.answer.is_none());
+            let event =
+                Reply::bare(AttemptStatus::NotSent).outcome(id, attempt, server, 0, held.answer.is_none());
             return inner.events.push_back(event);
         }
         let until = held.deadline(now, timeout);
@@ -305,7 +321,7 @@
         let mut inner = self.inner.borrow_mut();
         let Some(held) = inner.requests.get_mut(id) else { return };
         let Some(running) = held.running.take_if(|r| r.attempt == attempt) else { return };
-        if reply.status == Status::Moot {
+        if reply.status == AttemptStatus::NotSent {
             held.end_if_client_left();
         }
         if let Some(served) = reply.answer.take() {
@@ -316,7 +332,7 @@
     }
 
     /// Gives up a request's attempt: nothing of it is on the network when this returns.
-    fn stop(&self, inner: &mut Inner, id: RequestId, status: Status) {
+    fn stop(&self, inner: &mut Inner, id: RequestId, status: AttemptStatus) {
         let Some(held) = inner.requests.get_mut(id) else { return };
         let Some(running) = held.running.take() else { return };
         let status = running.abort(status);
@@ -328,7 +344,7 @@
         let took = self.clock.now().saturating_sub(running.sent);
         let held = inner.requests.get_mut(id);
         if held.is_some_and(|held| held.record_end(&running, reply.status)) {
-            inner.events.push_back(Event::Spent { id });
+            inner.events.push_back(Event::BodyConsumed { id });
         }
         let closed = !inner.requests.is_open(id);
         inner.events.push_back(reply.outcome(id, running.attempt, running.server, took, closed));
@@ -367,7 +383,7 @@
             Due::Module(timer) => inner.events.push_back(Event::Timer { timer: TimerId(timer) }),
             Due::Attempt(id, attempt) => {
                 if inner.requests.is_running(RequestId(id), attempt) {
-                    self.stop(inner, RequestId(id), Status::Timeout);
+                    self.stop(inner, RequestId(id), AttemptStatus::Timeout);
                 }
             }
             Due::Limit(id) => self.overdue(inner, RequestId(id)),
@@ -388,11 +404,11 @@
         }
         if held.running.is_some() {
             let limit = held.limit;
-            self.stop(inner, id, Status::Timeout);
+            self.stop(inner, id, AttemptStatus::Timeout);
             return self.arm(inner, limit, Due::Limit(id.0));
         }
         self.log.left_open();
         inner.requests.answer(id, Answer::Overdue);
-        inner.events.push_back(Event::Gone { id });
+        inner.events.push_back(Event::ClientDisconnected { id });
     }
 }
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -73,7 +73,7 @@
             Count::Refused | Count::Unsure => None,
         };
         let took = start.elapsed().as_micros() as Micros;
-        Event::Counted { counter, total, unsure: count == Count::Unsure, took }
+        Event::CounterReplied { counter, total, possibly_counted: count == Count::Unsure, elapsed: took }
     }
 
     async fn call(&self, counter: CounterId, amount: f64, ttl: Micros, until: Instant) -> Count {
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -6,7 +6,7 @@
 use crate::socket::Socket;
 use crate::system_error::is_local;
 use bytes::Bytes;
-use grebehook_core::{ListKind, Settings};
+use grebehook_core::{Settings, WatchEvent};
 use grebehook_simulator_adapter::fields::{self, FieldError};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1;
@@ -87,7 +87,7 @@
     Request(hyper::http::Error),
     /// An answer other than 200.
     #[error("answered {0}")]
-    Status(u16),
+    AttemptStatus(u16),
     /// No answer in time.
     #[error("no answer in time")]
     Silent,
@@ -101,8 +101,10 @@
     fn blames_version(&self) -> bool {
         match self {
             WatchError::NotJson(_) | WatchError::Malformed(_) | WatchError::Body(_) => true,
-            WatchError::Request(_) | WatchError::Stale | WatchError::Status(400..=499) => true,
-            WatchError::Io(_) | WatchError::Http(_) | WatchError::Status(_) | WatchError::Silent => false,
+            WatchError::Request(_) | WatchError::Stale | WatchError::AttemptStatus(400..=499) => true,
+            WatchError::Io(_) | WatchError::Http(_) | WatchError::AttemptStatus(_) | WatchError::Silent => {
+                false
+            }
         }
     }
 }
@@ -152,7 +154,7 @@
     fn after(&mut self, e: &WatchError, asked: bool) -> Duration {
         match e {
             WatchError::Silent => Duration::ZERO,
-            WatchError::Status(500..) => self.draw(),
+            WatchError::AttemptStatus(500..) => self.draw(),
             // The call never left this machine.
             WatchError::Io(e) if is_local(e) => AGAIN,
             _ if asked => self.draw(),
@@ -184,7 +186,8 @@
         seed: u64,
     ) -> Watch {
         let agent = *agents.borrow_and_update();
-        let (pauses, asked) = (Pauses::new(settings.gateways, seed), settings.allow.must_ask);
+        let (pauses, asked) =
+            (Pauses::new(settings.gateway_count, seed), settings.capabilities.polls_discovery);
         Watch { agents, agent, names, sender: None, index: Some(index), asked, pauses, failing: false }
     }
 
@@ -209,7 +212,7 @@
                     self.failing = false;
                     let idle = self.index == Some(listing.index) && listing.members.is_empty();
                     self.index = Some(listing.index);
-                    let kind = if listing.whole { ListKind::Full } else { ListKind::Delta };
+                    let kind = if listing.whole { WatchEvent::Snapshot } else { WatchEvent::Delta };
                     core.servers(kind, listing.members);
                     if idle && begun.elapsed() < AGAIN {
                         self.pause(AGAIN, &mut agents).await;
@@ -223,7 +226,7 @@
                     if e.blames_version() {
                         self.index = None;
                     }
-                    core.servers(ListKind::Failed, Vec::new());
+                    core.servers(WatchEvent::Failed, Vec::new());
                     let pause = self.pauses.after(&e, self.asked);
                     self.pause(pause.min(NEXT_CALL.saturating_sub(begun.elapsed())), &mut agents).await;
                 }
@@ -277,7 +280,7 @@
         let request = request.map_err(WatchError::Request)?;
         let response = sender.send_request(request).await.map_err(WatchError::Http)?;
         if response.status() != 200 {
-            return Err(WatchError::Status(response.status().as_u16()));
+            return Err(WatchError::AttemptStatus(response.status().as_u16()));
         }
         let body = Limited::new(response.into_body(), LIST_MOST).collect().await;
         let body = body.map_err(WatchError::Body)?.to_bytes();
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,6 +1,6 @@
 //! The headers between the gateway and servers: what they say, and which of them belong to one connection.
 
-use grebehook_core::Load;
+use grebehook_core::LoadReport;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 
 /// Whether an answer tells where it ends, in one way: by its length, by its last chunk, or by the end of a
@@ -56,17 +56,17 @@
 }
 
 /// A load report; fields go by the names of discovery's side of the wire or by those of the settings.
-pub fn load(report: Option<&HeaderValue>) -> Option<Load> {
-    let mut load = Load::default();
+pub fn load(report: Option<&HeaderValue>) -> Option<LoadReport> {
+    let mut load = LoadReport::default();
     for (name, value) in report?.to_str().ok()?.split(',').filter_map(|pair| pair.split_once('=')) {
         let value = value.trim().parse().ok().filter(|v: &f64| v.is_finite());
         match name.trim() {
-            "inflight" | "outstanding" => load.inflight = value,
-            "queue" | "backlog" => load.queue = value,
-            "util" | "utilization" => load.util = value,
+            "inflight" | "outstanding" => load.in_flight = value,
+            "queue" | "backlog" => load.queued = value,
+            "util" | "utilization" => load.utilization = value,
             "latency_ms" | "recent_ms" => load.latency_ms = value,
             _ => {}
         }
     }
-    Some(load).filter(|l| *l != Load::default())
+    Some(load).filter(|l| *l != LoadReport::default())
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -55,7 +55,7 @@
 use crate::shutdown::Shutdown;
 use crate::upstream::Upstream;
 use clap::Parser;
-use grebehook_core::{Gateway, ListKind, Reports};
+use grebehook_core::{Gateway, LoadReports, WatchEvent};
 use std::error::Error;
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -168,16 +168,16 @@
         }
         None => None,
     };
-    let reports = config.settings.allow.reports != Reports::None;
+    let reports = config.settings.capabilities.load_reports != LoadReports::None;
     // The module waits no longer for a call than the settings say; where they do not say, as for a connection.
-    let limit = match config.settings.allow.count_limit {
+    let limit = match config.settings.capabilities.counter_timeout {
         0 => connect,
         limit => Duration::from_micros(limit),
     };
     let counter = config.counter.map(|at| Rc::new(SharedCounter::new(at, limit)));
     let counts = Counts::new(config.names.classes.clone());
     let core = Core::new(gateway, clock, Rc::new(upstream), peers.clone(), counter.clone(), reports, counts);
-    core.servers(ListKind::Cached, config.known.members);
+    core.servers(WatchEvent::CachedSnapshot, config.known.members);
     tokio::task::spawn_local(core.clone().run_timers());
     if let Some(peers) = peers {
         let core = core.clone();
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -1,7 +1,7 @@
 //! The list of servers in the form in which discovery gives it, also in a gateway's configuration.
 
 use crate::names::Names;
-use grebehook_core::{Entry, ServerId, State};
+use grebehook_core::{Endpoint, EndpointState, ServerId};
 use grebehook_simulator_adapter::fields;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// What the module is told.
-    pub entry: Entry,
+    pub entry: Endpoint,
 }
 
 /// One answer of discovery.
@@ -74,15 +74,15 @@
         let zone = names.zones.iter().position(|zone| *zone == self.zone).unwrap_or(names.zones.len());
         Member {
             address: self.address,
-            entry: Entry {
+            entry: Endpoint {
                 server: server_id(&self.name),
                 state: match self.status {
-                    MemberStatus::Ready => State::Ready,
-                    MemberStatus::Draining => State::Draining,
-                    MemberStatus::Gone => State::Gone,
+                    MemberStatus::Ready => EndpointState::Ready,
+                    MemberStatus::Draining => EndpointState::Draining,
+                    MemberStatus::Gone => EndpointState::Gone,
                 },
-                ready_at: (usable(self.since_ms).unwrap_or(0.0) * 1_000.0) as u64,
-                size: usable(self.weight).unwrap_or(1.0),
+                started_at: (usable(self.since_ms).unwrap_or(0.0) * 1_000.0) as u64,
+                relative_size: usable(self.weight).unwrap_or(1.0),
                 zone: zone as u32,
                 cell: usable(self.group).unwrap_or(0.0) as u32,
             },
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -4,7 +4,7 @@
 use crate::members::Member;
 use crate::stream::Sending;
 use crate::system_error::is_local;
-use grebehook_core::{Micros, ServerId, State, Status};
+use grebehook_core::{AttemptStatus, EndpointState, Micros, ServerId};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use std::cell::{Cell, RefCell};
@@ -44,7 +44,7 @@
 
 struct Server {
     address: SocketAddr,
-    state: State,
+    state: EndpointState,
     /// Its start as it was told: a name for its process. It is not compared to any clock.
     start: Micros,
     idle: Vec<Connection>,
@@ -86,26 +86,30 @@
             servers.retain(|id, _| members.iter().any(|m| m.entry.server == *id));
         }
         for Member { address, entry } in members {
-            if entry.state == State::Gone {
+            if entry.state == EndpointState::Gone {
                 servers.remove(&entry.server);
                 continue;
             }
-            let fresh =
-                || Server { address: *address, state: entry.state, start: entry.ready_at, idle: Vec::new() };
+            let fresh = || Server {
+                address: *address,
+                state: entry.state,
+                start: entry.started_at,
+                idle: Vec::new(),
+            };
             let server = servers.entry(entry.server).or_insert_with(fresh);
             if server.address != *address {
                 server.address = *address;
                 server.idle.clear();
             }
-            (server.state, server.start) = (entry.state, entry.ready_at);
+            (server.state, server.start) = (entry.state, entry.started_at);
             // A machine that vanished never closed its connections; one that has started since lost them.
-            server.idle.retain(|c| c.server_start == entry.ready_at && entry.state == State::Ready);
+            server.idle.retain(|c| c.server_start == entry.started_at && entry.state == EndpointState::Ready);
         }
     }
 
     /// Whether something new may be sent to a server.
     pub fn ready(&self, server: ServerId) -> bool {
-        self.servers.borrow().get(&server).is_some_and(|s| s.state == State::Ready)
+        self.servers.borrow().get(&server).is_some_and(|s| s.state == EndpointState::Ready)
     }
 
     /// Closes all idle connections.
@@ -144,7 +148,7 @@
     pub fn restore(&self, server: ServerId, connection: Connection) {
         if let Some(server) = self.servers.borrow_mut().get_mut(&server) {
             let current = server.address == connection.address && connection.server_start == server.start;
-            if current && server.state == State::Ready && !connection.sender.is_closed() {
+            if current && server.state == EndpointState::Ready && !connection.sender.is_closed() {
                 server.idle.push(connection);
             }
         }
@@ -158,32 +162,32 @@
     }
 
     /// A new connection, or why there is none: what the gateway itself lacks says nothing of the server.
-    pub async fn connect(&self, server: ServerId) -> Result<Connection, Status> {
-        let ready = |s: &&Server| s.state == State::Ready;
+    pub async fn connect(&self, server: ServerId) -> Result<Connection, AttemptStatus> {
+        let ready = |s: &&Server| s.state == EndpointState::Ready;
         let listed = self.servers.borrow().get(&server).filter(ready).map(|s| (s.address, s.start));
-        let (address, server_start) = listed.ok_or(Status::ConnectFailed)?;
+        let (address, server_start) = listed.ok_or(AttemptStatus::ConnectFailed)?;
         if self.open.get() >= self.max_open && !self.shed() {
-            return Err(Status::Moot);
+            return Err(AttemptStatus::NotSent);
         }
         let counter = Counter::new(&self.open);
         let connected = timeout(self.connect_timeout, dial(address)).await;
-        let stream = connected.map_err(|_| Status::ConnectFailed)?.map_err(|e| match e.kind() {
+        let stream = connected.map_err(|_| AttemptStatus::ConnectFailed)?.map_err(|e| match e.kind() {
             io::ErrorKind::ConnectionRefused
             | io::ErrorKind::ConnectionReset
             | io::ErrorKind::HostUnreachable
             | io::ErrorKind::NetworkUnreachable
-            | io::ErrorKind::TimedOut => Status::ConnectFailed,
+            | io::ErrorKind::TimedOut => AttemptStatus::ConnectFailed,
             // Out of descriptors, ports or memory.
-            _ => Status::Moot,
+            _ => AttemptStatus::NotSent,
         })?;
-        stream.set_nodelay(true).map_err(|_| Status::ConnectFailed)?;
+        stream.set_nodelay(true).map_err(|_| AttemptStatus::ConnectFailed)?;
         let link = Link::new(stream, counter);
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(BUFFER_MOST)
             .writev(false)
             .handshake(TokioIo::new(LinkIo(link.clone())))
             .await
-            .map_err(|_| Status::ConnectFailed)?;
+            .map_err(|_| AttemptStatus::ConnectFailed)?;
         tokio::task::spawn_local(connection);
         Ok(Connection { sender, link, address, server_start, idle_since: Instant::now() })
     }
--- a/crates/gateway/src/request_table.rs
+++ b/crates/gateway/src/request_table.rs
@@ -3,7 +3,7 @@
 use crate::attempt::{Outgoing, Slot};
 use crate::request::Answer;
 use crate::timers::Due;
-use grebehook_core::{Micros, RequestId, ServerId, Status};
+use grebehook_core::{AttemptStatus, Micros, RequestId, ServerId};
 use hyper::header::HeaderValue;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -49,13 +49,13 @@
 
 impl Running {
     /// Gives the attempt up: nothing of it is on the network when this returns. How it ended thereby.
-    pub fn abort(&self, status: Status) -> Status {
+    pub fn abort(&self, status: AttemptStatus) -> AttemptStatus {
         let unsent = !self.slot.written();
         self.slot.close();
         self.task.abort();
         match status {
             // What was not written whole cannot have run, whatever it was given up for.
-            Status::Timeout | Status::Cancelled if unsent => Status::Moot,
+            AttemptStatus::Timeout | AttemptStatus::Cancelled if unsent => AttemptStatus::NotSent,
             status => status,
         }
     }
@@ -102,8 +102,9 @@
     }
 
     /// Notes how an attempt ended. Whether the module is to learn that the body cannot be sent again.
-    pub fn record_end(&mut self, ended: &Running, status: Status) -> bool {
-        let never_ran = matches!(status, Status::Full | Status::ConnectFailed | Status::Moot);
+    pub fn record_end(&mut self, ended: &Running, status: AttemptStatus) -> bool {
+        let never_ran =
+            matches!(status, AttemptStatus::Rejected | AttemptStatus::ConnectFailed | AttemptStatus::NotSent);
         if !never_ran {
             self.ran.get_or_insert(ended.sent);
         }
--- a/crates/gateway/src/request_terms.rs
+++ b/crates/gateway/src/request_terms.rs
@@ -3,7 +3,7 @@
 use crate::names::Names;
 use crate::request::Terms;
 use crate::response::Fault;
-use grebehook_core::{CustomerId, Effect, Settings};
+use grebehook_core::{CustomerId, Idempotency, Settings};
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::Method;
 
@@ -35,12 +35,12 @@
         }
         let class = place(&self.names.classes, "x-call-class")?;
         let settings = self.settings.classes.get(class).ok_or(Fault::Header("x-call-class"))?;
-        let safe = settings.effect == Effect::Safe;
+        let safe = settings.idempotency == Idempotency::Idempotent;
         if *method != if safe { Method::GET } else { Method::POST } {
             return Err(Fault::Method);
         }
         // Without its key a server could not tell a repeat; what must never run twice is not repeated and has none.
-        let keyed = matches!(settings.effect, Effect::Keyed { .. });
+        let keyed = matches!(settings.idempotency, Idempotency::IdempotencyKey { .. });
         if keyed && text("idempotency-key")?.is_empty() {
             return Err(Fault::Header("idempotency-key"));
         }
@@ -58,9 +58,9 @@
             units,
             spread,
             first,
-            window: match settings.effect {
-                Effect::Keyed { window, .. } => Some(window),
-                Effect::Safe | Effect::Fragile => None,
+            window: match settings.idempotency {
+                Idempotency::IdempotencyKey { window, .. } => Some(window),
+                Idempotency::Idempotent | Idempotency::NonIdempotent => None,
             },
             repeat: headers.get("x-again").is_some_and(|v| v == "1"),
         })
@@ -77,12 +77,12 @@
                 _ => {}
             }
         }
-        let gateways = self.settings.gateways;
+        let gateways = self.settings.gateway_count;
         let units = units.filter(|u: &f64| *u > 0.0 && *u <= self.max_units)?;
         let spread = spread.filter(|s| (1..=gateways).contains(s))?;
         let first = first.filter(|f| *f < gateways)?;
         // Only the gateways of its set have a part of the customer's quota.
-        let mine = (self.settings.me + gateways - first) % gateways < spread;
+        let mine = (self.settings.gateway_index + gateways - first) % gateways < spread;
         mine.then_some((units, spread, first))
     }
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -6,7 +6,7 @@
 use crate::pool::{Connection, Pool};
 use crate::stream::{self, Answered, Download, Sending, Upload};
 use bytes::Bytes;
-use grebehook_core::{Load, ServerId, Status};
+use grebehook_core::{AttemptStatus, LoadReport, ServerId};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderValue, HOST};
 use hyper::{Method, Request, Response, Uri};
@@ -57,11 +57,11 @@
             }
             if Instant::now() >= times.send_by {
                 self.pool.restore(server, connection);
-                return Reply::bare(Status::Moot);
+                return Reply::bare(AttemptStatus::NotSent);
             }
             if (out.client_has_left)() {
                 self.pool.restore(server, connection);
-                return Reply::bare(Status::Moot);
+                return Reply::bare(AttemptStatus::NotSent);
             }
             // Nothing was written to a connection that hyper found closed, so nothing has been sent yet.
             if let Ok(reply) = self.over(server, connection, slot, out, times.answer_by, tries).await {
@@ -69,19 +69,19 @@
             }
         }
         if (out.client_has_left)() {
-            return Reply::bare(Status::Moot);
+            return Reply::bare(AttemptStatus::NotSent);
         }
         let connection = match timeout_at(times.send_by.into(), self.pool.connect(server)).await {
             Ok(Ok(connection)) => connection,
             Ok(Err(status)) => return Reply::bare(status),
-            Err(_) => return Reply::bare(Status::Moot),
+            Err(_) => return Reply::bare(AttemptStatus::NotSent),
         };
         if (out.client_has_left)() {
             self.pool.restore(server, connection);
-            return Reply::bare(Status::Moot);
+            return Reply::bare(AttemptStatus::NotSent);
         }
         let reply = self.over(server, connection, slot, out, times.answer_by, tries).await;
-        reply.unwrap_or_else(|Unwritten| Reply::bare(Status::ConnectFailed))
+        reply.unwrap_or_else(|Unwritten| Reply::bare(AttemptStatus::ConnectFailed))
     }
 
     async fn over(
@@ -108,9 +108,9 @@
                 connection.link.close();
                 return match (connection.link.whole(), connection.link.begun()) {
                     // What its client broke off says nothing of the server.
-                    _ if out.body.broken() => Ok(Reply::bare(Status::Moot)),
-                    (true, _) => Ok(Reply::bare(Status::Reset)),
-                    (false, true) => Ok(Reply::bare(Status::ConnectFailed)),
+                    _ if out.body.broken() => Ok(Reply::bare(AttemptStatus::NotSent)),
+                    (true, _) => Ok(Reply::bare(AttemptStatus::ConnectionReset)),
+                    (false, true) => Ok(Reply::bare(AttemptStatus::ConnectFailed)),
                     (false, false) => {
                         slot.set(None);
                         Err(Unwritten)
@@ -126,15 +126,17 @@
         let body = if sound { self.read(body).await } else { None };
         let Some((body, rest)) = body.filter(|(_, rest)| rest.is_none() || status == 200) else {
             connection.link.close();
-            return Ok(Reply::bare(Status::Reset));
+            return Ok(Reply::bare(AttemptStatus::ConnectionReset));
         };
         let (used, load) = (headers::usage(&head.headers), headers::load(head.headers.get(headers::LOAD)));
         let status = match status {
-            200 => Status::Ok,
-            503 | 504 if head.headers.get(headers::REJECTED).is_some_and(|v| v == "1") => Status::Full,
-            _ => Status::Error,
+            200 => AttemptStatus::Ok,
+            503 | 504 if head.headers.get(headers::REJECTED).is_some_and(|v| v == "1") => {
+                AttemptStatus::Rejected
+            }
+            _ => AttemptStatus::Error,
         };
-        let settled = headers::charge(&head.headers, self.most_units).filter(|_| status == Status::Ok);
+        let settled = headers::charge(&head.headers, self.most_units).filter(|_| status == AttemptStatus::Ok);
         let link = connection.link.clone();
         let upstream = self.clone();
         let done = move || match connection.link.whole() {
@@ -148,7 +150,7 @@
                 Answered::Whole(body)
             }
         };
-        let answer = (status == Status::Ok).then(|| {
+        let answer = (status == AttemptStatus::Ok).then(|| {
             let mut head = head;
             headers::strip(&mut head.headers);
             head.headers.remove(headers::LOAD);
@@ -177,7 +179,7 @@
         server: ServerId,
         path: &'static str,
         limit: Duration,
-    ) -> (Status, Option<Load>) {
+    ) -> (AttemptStatus, Option<LoadReport>) {
         let probe = Outgoing {
             method: Method::GET,
             uri: Uri::from_static(path),
@@ -190,7 +192,7 @@
         let times = AttemptTimes { send_by: end, answer_by: end };
         let Ok(reply) = timeout(limit, self.exchange(server, &slot, &probe, times, None)).await else {
             slot.close();
-            return (Status::Timeout, None);
+            return (AttemptStatus::Timeout, None);
         };
         let told = reply.answer.as_ref().and_then(|a| match a.body() {
             Answered::Whole(body) => HeaderValue::from_bytes(body).ok(),
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -1,6 +1,6 @@
 use super::{AttemptTimes, Outgoing, Pool, Slot, Upload, Upstream};
 use crate::members::Member;
-use grebehook_core::{Entry, ServerId, State, Status};
+use grebehook_core::{AttemptStatus, Endpoint, EndpointState, ServerId};
 use std::time::{Duration, Instant};
 
 /// A gateway that has no room for a connection has not found its server down.
@@ -10,7 +10,7 @@
     let second = Duration::from_secs(1);
     let pool = Pool::new(0, second, second);
     let upstream = std::rc::Rc::new(Upstream::new(pool, 0, 1.0));
-    let entry = Entry { server: ServerId(1), state: State::Ready, ..Entry::default() };
+    let entry = Endpoint { server: ServerId(1), state: EndpointState::Ready, ..Endpoint::default() };
     upstream.pool.update(true, &[Member { address: ([127, 0, 0, 1], 1).into(), entry }]);
     let out = Outgoing {
         method: hyper::Method::GET,
@@ -23,5 +23,5 @@
     let end = Instant::now() + second;
     let times = AttemptTimes { send_by: end, answer_by: end };
     let sent = upstream.exchange(ServerId(1), &slot, &out, times, None);
-    assert_eq!(runtime.block_on(sent).status, Status::Moot);
+    assert_eq!(runtime.block_on(sent).status, AttemptStatus::NotSent);
 }
--- a/crates/gateway/tests/loopback/clients.rs
+++ b/crates/gateway/tests/loopback/clients.rs
@@ -12,7 +12,7 @@
     let body: Vec<u8> = (0..60_000u32).map(|k| k as u8).collect();
     let sent = body.clone();
     let server = Server::start(move |_| {
-        Does::Answers("200 OK\r\nX-Load-Report: latency_ms=12.5,queue=1\r\nApi-Usage: 40", sent.clone())
+        Does::Answers("200 OK\r\nX-LoadReport-Report: latency_ms=12.5,queue=1\r\nApi-Usage: 40", sent.clone())
     });
     let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
     let mut client = gateway.client();
--- a/crates/scale-laboratory/src/core_cost.rs
+++ b/crates/scale-laboratory/src/core_cost.rs
@@ -10,8 +10,8 @@
 use crate::settings::{core_settings, DEADLINE};
 use crate::topology::Topology;
 use grebehook_core::{
-    Action, CounterId, CustomerId, Entry, Event, Gateway, ListKind, Micros, RequestId, ServerId, State,
-    Status, TimerId,
+    Action, AttemptStatus, CounterId, CustomerId, Endpoint, EndpointState, Event, Gateway, Micros, RequestId,
+    ServerId, TimerId, WatchEvent,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -74,12 +74,12 @@
             class: 0,
             plan: 0,
             customer: CustomerId(tenant),
-            patience: DEADLINE,
+            client_timeout: DEADLINE,
             units: 1.0,
-            spread,
-            first: GATEWAY,
-            repeat: false,
-            coming: false,
+            customer_gateway_count: spread,
+            first_gateway: GATEWAY,
+            is_retry: false,
+            body_incomplete: false,
         });
         self.answer(actions);
     }
@@ -89,10 +89,15 @@
         while let Some(action) = actions.pop() {
             let event = match action {
                 Action::Send { id, server, .. } => served(id, server),
-                Action::Count { counter, amount, .. } => {
+                Action::AddToCounter { counter, amount, .. } => {
                     let total = self.totals.entry(counter).or_default();
                     *total += amount;
-                    Event::Counted { counter, total: Some(*total), unsure: false, took: COUNTER_ANSWER }
+                    Event::CounterReplied {
+                        counter,
+                        total: Some(*total),
+                        possibly_counted: false,
+                        elapsed: COUNTER_ANSWER,
+                    }
                 }
                 _ => continue,
             };
@@ -106,22 +111,29 @@
 }
 
 fn served(id: RequestId, server: ServerId) -> Event {
-    Event::Outcome {
+    Event::AttemptCompleted {
         id,
         attempt: 0,
         server,
-        status: Status::Ok,
-        took: SERVER_ANSWER,
-        closed: true,
-        used: Some(USED),
-        settled: None,
-        load: None,
+        status: AttemptStatus::Ok,
+        elapsed: SERVER_ANSWER,
+        request_finished: true,
+        reported_usage: Some(USED),
+        settled_units: None,
+        load_report: None,
     }
 }
 
-fn entry(topology: &Topology, server: usize, ready_at: Micros) -> Entry {
+fn entry(topology: &Topology, server: usize, ready_at: Micros) -> Endpoint {
     let zone = topology.zone_of_server(server) as u32;
-    Entry { server: ServerId(server as u64), state: State::Ready, ready_at, size: 1.0, zone, cell: zone }
+    Endpoint {
+        server: ServerId(server as u64),
+        state: EndpointState::Ready,
+        started_at: ready_at,
+        relative_size: 1.0,
+        zone,
+        cell: zone,
+    }
 }
 
 /// The middle one of the batches' figures: what disturbs a few of them does not show.
@@ -151,7 +163,7 @@
     let topology = Topology::new(fleet);
     let before = heap_bytes();
     let entries = (0..fleet.servers()).map(|server| entry(&topology, server, 0)).collect();
-    let event = Event::Servers { kind: ListKind::Full, entries };
+    let event = Event::EndpointsChanged { watch_event: WatchEvent::Snapshot, endpoints: entries };
     let cpu = measure_micros(|| drop(core.handle(event)));
     point.metrics.insert(Metric::ListCpu, cpu);
     point.metrics.insert(Metric::ListHeap, heap_bytes().saturating_sub(before) as f64);
@@ -239,11 +251,14 @@
     let servers = core.experiment.fleet.servers();
     let mut figures = Vec::new();
     for _ in 0..BATCHES {
-        let changed: Vec<Entry> =
+        let changed: Vec<Endpoint> =
             (0..CHANGES).map(|_| entry(&topology, rng.random_range(0..servers), core.now)).collect();
         let cpu = measure_micros(|| {
             for entry in changed {
-                core.handle(Event::Servers { kind: ListKind::Delta, entries: vec![entry] });
+                core.handle(Event::EndpointsChanged {
+                    watch_event: WatchEvent::Delta,
+                    endpoints: vec![entry],
+                });
             }
         });
         figures.push(cpu / CHANGES as f64);
--- a/crates/scale-laboratory/src/hollow/counting.rs
+++ b/crates/scale-laboratory/src/hollow/counting.rs
@@ -47,6 +47,9 @@
             CallEnd::Refused | CallEnd::Unsure => None,
         };
         let unsure = end == CallEnd::Unsure;
-        self.event(life, Event::Counted { counter, total, unsure, took: self.now - asked });
+        self.event(
+            life,
+            Event::CounterReplied { counter, total, possibly_counted: unsure, elapsed: self.now - asked },
+        );
     }
 }
--- a/crates/scale-laboratory/src/hollow/discovery.rs
+++ b/crates/scale-laboratory/src/hollow/discovery.rs
@@ -6,7 +6,7 @@
 use super::simulation::Simulation;
 use crate::settings::{json_settings, micros};
 use crate::wire;
-use grebehook_core::{Event, ListKind, Micros, State};
+use grebehook_core::{EndpointState, Event, Micros, WatchEvent};
 use rand::RngExt;
 
 impl Simulation {
@@ -40,15 +40,15 @@
         counts.discovery_bytes += relay::watch_bytes(held, update.body_bytes);
         let slowest = update.made_at.iter().map(|made| self.now - made).max().unwrap_or(0);
         self.tally.change_in_force = self.tally.change_in_force.max(slowest);
-        let kind = if update.whole { ListKind::Full } else { ListKind::Delta };
+        let kind = if update.whole { WatchEvent::Snapshot } else { WatchEvent::Delta };
         self.take_list(gateway, kind, update);
     }
 
     /// Hands a list to a gateway, which then watches from its version.
-    pub(super) fn take_list(&mut self, gateway: usize, kind: ListKind, update: Update) {
+    pub(super) fn take_list(&mut self, gateway: usize, kind: WatchEvent, update: Update) {
         self.gateways[gateway].version = update.version;
         let life = self.gateways[gateway].this_life();
-        self.event(life, Event::Servers { kind, entries: update.entries });
+        self.event(life, Event::EndpointsChanged { watch_event: kind, endpoints: update.entries });
         self.watch(life, relay::WATCH);
     }
 
@@ -68,7 +68,10 @@
         self.tally.counts.discovery_calls += 1;
         if self.discovery_silent {
             self.tally.counts.discovery_bytes += relay::watch_call_bytes(version);
-            self.event(life, Event::Servers { kind: ListKind::Failed, entries: Vec::new() });
+            self.event(
+                life,
+                Event::EndpointsChanged { watch_event: WatchEvent::Failed, endpoints: Vec::new() },
+            );
             return self.watch(life, relay::FAILING_WATCH);
         }
         self.tally.counts.discovery_bytes += relay::watch_bytes(version, relay::empty_body_bytes(version));
@@ -88,7 +91,7 @@
     pub(super) fn members_change(&mut self, servers: &[usize]) {
         let member = |server: &usize| {
             let seen = self.servers.get(*server);
-            let state = if seen.present { State::Ready } else { State::Gone };
+            let state = if seen.present { EndpointState::Ready } else { EndpointState::Gone };
             Member { server: *server, state, ready_at: seen.ready_at }
         };
         let changes: Vec<Member> = servers.iter().map(member).collect();
--- a/crates/scale-laboratory/src/hollow/faults.rs
+++ b/crates/scale-laboratory/src/hollow/faults.rs
@@ -8,7 +8,7 @@
 use crate::results::Point;
 use crate::settings::{core_settings, micros};
 use crate::timeline::Ending;
-use grebehook_core::{ListKind, Micros};
+use grebehook_core::{Micros, WatchEvent};
 use rand::RngExt;
 
 /// The front notices a dead gateway after this time.
@@ -63,7 +63,7 @@
         // The list it knows at its start comes with its configuration.
         let whole = self.relay.whole();
         self.tally.counts.relay_bytes += whole.body_bytes;
-        self.take_list(gateway, ListKind::Cached, whole);
+        self.take_list(gateway, WatchEvent::CachedSnapshot, whole);
         Ok(())
     }
 
--- a/crates/scale-laboratory/src/hollow/gateway.rs
+++ b/crates/scale-laboratory/src/hollow/gateway.rs
@@ -2,7 +2,7 @@
 
 use super::queue::GatewayLife;
 use crate::error::Result;
-use grebehook_core::{Gateway, Micros, RequestId, Settings, Status};
+use grebehook_core::{AttemptStatus, Gateway, Micros, RequestId, Settings};
 use std::collections::BTreeMap;
 
 /// Calls of the counter that a gateway has out at once.
@@ -20,7 +20,7 @@
     /// How long the core waits for it.
     pub timeout: Micros,
     /// How it ends.
-    pub status: Status,
+    pub status: AttemptStatus,
     /// Whether it is still out.
     pub open: bool,
 }
--- a/crates/scale-laboratory/src/hollow/relay.rs
+++ b/crates/scale-laboratory/src/hollow/relay.rs
@@ -3,8 +3,8 @@
 
 use crate::settings::zone_name;
 use crate::topology::Topology;
-use crate::wire::{self, Endpoint, Listing};
-use grebehook_core::{Entry, Micros, ServerId, State};
+use crate::wire::{self, EndpointMessage, Listing};
+use grebehook_core::{Endpoint, EndpointState, Micros, ServerId};
 use std::collections::BTreeSet;
 
 /// An agent's address in calls, for their length.
@@ -22,7 +22,7 @@
     /// Its number.
     pub server: usize,
     /// Its state.
-    pub state: State,
+    pub state: EndpointState,
     /// When it last started.
     pub ready_at: Micros,
 }
@@ -37,7 +37,7 @@
     /// The version that the gateway has then.
     pub version: u64,
     /// The entries.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<Endpoint>,
     /// The whole list.
     pub whole: bool,
     /// Length of the list as JSON.
@@ -58,7 +58,7 @@
 impl Relay {
     /// All servers ready, long since.
     pub fn new(topology: Topology, servers: usize, history: usize) -> Relay {
-        let member = |server| Member { server, state: State::Ready, ready_at: 0 };
+        let member = |server| Member { server, state: EndpointState::Ready, ready_at: 0 };
         let members = (0..servers).map(member).collect();
         Relay { topology, members, versions: Vec::new(), history, whole_bytes: None }
     }
@@ -98,7 +98,7 @@
     /// The whole list.
     pub fn whole(&mut self) -> Update {
         let listed: Vec<usize> =
-            self.members.iter().filter(|m| m.state != State::Gone).map(|m| m.server).collect();
+            self.members.iter().filter(|m| m.state != EndpointState::Gone).map(|m| m.server).collect();
         let entries = listed.iter().map(|s| self.entry(*s)).collect();
         let version = self.version();
         let body_bytes = self.whole_bytes.unwrap_or_else(|| {
@@ -109,31 +109,31 @@
         Update { version, entries, whole: true, body_bytes, made_at: Vec::new() }
     }
 
-    fn entry(&self, server: usize) -> Entry {
+    fn entry(&self, server: usize) -> Endpoint {
         let member = self.members[server];
         let zone = self.topology.zone_of_server(server) as u32;
-        Entry {
+        Endpoint {
             server: ServerId(server as u64),
             state: member.state,
-            ready_at: member.ready_at,
-            size: 1.0,
+            started_at: member.ready_at,
+            relative_size: 1.0,
             zone,
             cell: zone,
         }
     }
 
-    fn endpoint(&self, server: usize) -> Endpoint {
+    fn endpoint(&self, server: usize) -> EndpointMessage {
         let member = self.members[server];
-        Endpoint {
+        EndpointMessage {
             name: format!("s-{server:08x}"),
             address: format!("10.{}.{}.{}:3000", server >> 16 & 0xff, server >> 8 & 0xff, server & 0xff),
             zone: zone_name(self.topology.zone_of_server(server)),
             machine: "std",
             group: self.topology.zone_of_server(server) as u32,
             status: match member.state {
-                State::Ready => "ready",
-                State::Draining => "draining",
-                State::Gone => "gone",
+                EndpointState::Ready => "ready",
+                EndpointState::Draining => "draining",
+                EndpointState::Gone => "gone",
             },
             weight: 1.0,
             since_ms: member.ready_at / 1_000,
--- a/crates/scale-laboratory/src/hollow/servers.rs
+++ b/crates/scale-laboratory/src/hollow/servers.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::Backend;
 use crate::settings::micros;
-use grebehook_core::{Micros, Rules, Status};
+use grebehook_core::{AttemptStatus, Micros, ProtocolRules};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -12,7 +12,7 @@
     /// When it answers.
     pub finishes: Micros,
     /// How.
-    pub status: Status,
+    pub status: AttemptStatus,
 }
 
 /// One server.
@@ -33,12 +33,12 @@
     list: Vec<Server>,
     mean: f64,
     queue: usize,
-    rules: Rules,
+    rules: ProtocolRules,
 }
 
 impl Servers {
     /// So many warm servers.
-    pub fn new(count: usize, backend: &Backend, rules: Rules) -> Servers {
+    pub fn new(count: usize, backend: &Backend, rules: ProtocolRules) -> Servers {
         let server = Server { places: vec![0; backend.concurrency], epoch: 0, present: true, ready_at: 0 };
         let mean = micros(backend.service_milliseconds) as f64;
         Servers { list: vec![server; count], mean, queue: backend.queue, rules }
@@ -76,17 +76,17 @@
         let places = &mut self.list[server].places;
         let count = places.len() as f64;
         let Some(place) = places.iter_mut().min() else {
-            return Service { finishes: arrives, status: Status::Full };
+            return Service { finishes: arrives, status: AttemptStatus::Rejected };
         };
         let starts = arrives.max(*place);
         if (starts - arrives) as f64 > queue as f64 * mean / count {
-            return Service { finishes: arrives, status: Status::Full };
+            return Service { finishes: arrives, status: AttemptStatus::Rejected };
         }
         // Exponentially distributed around the mean.
         let draw: f64 = rng.random();
         let finishes = starts + (-(1.0 - draw).ln() * mean) as Micros;
         *place = finishes;
-        Service { finishes, status: Status::Ok }
+        Service { finishes, status: AttemptStatus::Ok }
     }
 
     /// Share of its capacity that a server has, while it warms up.
@@ -95,7 +95,7 @@
         if ready_at == 0 {
             return 1.0;
         }
-        let warm = now.saturating_sub(ready_at) as f64 / self.rules.cold as f64;
-        (self.rules.cold_from + (1.0 - self.rules.cold_from) * warm).min(1.0)
+        let warm = now.saturating_sub(ready_at) as f64 / self.rules.warm_up as f64;
+        (self.rules.initial_capacity + (1.0 - self.rules.initial_capacity) * warm).min(1.0)
     }
 }
--- a/crates/scale-laboratory/src/hollow/simulation.rs
+++ b/crates/scale-laboratory/src/hollow/simulation.rs
@@ -15,7 +15,7 @@
 use crate::settings::{core_settings, micros, CONNECT_TIMEOUT, DEADLINE};
 use crate::timeline::Ending;
 use crate::topology::Topology;
-use grebehook_core::{Action, CustomerId, Event, Micros, RequestId, ServerId, Status};
+use grebehook_core::{Action, AttemptStatus, CustomerId, Event, Micros, RequestId, ServerId};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -148,7 +148,7 @@
                 self.configuration_arrives(gateway, version);
             }
             Occurrence::PeerArrives(to, from, data) => {
-                self.event(self.gateways[to].this_life(), Event::Peer { from, data });
+                self.event(self.gateways[to].this_life(), Event::GossipReceived { from, message: data });
             }
             Occurrence::MembersChange(servers) => self.members_change(&servers),
             Occurrence::ScheduledChange(server) => self.scheduled_change(server),
@@ -204,12 +204,12 @@
                 class: 0,
                 plan: 0,
                 customer: CustomerId(tenant as u64),
-                patience: DEADLINE,
+                client_timeout: DEADLINE,
                 units: 1.0,
-                spread,
-                first,
-                repeat: false,
-                coming: false,
+                customer_gateway_count: spread,
+                first_gateway: first,
+                is_retry: false,
+                body_incomplete: false,
             },
         );
     }
@@ -245,15 +245,15 @@
     fn carry_out(&mut self, life: GatewayLife, action: Action) {
         match action {
             Action::Send { id, server, timeout } => self.send(life, id, server, timeout),
-            Action::Refuse { id, .. } => self.answer(life, id, Ending::Refused),
+            Action::Reject { id, .. } => self.answer(life, id, Ending::Refused),
             Action::Fail { id } => self.answer(life, id, Ending::Failed),
             Action::Cancel { id, attempt } => self.cancel(life, id, attempt),
             Action::Timer { at, timer } => {
                 self.queue.push(at.max(self.now), Occurrence::GatewayTimer(life, timer));
             }
-            Action::Tell { to, data } => self.tell(life, to, data),
-            Action::Count { counter, amount, ttl } => self.count(life, counter, amount, ttl),
-            Action::Probe { .. } | Action::Watch | Action::Log { .. } => {}
+            Action::SendGossip { to, message: data } => self.tell(life, to, data),
+            Action::AddToCounter { counter, amount, ttl } => self.count(life, counter, amount, ttl),
+            Action::CheckHealth { .. } | Action::PollEndpoints | Action::Log { .. } => {}
         }
     }
 
@@ -265,10 +265,11 @@
             let service = self.servers.take(self.now + one_way, server, &mut self.rng);
             (service.finishes + one_way, service.status)
         } else {
-            (self.now + CONNECT_TIMEOUT, Status::ConnectFailed)
+            (self.now + CONNECT_TIMEOUT, AttemptStatus::ConnectFailed)
         };
         let in_time = ends <= self.now.saturating_add(timeout);
-        let (ends, status) = if in_time { (ends, status) } else { (self.now + timeout, Status::Timeout) };
+        let (ends, status) =
+            if in_time { (ends, status) } else { (self.now + timeout, AttemptStatus::Timeout) };
         let epoch = self.servers.get(server).epoch;
         let attempt = Attempt { server, epoch, sent: self.now, timeout, status, open: true };
         let Some(held) = self.gateways[life.gateway].requests.get_mut(&id) else { return };
@@ -290,11 +291,11 @@
         }
         let Some(held) = gateway.requests.get_mut(&id) else { return };
         let Some(attempt) = held.attempts.get_mut(number as usize).filter(|a| a.open) else { return };
-        let answered = attempt.status == Status::Ok;
+        let answered = attempt.status == AttemptStatus::Ok;
         let server_gone = self.servers.get(attempt.server).epoch != attempt.epoch;
         if answered && (server_gone || !self.network.reaches_server(life.gateway, attempt.server)) {
             // Nothing comes back: the gateway waits for as long as it meant to.
-            attempt.status = Status::Timeout;
+            attempt.status = AttemptStatus::Timeout;
             let ends = attempt.sent.saturating_add(attempt.timeout).max(self.now);
             return self.queue.push(ends, Occurrence::AttemptEnds(life, id, number));
         }
@@ -313,16 +314,16 @@
         }
         self.event(
             life,
-            Event::Outcome {
+            Event::AttemptCompleted {
                 id,
                 attempt: number,
                 server: ServerId(server as u64),
                 status,
-                took: self.now - sent,
-                closed: answered || over,
-                used,
-                settled: None,
-                load: None,
+                elapsed: self.now - sent,
+                request_finished: answered || over,
+                reported_usage: used,
+                settled_units: None,
+                load_report: None,
             },
         );
         self.forget_if_over(life.gateway, id);
@@ -331,7 +332,7 @@
     fn cancel(&mut self, life: GatewayLife, id: RequestId, number: u32) {
         let Some(held) = self.gateways[life.gateway].requests.get_mut(&id) else { return };
         let Some(attempt) = held.attempts.get_mut(number as usize).filter(|a| a.open) else { return };
-        attempt.status = Status::Cancelled;
+        attempt.status = AttemptStatus::Cancelled;
         self.queue.push(self.now, Occurrence::AttemptEnds(life, id, number));
     }
 
--- a/crates/scale-laboratory/src/real/agent.rs
+++ b/crates/scale-laboratory/src/real/agent.rs
@@ -2,7 +2,7 @@
 
 use super::http::{answer, listen, query, Answer};
 use super::traffic::Traffic;
-use crate::wire::{Endpoint, Listing};
+use crate::wire::{EndpointMessage, Listing};
 use hyper::body::Incoming;
 use hyper::Request;
 use std::io;
@@ -18,12 +18,12 @@
 
 struct Version {
     at: Instant,
-    endpoints: Vec<Endpoint>,
+    endpoints: Vec<EndpointMessage>,
 }
 
 #[derive(Default)]
 struct List {
-    whole: Vec<Endpoint>,
+    whole: Vec<EndpointMessage>,
     versions: Vec<Version>,
     in_force: Duration,
 }
@@ -49,7 +49,7 @@
 
 impl Agents {
     /// Agents that know this list as version 1.
-    pub fn new(whole: Vec<Endpoint>) -> Agents {
+    pub fn new(whole: Vec<EndpointMessage>) -> Agents {
         let list = Mutex::new(List { whole, ..List::default() });
         let shared = Shared { list, version: watch::Sender::new(1), silent: AtomicBool::new(false) };
         Agents { traffic: Arc::default(), shared: Arc::new(shared) }
@@ -70,7 +70,7 @@
     }
 
     /// Makes changes one new version.
-    pub fn change(&self, endpoints: Vec<Endpoint>) {
+    pub fn change(&self, endpoints: Vec<EndpointMessage>) {
         {
             let mut list = self.shared.list();
             for changed in &endpoints {
@@ -133,7 +133,7 @@
     let list = shared.list();
     let version = list.versions.len() as u64 + 1;
     let news = list.versions.get(index.saturating_sub(1) as usize..).unwrap_or_default();
-    let mut endpoints: Vec<Endpoint> = Vec::new();
+    let mut endpoints: Vec<EndpointMessage> = Vec::new();
     for changed in news.iter().flat_map(|v| &v.endpoints) {
         endpoints.retain(|e| e.name != changed.name);
         endpoints.push(changed.clone());
--- a/crates/scale-laboratory/src/real/fleet.rs
+++ b/crates/scale-laboratory/src/real/fleet.rs
@@ -15,7 +15,7 @@
 use crate::results::Point;
 use crate::settings::{json_settings, micros, zone_name};
 use crate::topology::Topology;
-use crate::wire::Endpoint;
+use crate::wire::EndpointMessage;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -288,7 +288,7 @@
     }
 
     /// The entry of a server.
-    pub(super) fn endpoint(&self, server: usize, status: &'static str, since_ms: u64) -> Endpoint {
+    pub(super) fn endpoint(&self, server: usize, status: &'static str, since_ms: u64) -> EndpointMessage {
         endpoint(&self.topology, &self.servers, server, status, since_ms)
     }
 
@@ -306,9 +306,9 @@
     server: usize,
     status: &'static str,
     since_ms: u64,
-) -> Endpoint {
+) -> EndpointMessage {
     let zone = topology.zone_of_server(server);
-    Endpoint {
+    EndpointMessage {
         name: format!("s-{server:08x}"),
         address: servers[server].address.to_string(),
         zone: zone_name(zone),
--- a/crates/scale-laboratory/src/settings.rs
+++ b/crates/scale-laboratory/src/settings.rs
@@ -1,7 +1,7 @@
 //! The decision core's settings for an experiment, and the same as the JSON that a gateway process reads.
 
 use crate::experiment::Experiment;
-use grebehook_core::{Allow, Class, Effect, Micros, Plan, Rules, Settings};
+use grebehook_core::{Capabilities, Class, Idempotency, Micros, Plan, ProtocolRules, Settings};
 use serde_json::{json, Value};
 
 /// A client's patience, and the deadline of the only class.
@@ -27,41 +27,41 @@
 /// The settings of one gateway of the fleet.
 pub fn core_settings(experiment: &Experiment, gateway: usize, zone: u32) -> Settings {
     Settings {
-        me: gateway,
-        gateways: experiment.fleet.gateways,
+        gateway_index: gateway,
+        gateway_count: experiment.fleet.gateways,
         zone,
-        tick: TICK,
+        batch_interval: TICK,
         classes: vec![Class {
-            aim: AIM,
+            latency_objective: AIM,
             deadline: DEADLINE,
-            late_worth: 0.0,
-            worth: 1.0,
-            effect: Effect::Safe,
-            stream: false,
+            late_priority_weight: 0.0,
+            priority_weight: 1.0,
+            idempotency: Idempotency::Idempotent,
+            streaming: false,
         }],
         plans: vec![Plan {
             rate: experiment.load.quota_rate,
             burst: experiment.load.quota_burst,
-            price: 1.0,
-            over_cost: 1.0,
+            weight_multiplier: 1.0,
+            overage_cost: 1.0,
             ..Plan::default()
         }],
-        allow: Allow {
-            cancel: true,
+        capabilities: Capabilities {
+            cancellation: true,
             retry_after: true,
             max_retry_after: 1_000_000,
             max_attempts: 4,
-            counter: experiment.counter.enabled,
-            count_limit: micros(experiment.counter.limit_milliseconds),
-            meter: METER,
-            ..Allow::default()
+            shared_counter: experiment.counter.enabled,
+            counter_timeout: micros(experiment.counter.limit_milliseconds),
+            usage_report_period: METER,
+            ..Capabilities::default()
         },
-        rules: Rules {
-            answer_slack: 8_000,
-            cold_from: 0.2,
-            cold: 10_000_000,
-            fall_multiple: 3.0,
-            fall: 1_500_000,
+        rules: ProtocolRules {
+            response_grace: 8_000,
+            initial_capacity: 0.2,
+            warm_up: 10_000_000,
+            overload_multiple: 3.0,
+            overload_window: 1_500_000,
         },
     }
 }
@@ -72,18 +72,18 @@
     let zones: Vec<String> = (0..zones).map(zone_name).collect();
     let (plan, rules) = (&settings.plans[0], &settings.rules);
     json!({
-        "me": gateway, "siblings": settings.gateways, "az": zone, "tickUs": TICK, "zones": zones,
+        "me": gateway, "siblings": settings.gateway_count, "az": zone, "tickUs": TICK, "zones": zones,
         "classes": [{"name": CLASS, "aimUs": AIM, "deadlineUs": DEADLINE, "lateWorth": 0.0, "value": 1.0,
             "semantics": "retryable", "stream": false}],
         "plans": [{"name": PLAN, "rate": plan.rate, "depth": plan.burst, "concurrency": 0, "valueFactor": 1.0,
             "excessWorth": 0.0, "excessCost": 1.0, "ceilingRate": 0.0, "neverOverDepth": 0.0, "tolerance": 0.0}],
-        "limits": {"attemptsCap": settings.allow.max_attempts, "cancel": true, "connIdleUs": 15_000_000,
-            "connectTimeoutUs": CONNECT_TIMEOUT, "maxRetryAfterUs": settings.allow.max_retry_after,
+        "limits": {"attemptsCap": settings.capabilities.max_attempts, "cancel": true, "connIdleUs": 15_000_000,
+            "connectTimeoutUs": CONNECT_TIMEOUT, "maxRetryAfterUs": settings.capabilities.max_retry_after,
             "mayProbe": false, "peers": false, "retryAfter": true, "secondCopies": false},
         "familyInfo": {"mailPerS": 0.0, "maxUnits": 20, "meterUs": METER,
-            "sharedCounter": settings.allow.counter, "countLimitUs": settings.allow.count_limit, "truedUp": false},
-        "rules": {"coldFrom": rules.cold_from, "warmAfterUs": rules.cold, "fallMultiple": rules.fall_multiple,
-            "tipAfterUs": rules.fall, "graceToAnswerUs": rules.answer_slack},
+            "sharedCounter": settings.capabilities.shared_counter, "countLimitUs": settings.capabilities.counter_timeout, "truedUp": false},
+        "rules": {"coldFrom": rules.initial_capacity, "warmAfterUs": rules.warm_up, "fallMultiple": rules.overload_multiple,
+            "tipAfterUs": rules.overload_window, "graceToAnswerUs": rules.response_grace},
         "stats": {"columns": [], "how": "none"}, "discovery": "push"
     })
 }
--- a/crates/scale-laboratory/src/wire.rs
+++ b/crates/scale-laboratory/src/wire.rs
@@ -5,7 +5,7 @@
 
 /// One server as discovery names it.
 #[derive(Clone, Debug, Serialize)]
-pub struct Endpoint {
+pub struct EndpointMessage {
     /// The same at every gateway.
     pub name: String,
     /// Where it listens.
@@ -33,7 +33,7 @@
     /// The whole list.
     pub snapshot: bool,
     /// The entries.
-    pub endpoints: Vec<Endpoint>,
+    pub endpoints: Vec<EndpointMessage>,
 }
 
 /// The length of a value as JSON.
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -15,7 +15,7 @@
             request.out += 1;
             json!(["send", i, request.text, to, timeout])
         }
-        Action::Refuse { id, retry_after } => {
+        Action::Reject { id, retry_after } => {
             let text = named(instance, id)?;
             instance.release(*id, 0, true);
             json!(["shed", i, text, retry_after])
@@ -27,10 +27,12 @@
         }
         Action::Cancel { id, attempt } => json!(["cancel", i, named(instance, id)?, attempt]),
         Action::Timer { at, timer } => json!(["wakeAt", i, at, timer.0.to_string()]),
-        Action::Probe { server } => json!(["probe", i, instance.servers.get(server)?]),
-        Action::Tell { to, data } => json!(["publish", i, to, BASE64_STANDARD.encode(data)]),
-        Action::Watch => json!(["watch", i, true]),
-        Action::Count { counter, amount, ttl } => json!(["bump", i, format!("{:x}", counter.0), amount, ttl]),
+        Action::CheckHealth { server } => json!(["probe", i, instance.servers.get(server)?]),
+        Action::SendGossip { to, message: data } => json!(["publish", i, to, BASE64_STANDARD.encode(data)]),
+        Action::PollEndpoints => json!(["watch", i, true]),
+        Action::AddToCounter { counter, amount, ttl } => {
+            json!(["bump", i, format!("{:x}", counter.0), amount, ttl])
+        }
         Action::Log { text } => json!(["debug", i, text]),
     })
 }
