--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -2,7 +2,10 @@
 
 use crate::Instance;
 use base64::{prelude::BASE64_STANDARD, Engine};
-use grebehook_core::{CounterId, CustomerId, Entry, Event, ListKind, Load, ServerId, State, Status, TimerId};
+use grebehook_core::{
+    AttemptStatus, CounterId, CustomerId, Endpoint, EndpointState, Event, LoadReport, ServerId, TimerId,
+    WatchEvent,
+};
 use serde_json::Value;
 
 type Read<T> = Result<T, &'static str>;
@@ -37,28 +40,28 @@
     Ok(id)
 }
 
-fn status(fields: &[Value], k: usize) -> Read<Status> {
+fn status(fields: &[Value], k: usize) -> Read<AttemptStatus> {
     Ok(match text(fields, k, "verdict")? {
-        "OK" => Status::Ok,
-        "INTERNAL" => Status::Error,
-        "RESOURCE_EXHAUSTED" => Status::Full,
-        "DEADLINE_EXCEEDED" => Status::Timeout,
-        "UNAVAILABLE" => Status::ConnectFailed,
-        "ABORTED" => Status::Reset,
-        "CANCELLED" => Status::Cancelled,
-        "TOO_LATE" => Status::Moot,
+        "OK" => AttemptStatus::Ok,
+        "INTERNAL" => AttemptStatus::Error,
+        "RESOURCE_EXHAUSTED" => AttemptStatus::Rejected,
+        "DEADLINE_EXCEEDED" => AttemptStatus::Timeout,
+        "UNAVAILABLE" => AttemptStatus::ConnectFailed,
+        "ABORTED" => AttemptStatus::ConnectionReset,
+        "CANCELLED" => AttemptStatus::Cancelled,
+        "TOO_LATE" => AttemptStatus::NotSent,
         _ => return Err("verdict"),
     })
 }
 
-fn load(instance: &Instance, value: Option<&Value>) -> Option<Load> {
+fn load(instance: &Instance, value: Option<&Value>) -> Option<LoadReport> {
     let row = value?.as_array()?;
-    let mut load = Load::default();
+    let mut load = LoadReport::default();
     for (column, value) in instance.columns.iter().zip(row) {
         match column.as_str() {
-            "outstanding" => load.inflight = value.as_f64(),
-            "backlog" => load.queue = value.as_f64(),
-            "utilization" => load.util = value.as_f64(),
+            "outstanding" => load.in_flight = value.as_f64(),
+            "backlog" => load.queued = value.as_f64(),
+            "utilization" => load.utilization = value.as_f64(),
             "recent_ms" => load.latency_ms = value.as_f64(),
             _ => {}
         }
@@ -66,18 +69,18 @@
     Some(load)
 }
 
-fn entry(instance: &mut Instance, row: &Value) -> Read<Entry> {
+fn entry(instance: &mut Instance, row: &Value) -> Read<Endpoint> {
     let row = row.as_array().ok_or("records")?;
-    Ok(Entry {
+    Ok(Endpoint {
         cell: whole(row, 0, "pod")? as u32,
         state: match whole(row, 1, "readiness")? {
-            0 => State::Gone,
-            1 => State::Ready,
-            2 => State::Draining,
+            0 => EndpointState::Gone,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Draining,
             _ => return Err("readiness"),
         },
-        ready_at: whole(row, 2, "readyAtUs")?,
-        size: number(row, 3, "size").unwrap_or(1.0),
+        started_at: whole(row, 2, "readyAtUs")?,
+        relative_size: number(row, 3, "size").unwrap_or(1.0),
         zone: whole(row, 5, "locality")? as u32,
         server: server(instance, row, 6)?,
     })
@@ -88,10 +91,10 @@
     Ok(Some(match name {
         "targets" => {
             let kind = match whole(f, 0, "mode")? {
-                0 => ListKind::Full,
-                2 => ListKind::Failed,
-                3 => ListKind::Delta,
-                4 => ListKind::Cached,
+                0 => WatchEvent::Snapshot,
+                2 => WatchEvent::Failed,
+                3 => WatchEvent::Delta,
+                4 => WatchEvent::CachedSnapshot,
                 _ => return Err("mode"),
             };
             let empty = Vec::new();
@@ -99,9 +102,9 @@
                 None | Some(Value::Null) => &empty,
                 Some(v) => v.as_array().ok_or("records")?,
             };
-            Event::Servers {
-                kind,
-                entries: rows.iter().map(|row| entry(instance, row)).collect::<Read<_>>()?,
+            Event::EndpointsChanged {
+                watch_event: kind,
+                endpoints: rows.iter().map(|row| entry(instance, row)).collect::<Read<_>>()?,
             }
         }
         "demand" => {
@@ -112,52 +115,52 @@
                 class: whole(f, 1, "tierClass")? as usize,
                 plan: whole(f, 2, "tier")? as usize,
                 customer: CustomerId(u64::from_str_radix(customer, 16).unwrap_or_else(|_| hash(customer))),
-                patience: whole(f, 4, "graceUs")?,
+                client_timeout: whole(f, 4, "graceUs")?,
                 units: number(f, 5, "units")?,
-                spread: whole(f, 6, "setSize")? as usize,
-                first: whole(f, 7, "firstDoor")? as usize,
-                repeat: whole(f, 8, "flags")? & 2 != 0,
-                coming: false,
+                customer_gateway_count: whole(f, 6, "setSize")? as usize,
+                first_gateway: whole(f, 7, "firstDoor")? as usize,
+                is_retry: whole(f, 8, "flags")? & 2 != 0,
+                body_incomplete: false,
             }
         }
         "established" => match instance.ids.get(text(f, 0, "call")?) {
-            Some(id) => Event::Started { id: *id },
+            Some(id) => Event::ResponseStarted { id: *id },
             None => return Err("call"),
         },
-        "finished" => Event::Outcome {
+        "finished" => Event::AttemptCompleted {
             id: instance.request(text(f, 0, "call")?),
             attempt: whole(f, 1, "hop")? as u32,
             server: server(instance, f, 2)?,
             status: status(f, 3)?,
-            took: whole(f, 4, "costTimeUs")?,
-            closed: f.get(5).and_then(Value::as_bool).unwrap_or(false),
-            used: Some(whole(f, 6, "usage")?).filter(|u| *u > 0).map(|u| (u - 1) as f64 / 100.0),
-            settled: f.get(7).and_then(Value::as_f64).filter(|u| *u > 0.0),
-            load: load(instance, f.get(8)),
+            elapsed: whole(f, 4, "costTimeUs")?,
+            request_finished: f.get(5).and_then(Value::as_bool).unwrap_or(false),
+            reported_usage: Some(whole(f, 6, "usage")?).filter(|u| *u > 0).map(|u| (u - 1) as f64 / 100.0),
+            settled_units: f.get(7).and_then(Value::as_f64).filter(|u| *u > 0.0),
+            load_report: load(instance, f.get(8)),
         },
-        "gone" => Event::Gone { id: instance.request(text(f, 0, "call")?) },
+        "gone" => Event::ClientDisconnected { id: instance.request(text(f, 0, "call")?) },
         "due" => match text(f, 0, "name")?.parse() {
             Ok(timer) => Event::Timer { timer: TimerId(timer) },
             Err(_) => return Err("name"),
         },
-        "checkResult" => Event::Probed {
+        "checkResult" => Event::HealthCheckCompleted {
             server: server(instance, f, 1)?,
             status: status(f, 2)?,
-            load: load(instance, f.get(3)),
+            load_report: load(instance, f.get(3)),
         },
-        "peerData" => Event::Peer {
+        "peerData" => Event::GossipReceived {
             from: whole(f, 0, "who")? as usize,
-            data: BASE64_STANDARD.decode(text(f, 1, "body")?).map_err(|_| "body")?,
+            message: BASE64_STANDARD.decode(text(f, 1, "body")?).map_err(|_| "body")?,
         },
         "counterReply" => {
             let status = text(f, 1, "verdict")?;
-            Event::Counted {
+            Event::CounterReplied {
                 counter: CounterId(
                     u64::from_str_radix(text(f, 0, "entryName")?, 16).map_err(|_| "entryName")?,
                 ),
                 total: if status == "OK" { Some(number(f, 2, "total")?) } else { None },
-                unsure: status == "DEADLINE_EXCEEDED",
-                took: whole(f, 3, "costTimeUs")?,
+                possibly_counted: status == "DEADLINE_EXCEEDED",
+                elapsed: whole(f, 3, "costTimeUs")?,
             }
         }
         _ => return Ok(None),
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -145,8 +145,8 @@
 fn play(instance: &mut Instance, now: Micros, i: u64, event: Event, out: &mut Vec<Value>) {
     let mut actions: Vec<Action> = Vec::new();
     let over = match &event {
-        Event::Outcome { id, closed, .. } => Some((*id, 1, *closed)),
-        Event::Gone { id } => Some((*id, 0, true)),
+        Event::AttemptCompleted { id, request_finished: closed, .. } => Some((*id, 1, *closed)),
+        Event::ClientDisconnected { id } => Some((*id, 0, true)),
         _ => None,
     };
     let run = catch_unwind(AssertUnwindSafe(|| instance.gateway.handle(now, event, &mut actions)));
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -1,7 +1,9 @@
 //! The settings object of a launch, read into the decision core's settings. Unknown keys are ignored.
 
 use crate::fields::{self, FieldError};
-use grebehook_core::{Allow, Class, Effect, Group, Plan, Reports, Rules, Settings};
+use grebehook_core::{
+    Capabilities, Class, DeduplicationScope, Idempotency, LoadReports, Plan, ProtocolRules, Settings,
+};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -157,23 +159,23 @@
 impl ClassMessage {
     fn class(&self) -> Result<Class, (&'static str, String)> {
         let group = match self.group.as_str() {
-            "zone" => Group::Zone,
-            "cell" => Group::Cell,
-            _ => Group::All,
+            "zone" => DeduplicationScope::Zone,
+            "cell" => DeduplicationScope::Cell,
+            _ => DeduplicationScope::All,
         };
         let effect = match self.semantics.as_str() {
-            "retryable" => Effect::Safe,
-            "dedup" => Effect::Keyed { group, window: self.window()? },
-            "fragile" => Effect::Fragile,
+            "retryable" => Idempotency::Idempotent,
+            "dedup" => Idempotency::IdempotencyKey { scope: group, window: self.window()? },
+            "fragile" => Idempotency::NonIdempotent,
             _ => return Err(("semantics", "is not known".to_owned())),
         };
         Ok(Class {
-            aim: self.aim_us,
+            latency_objective: self.aim_us,
             deadline: self.deadline_us,
-            late_worth: self.late_worth,
-            worth: self.value,
-            effect,
-            stream: self.stream,
+            late_priority_weight: self.late_worth,
+            priority_weight: self.value,
+            idempotency: effect,
+            streaming: self.stream,
         })
     }
 
@@ -187,13 +189,13 @@
         Plan {
             rate: self.rate,
             burst: self.depth,
-            open: self.concurrency as u32,
-            price: self.value_factor,
-            over_worth: self.excess_worth,
-            over_cost: self.excess_cost,
-            ceiling_rate: self.ceiling_rate,
-            ceiling_burst: self.never_over_depth,
-            ceiling_slack: self.tolerance,
+            max_concurrency: self.concurrency as u32,
+            weight_multiplier: self.value_factor,
+            overage_weight: self.excess_worth,
+            overage_cost: self.excess_cost,
+            hard_limit_rate: self.ceiling_rate,
+            hard_limit_burst: self.never_over_depth,
+            hard_limit_overdraft: self.tolerance,
         }
     }
 }
@@ -202,13 +204,13 @@
     /// The settings that the decision core knows.
     pub fn settings(&self) -> Result<Settings, FieldError> {
         Ok(Settings {
-            me: self.me as usize,
-            gateways: self.siblings as usize,
+            gateway_index: self.me as usize,
+            gateway_count: self.siblings as usize,
             zone: self.az as u32,
-            tick: self.tick_us,
+            batch_interval: self.tick_us,
             classes: self.classes()?,
             plans: self.plans.iter().map(PlanMessage::plan).collect(),
-            allow: self.allow(),
+            capabilities: self.allow(),
             rules: self.rules(),
         })
     }
@@ -224,41 +226,41 @@
         classes.map(|(index, class)| class.class().map_err(|e| place(index, e))).collect()
     }
 
-    fn allow(&self) -> Allow {
+    fn allow(&self) -> Capabilities {
         let (limits, family) = (&self.limits, &self.family_info);
-        Allow {
-            probes: limits.may_probe,
-            peers: limits.peers,
-            cancel: limits.cancel,
-            second_copies: limits.second_copies,
+        Capabilities {
+            health_checks: limits.may_probe,
+            gossip: limits.peers,
+            cancellation: limits.cancel,
+            hedged_requests: limits.second_copies,
             retry_after: limits.retry_after,
             max_retry_after: limits.max_retry_after_us,
             max_attempts: limits.attempts_cap as u32,
-            peer_in_per_s: family.mail_per_s,
-            peer_price: self.prices.peer,
-            probe_price: self.prices.probe,
-            counter: family.shared_counter,
-            count_fee: family.count_fee,
-            count_limit: family.count_limit_us,
-            marks_repeats: self.callers.marks_retry,
-            meter: family.meter_us,
-            settles: family.trued_up,
-            reports: match self.stats.how.as_str() {
-                "answers" => Reports::Answers,
-                "probe" => Reports::Probe,
-                _ => Reports::None,
+            gossip_messages_per_s: family.mail_per_s,
+            gossip_cost: self.prices.peer,
+            health_check_cost: self.prices.probe,
+            shared_counter: family.shared_counter,
+            counter_call_cost: family.count_fee,
+            counter_timeout: family.count_limit_us,
+            marks_retries: self.callers.marks_retry,
+            usage_report_period: family.meter_us,
+            settles_units: family.trued_up,
+            load_reports: match self.stats.how.as_str() {
+                "answers" => LoadReports::WithResponses,
+                "probe" => LoadReports::WithHealthChecks,
+                _ => LoadReports::None,
             },
-            must_ask: self.discovery == "ask",
+            polls_discovery: self.discovery == "ask",
         }
     }
 
-    fn rules(&self) -> Rules {
-        Rules {
-            answer_slack: self.rules.grace_to_answer_us,
-            cold_from: self.rules.cold_from,
-            cold: self.rules.warm_after_us,
-            fall_multiple: self.rules.fall_multiple,
-            fall: self.rules.tip_after_us,
+    fn rules(&self) -> ProtocolRules {
+        ProtocolRules {
+            response_grace: self.rules.grace_to_answer_us,
+            initial_capacity: self.rules.cold_from,
+            warm_up: self.rules.warm_after_us,
+            overload_multiple: self.rules.fall_multiple,
+            overload_window: self.rules.tip_after_us,
         }
     }
 }
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/simulator-adapter/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The settings object: what is read of it, and how an error names its field.
 
-use grebehook_core::{Effect, Group, Reports};
+use grebehook_core::{DeduplicationScope, Idempotency, LoadReports};
 use grebehook_simulator_adapter::settings::read;
 use serde_json::{json, Value};
 
@@ -29,11 +29,18 @@
 #[test]
 fn known_fields_are_read_and_unknown_ones_ignored() {
     let (settings, columns) = read(&settings()).unwrap();
-    assert_eq!((settings.gateways, settings.zone, settings.tick), (2, 1, 2_000));
-    let keyed = Effect::Keyed { group: Group::Cell, window: 1_000_000 };
-    assert_eq!((settings.classes[0].effect, settings.plans[0].open), (keyed, 3));
-    assert_eq!((settings.allow.reports, settings.allow.peer_in_per_s), (Reports::Probe, 40.0));
-    assert!(settings.allow.cancel && settings.allow.counter && !settings.allow.must_ask);
+    assert_eq!((settings.gateway_count, settings.zone, settings.batch_interval), (2, 1, 2_000));
+    let keyed = Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: 1_000_000 };
+    assert_eq!((settings.classes[0].idempotency, settings.plans[0].max_concurrency), (keyed, 3));
+    assert_eq!(
+        (settings.capabilities.load_reports, settings.capabilities.gossip_messages_per_s),
+        (LoadReports::WithHealthChecks, 40.0)
+    );
+    assert!(
+        settings.capabilities.cancellation
+            && settings.capabilities.shared_counter
+            && !settings.capabilities.polls_discovery
+    );
     assert_eq!(columns, ["outstanding", ""]);
 }
 
@@ -58,6 +65,9 @@
     odd["familyInfo"] = json!([1]);
     odd["limits"]["cancel"] = json!("yes");
     let (settings, columns) = read(&odd).unwrap();
-    assert_eq!((settings.allow.reports, settings.allow.peer_in_per_s), (Reports::None, 0.0));
-    assert!(!settings.allow.cancel && columns.is_empty());
+    assert_eq!(
+        (settings.capabilities.load_reports, settings.capabilities.gossip_messages_per_s),
+        (LoadReports::None, 0.0)
+    );
+    assert!(!settings.capabilities.cancellation && columns.is_empty());
 }
