--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -172,9 +172,8 @@
             _ => !ran,
         };
         out.push(if harmless {
-            let advice =
-                if s.capabilities.retry_after { wait.min(s.capabilities.max_retry_after) } else { 0 };
-            Action::Reject { id, retry_after: advice }
+            let advice = s.capabilities.retry_after.then(|| wait.min(s.capabilities.max_retry_after));
+            Action::Reject { id, retry_after: advice.filter(|wait| *wait > 0) }
         } else {
             Action::Fail { id }
         });
@@ -260,7 +259,7 @@
             Event::EndpointsChanged { watch_event: kind, endpoints: entries } => {
                 self.update_servers(now, kind, entries, out)
             }
-            Event::Request {
+            Event::RequestArrived(RequestArrival {
                 id,
                 class,
                 plan,
@@ -271,14 +270,14 @@
                 first_gateway: first,
                 is_retry: repeat,
                 body_incomplete: coming,
-            } => {
+            }) => {
                 let (s, margin) = (&self.settings, 2 * self.settings.batch_interval);
                 let sane = class < s.classes.len() && plan < s.plans.len() && (0.0..1e9).contains(&units);
                 if self.requests.contains_key(&id) {
                     return;
                 }
                 if !sane || patience <= margin {
-                    return out.push(Action::Reject { id, retry_after: 0 });
+                    return out.push(Action::Reject { id, retry_after: None });
                 }
                 self.customer(now, customer, plan, spread, first);
                 let deadline = now.saturating_add(patience - margin).min(self.ends);
@@ -295,7 +294,7 @@
             Event::BodyComplete { id } => self.came(now, id, out),
             Event::BodyConsumed { id } => drop(self.requests.entry(id).and_modify(|r| r.spent = true)),
             Event::ResponseStarted { id } => drop(self.requests.entry(id).and_modify(|r| r.started = true)),
-            Event::AttemptCompleted {
+            Event::AttemptCompleted(AttemptReport {
                 id,
                 attempt,
                 server,
@@ -305,7 +304,7 @@
                 reported_usage: used,
                 settled_units: settled,
                 load_report: load,
-            } => {
+            }) => {
                 self.report(now, server, load);
                 self.meter(now, id, used, settled);
                 self.outcome(now, id, attempt, (status, took, closed), out);
@@ -322,8 +321,8 @@
             },
             Event::HealthCheckCompleted { server, load_report: load, .. } => self.report(now, server, load),
             Event::GossipReceived { from, message: data } => self.receive_gossip(now, from, &data),
-            Event::CounterReplied { counter, total, possibly_counted: unsure, elapsed: took } => {
-                self.counted(now, counter, (total, unsure, took), out);
+            Event::CounterReplied { counter, result, elapsed } => {
+                self.counted(now, counter, result, elapsed, out);
             }
         }
     }
--- a/crates/core/src/customers.rs
+++ b/crates/core/src/customers.rs
@@ -141,9 +141,10 @@
 
     /// Whether a try may go within the quota: told unit by unit, by the bucket; else by its slice as well.
     pub fn covers(&self, now: Micros, units: f64, source: UsageSource) -> bool {
-        let most_open = (f64::from(self.terms.max_concurrency) * self.share(now, source)).round().max(1.0);
-        (self.terms.rate == 0.0 || self.available(source) >= units)
-            && (self.terms.max_concurrency == 0 || f64::from(self.open) <= most_open)
+        let most_open = |limit| (f64::from(limit) * self.share(now, source)).round().max(1.0);
+        let below_concurrency =
+            self.terms.max_concurrency.is_none_or(|limit| f64::from(self.open) <= most_open(limit));
+        (self.terms.rate == 0.0 || self.available(source) >= units) && below_concurrency
     }
 
     /// How long until an unused customer is as good as new: its stores have filled again.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,68 +1,62 @@
-//! grebehook-core makes the decisions of a gateway that holds customers to their quotas before a shared
-//! back end: who goes on at once, who waits, who is refused, and which server gets the request.
+//! The decision core of grebehook, a gateway that holds customers to their quotas before a shared back end:
+//! which request is admitted at once, queued or rejected, and which server gets it.
 //!
 //! It does no input or output and reads no clock. The host hands in [`Event`]s with the time and
 //! carries out the [`Action`]s that come back:
 //!
 //! ```
-//! use grebehook_core::*;
+//! use grebehook_core::{
+//!     Action, Capabilities, Class, CustomerId, Endpoint, EndpointState, Event, Gateway, Idempotency, Plan,
+//!     ProtocolRules, RequestArrival, RequestId, ServerId, Settings, SettingsError, WatchEvent,
+//! };
 //!
 //! let settings = Settings {
-//!     me: 0,
-//!     gateways: 1,
+//!     gateway_index: 0,
+//!     gateway_count: 1,
 //!     zone: 0,
-//!     tick: 1_000,
+//!     batch_interval: 1_000,
 //!     classes: vec![Class {
-//!         aim: 500_000,
+//!         latency_objective: 500_000,
 //!         deadline: 2_000_000,
-//!         late_worth: 0.0,
-//!         worth: 1.0,
-//!         effect: Idempotency::Idempotent,
-//!         stream: false,
-//!     }],
-//!     plans: vec![Plan {
-//!         rate: 2.0,
-//!         burst: 4.0,
-//!         open: 0,
-//!         price: 1.0,
-//!         over_worth: 0.0,
-//!         over_cost: 1.0,
-//!         ceiling_rate: 0.0,
-//!         ceiling_burst: 0.0,
-//!         ceiling_slack: 0.0,
+//!         late_priority_weight: 0.0,
+//!         priority_weight: 1.0,
+//!         idempotency: Idempotency::Idempotent,
+//!         streaming: false,
 //!     }],
-//!     allow: Capabilities {
-//!         cancel: true,
+//!     plans: vec![Plan { rate: 2.0, burst: 4.0, weight_multiplier: 1.0, overage_cost: 1.0, ..Plan::default() }],
+//!     capabilities: Capabilities {
+//!         cancellation: true,
 //!         retry_after: true,
 //!         max_retry_after: 1_000_000,
 //!         max_attempts: 3,
 //!         ..Capabilities::default()
 //!     },
 //!     rules: ProtocolRules {
-//!         answer_slack: 5_000,
-//!         cold_from: 0.2,
-//!         cold: 10_000_000,
-//!         fall_multiple: 3.0,
-//!         fall: 2_000_000,
+//!         response_grace: 5_000,
+//!         initial_capacity: 0.2,
+//!         warm_up: 10_000_000,
+//!         overload_multiple: 3.0,
+//!         overload_window: 2_000_000,
 //!     },
 //! };
 //! let mut actions = Vec::new();
 //! let mut gateway = Gateway::new(settings, 7, 0)?;
-//! let entry = Endpoint { server: ServerId(1), state: EndpointState::Ready, ready_at: 0, size: 1.0, zone: 0, cell: 0 };
-//! gateway.handle(0, Event::EndpointsChanged { kind: WatchEvent::Snapshot, entries: vec![entry] }, &mut actions);
-//! let request = Event::Request {
+//! let endpoint = Endpoint { server: ServerId(1), state: EndpointState::Ready, ..Endpoint::default() };
+//! let list = Event::EndpointsChanged { watch_event: WatchEvent::Snapshot, endpoints: vec![endpoint] };
+//! gateway.handle(0, list, &mut actions);
+//! let request = RequestArrival {
 //!     id: RequestId(1),
 //!     class: 0,
 //!     plan: 0,
 //!     customer: CustomerId(9),
-//!     patience: 2_000_000,
+//!     client_timeout: 2_000_000,
 //!     units: 1.0,
-//!     spread: 1,
-//!     first: 0,
-//!     repeat: false,
-//!     coming: false,
+//!     customer_gateway_count: 1,
+//!     first_gateway: 0,
+//!     is_retry: false,
+//!     body_incomplete: false,
 //! };
-//! gateway.handle(1_000, request, &mut actions);
+//! gateway.handle(1_000, Event::RequestArrived(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { server: ServerId(1), .. })));
 //! // A host hands each `Action::Timer` back as an `Event::Timer` once its time has come.
 //! for action in actions.split_off(0) {
@@ -101,6 +95,10 @@
 #[path = "../tests/unit/mod.rs"]
 mod tests;
 
-pub use api::*;
+pub use api::{
+    Action, AttemptReport, AttemptStatus, Capabilities, Class, CounterId, CounterResult, CustomerId,
+    DeduplicationScope, Endpoint, EndpointState, Event, Idempotency, LoadReport, LoadReports, Micros, Plan,
+    ProtocolRules, RequestArrival, RequestId, ServerId, Settings, SettingsError, TimerId, WatchEvent,
+};
 pub use gateway::Gateway;
 pub use handover::HandoverError;
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -30,7 +30,7 @@
             let known = self.servers.get(id);
             let open = known.map_or(0, |x| x.open);
             let told_start = entry.started_at;
-            let entry = Endpoint { started_at: self.start_times.local(told_start), ..entry };
+            let entry = Endpoint { started_at: told_start.map(|at| self.start_times.local(at)), ..entry };
             if known.is_some_and(|x| x.told_start == told_start) {
                 self.servers.update(now, id, |x| x.entry = entry);
                 continue;
@@ -49,7 +49,8 @@
         let servers: Vec<ServerId> = self.servers.iter().map(|x| x.entry.server).collect();
         for id in servers {
             let start_times = &self.start_times;
-            self.servers.update(now, id, |x| x.entry.started_at = start_times.local(x.told_start));
+            self.servers
+                .update(now, id, |x| x.entry.started_at = x.told_start.map(|at| start_times.local(at)));
         }
     }
 
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -48,7 +48,7 @@
         };
         let told = s.capabilities.shared_counter && c.counted > 0 && now <= c.counted + COUNT_FRESH
             || self.near && (0..c.spread).all(|k| fresh((c.first + k) % s.gateway_count));
-        match (told, s.capabilities.usage_report_period > 0 && now <= self.metered + METER_STALE) {
+        match (told, s.capabilities.usage_report_period.is_some() && now <= self.metered + METER_STALE) {
             (true, _) => UsageSource::Exact,
             (_, true) => UsageSource::Metered,
             _ => UsageSource::Unknown,
@@ -65,7 +65,8 @@
     pub(crate) fn meter(&mut self, now: Micros, id: RequestId, used: Option<f64>, settled: Option<f64>) {
         let phase = self.random_source.next_fraction();
         let Some(r) = self.requests.get(&id) else { return };
-        let (customer, meter) = (r.customer, seconds(self.settings.capabilities.usage_report_period));
+        let (customer, meter) =
+            (r.customer, seconds(self.settings.capabilities.usage_report_period.unwrap_or(0)));
         let Some(c) = self.customers.get_mut(customer) else { return };
         let plan = &c.terms;
         if let Some(units) = settled.filter(|u| u.is_finite() && r.inside && !r.done) {
@@ -123,13 +124,18 @@
         &mut self,
         now: Micros,
         counter: CounterId,
-        end: (Option<f64>, bool, Micros),
+        result: CounterResult,
+        took: Micros,
         out: Out,
     ) {
-        let ((total, lost, took), fraction) = (end, self.random_source.next_fraction());
+        let fraction = self.random_source.next_fraction();
+        let total = match result {
+            CounterResult::Total(total) => Some(total),
+            CounterResult::Refused | CounterResult::Unknown => None,
+        };
         let (limit, many) = (self.settings.capabilities.counter_timeout, self.settings.gateway_count > OFTEN);
         let quick = if many { QUICK_DIVISOR_OF_MANY } else { QUICK_DIVISOR };
-        let quick = total.is_some() && (limit == 0 || took < limit / quick);
+        let quick = total.is_some() && limit.is_none_or(|limit| took < limit / quick);
         if quick || now >= self.cut + CROWDED {
             let gain = if quick { CALLS_INCREASE } else { CALLS_DECREASE };
             self.call_share = (self.call_share * gain).clamp(MIN_CALLS_PER_REQUEST, MAX_CALLS_PER_REQUEST);
@@ -175,7 +181,7 @@
             if c.bucket_level < 1.0 && c.demand(now) < dry {
                 c.learn(now, dry, 0.0);
             }
-        } else if lost {
+        } else if result == CounterResult::Unknown {
             (c.unsure, c.correction) = (c.unsure + added, 0.0);
         } else {
             c.uncounted += added - std::mem::take(&mut c.correction);
--- a/crates/core/src/server_index.rs
+++ b/crates/core/src/server_index.rs
@@ -27,7 +27,7 @@
     /// As it is listed; its start by this process's clock.
     pub entry: Endpoint,
     /// Its start by the fleet's clock, as it was told.
-    pub told_start: Micros,
+    pub told_start: Option<Micros>,
     /// Attempts out there from here.
     pub open: u32,
     /// Time per request held, µs.
@@ -55,7 +55,7 @@
     state: EndpointState,
     zone: u32,
     cell: u32,
-    ready_at: Micros,
+    started_at: Option<Micros>,
     ejected: Micros,
     idle: bool,
     item_us: f64,
@@ -67,15 +67,15 @@
         state: EndpointState::Gone,
         zone: 0,
         cell: 0,
-        ready_at: 0,
+        started_at: None,
         ejected: 0,
         idle: false,
         item_us: 0.0,
     };
 
     fn of(x: &Server) -> Indexed {
-        let Endpoint { state, zone, cell, started_at: ready_at, .. } = x.entry;
-        Indexed { state, zone, cell, ready_at, ejected: x.ejected, idle: x.open == 0, item_us: x.item_us }
+        let Endpoint { state, zone, cell, started_at, .. } = x.entry;
+        Indexed { state, zone, cell, started_at, ejected: x.ejected, idle: x.open == 0, item_us: x.item_us }
     }
 
     fn is_ready(&self) -> bool {
@@ -102,7 +102,7 @@
     /// By the end of the ejection.
     ejected: BTreeSet<(Micros, Slot)>,
     /// By the time of their start, so that the first is the next to be warm.
-    cold: BTreeSet<(Micros, Slot)>,
+    cold: BTreeSet<(Option<Micros>, Slot)>,
     /// Ready ones by zone and by cell.
     zones: BTreeSet<(u32, Slot)>,
     cells: BTreeSet<(u32, Slot)>,
@@ -225,11 +225,11 @@
             self.ejected.remove(&(until, slot));
             self.place_in_subsets(slot);
         }
-        while let Some((ready_at, slot)) = self.cold.first().copied() {
+        while let Some((started_at, slot)) = self.cold.first().copied() {
             if self.record(slot).ramp(now, &self.rules) < 1.0 {
                 return;
             }
-            self.cold.remove(&(ready_at, slot));
+            self.cold.remove(&(started_at, slot));
             self.place_in_subsets(slot);
         }
     }
@@ -310,10 +310,10 @@
                 self.ejected.insert((after.ejected, slot));
             }
         }
-        if after.ready_at != before.ready_at {
-            self.cold.remove(&(before.ready_at, slot));
+        if after.started_at != before.started_at {
+            self.cold.remove(&(before.started_at, slot));
             if self.record(slot).ramp(now, &self.rules) < 1.0 {
-                self.cold.insert((after.ready_at, slot));
+                self.cold.insert((after.started_at, slot));
             }
         }
         self.place_in_subsets(slot);
--- a/crates/core/src/servers.rs
+++ b/crates/core/src/servers.rs
@@ -29,13 +29,9 @@
 
     /// Share of its capacity that is there at least.
     pub fn ramp(&self, now: Micros, rules: &ProtocolRules) -> f64 {
-        if self.entry.started_at == 0 || rules.warm_up == 0 {
-            return 1.0;
-        }
-        let (up, from) = (
-            now.saturating_sub(self.entry.started_at) as f64 / rules.warm_up as f64,
-            rules.initial_capacity.min(1.0),
-        );
+        let Some(started_at) = self.entry.started_at.filter(|_| rules.warm_up > 0) else { return 1.0 };
+        let (up, from) =
+            (now.saturating_sub(started_at) as f64 / rules.warm_up as f64, rules.initial_capacity.min(1.0));
         (from + (1.0 - from) * up).clamp(0.01, 1.0)
     }
 
--- a/crates/core/src/start_times.rs
+++ b/crates/core/src/start_times.rs
@@ -22,40 +22,40 @@
     /// What this process's clock is ahead; negative where it is behind.
     ahead: i64,
     /// The newest start told, by the fleet's clock.
-    newest: Micros,
+    newest: Option<Micros>,
     /// When discovery last answered, by this process's clock.
     answered: Option<Micros>,
 }
 
 impl StartTimes {
     /// Takes the starts of a list that came now. Whether the difference was corrected.
-    pub fn observe(&mut self, now: Micros, kind: WatchEvent, entries: &[Endpoint]) -> bool {
-        let told = entries.iter().map(|entry| entry.started_at);
-        let newest = told.filter(|at| self.age(now, *at) > -(MAX_STEP as i64)).max().unwrap_or(0);
-        let is_news = newest > self.newest;
-        self.newest = self.newest.max(newest);
-        let age = self.age(now, newest);
-        let is_ahead = self.answered.is_some_and(|before| age > (now - before + NEWS_DELAY) as i64);
-        if kind != WatchEvent::CachedSnapshot {
+    pub fn observe(&mut self, now: Micros, watch_event: WatchEvent, endpoints: &[Endpoint]) -> bool {
+        let is_plausible = |at: &Micros| self.age(now, *at) > -(MAX_STEP as i64);
+        let newest = endpoints.iter().filter_map(|endpoint| endpoint.started_at).filter(is_plausible).max();
+        let answered_before = self.answered;
+        if watch_event != WatchEvent::CachedSnapshot {
             self.answered = Some(now);
         }
-        let is_off = is_news && (age < 0 || is_ahead);
+        let Some(newest) = newest.filter(|at| self.newest.is_none_or(|known| *at > known)) else {
+            return false;
+        };
+        self.newest = Some(newest);
+        let age = self.age(now, newest);
+        let is_ahead = answered_before.is_some_and(|before| age > (now - before + NEWS_DELAY) as i64);
+        let is_off = age < 0 || is_ahead;
         if is_off {
             self.ahead += age;
         }
         is_off
     }
 
-    /// A start by this process's clock; 0 stays what it is, long past.
-    pub fn local(&self, ready_at: Micros) -> Micros {
-        match ready_at {
-            0 => 0,
-            told => told.saturating_add_signed(self.ahead).max(1),
-        }
+    /// A start by this process's clock, from the fleet's.
+    pub fn local(&self, started_at: Micros) -> Micros {
+        started_at.saturating_add_signed(self.ahead).max(1)
     }
 
     /// How long ago a start was; negative where it would lie in the future.
-    fn age(&self, now: Micros, ready_at: Micros) -> i64 {
-        now as i64 - self.ahead - ready_at as i64
+    fn age(&self, now: Micros, started_at: Micros) -> i64 {
+        now as i64 - self.ahead - started_at as i64
     }
 }
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -68,17 +68,19 @@
     }
     rig.event(Event::GossipReceived { from: 9, message: vec![1; 300] });
     rig.event(Event::GossipReceived { from: 1, message: vec![0; 3] });
-    let request = |class, plan, units| Event::Request {
-        id: RequestId(1000 + class as u64 * 10 + plan as u64),
-        class,
-        plan,
-        customer: CustomerId(1),
-        client_timeout: S,
-        units,
-        customer_gateway_count: 0,
-        first_gateway: 9,
-        is_retry: false,
-        body_incomplete: false,
+    let request = |class, plan, units| {
+        Event::RequestArrived(RequestArrival {
+            id: RequestId(1000 + class as u64 * 10 + plan as u64),
+            class,
+            plan,
+            customer: CustomerId(1),
+            client_timeout: S,
+            units,
+            customer_gateway_count: 0,
+            first_gateway: 9,
+            is_retry: false,
+            body_incomplete: false,
+        })
     };
     assert!(refused(&rig.event(request(3, 0, 1.0))));
     assert!(refused(&rig.event(request(0, 3, 1.0))));
@@ -97,12 +99,12 @@
     assert_eq!(refusal(|s| s.classes.clear()).as_deref(), Some("classes"));
     assert_eq!(refusal(|s| s.plans.clear()).as_deref(), Some("plans"));
     assert_eq!(refusal(|s| s.plans[0].rate = -1.0).as_deref(), Some("plans[0].rate"));
-    assert_eq!(refusal(|s| s.plans[0].hard_limit_rate = f64::NAN).as_deref(), Some("plans[0].ceiling_rate"));
-    assert_eq!(refusal(|s| s.gateway_index = 2).as_deref(), Some("me"));
-    assert_eq!(refusal(|s| s.batch_interval = 0).as_deref(), Some("tick"));
+    assert_eq!(refusal(|s| s.plans[0].hard_limit_rate = f64::NAN).as_deref(), Some("plans[0].hard_limit_rate"));
+    assert_eq!(refusal(|s| s.gateway_index = 2).as_deref(), Some("gateway_index"));
+    assert_eq!(refusal(|s| s.batch_interval = 0).as_deref(), Some("batch_interval"));
     assert_eq!(
         refusal(|s| s.rules.overload_multiple = f64::INFINITY).as_deref(),
-        Some("rules.fall_multiple")
+        Some("rules.overload_multiple")
     );
 }
 
@@ -122,7 +124,7 @@
 fn a_request_whose_body_is_coming_is_not_timed_until_it_has_come() {
     let mut rig = Rig::new(settings(), &[entry(1, 0)]);
     let id = RequestId(900);
-    let actions = rig.event(Event::Request {
+    let actions = rig.event(Event::RequestArrived(RequestArrival {
         id,
         class: 0,
         plan: 0,
@@ -133,7 +135,7 @@
         first_gateway: 0,
         is_retry: false,
         body_incomplete: true,
-    });
+    }));
     assert_eq!(sent(&actions), Some(ServerId(1)));
     assert!(rig.run_to(rig.now + 3 * S).iter().all(|(_, a)| !matches!(a, Action::Reject { .. })));
     rig.event(Event::BodyComplete { id });
--- a/crates/core/tests/bounded_work.rs
+++ b/crates/core/tests/bounded_work.rs
@@ -19,7 +19,7 @@
     fn new(gateways: usize, servers: &[Endpoint]) -> Load {
         let mut s = settings();
         (s.gateway_count, s.gateway_index) = (gateways, 7 % gateways);
-        s.capabilities.usage_report_period = 500 * MS;
+        s.capabilities.usage_report_period = Some(500 * MS);
         s.capabilities.gossip = true;
         s.classes
             .push(class(Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: 500 * MS }));
@@ -45,7 +45,7 @@
     fn request(&mut self, class: usize, customer: u64) -> u64 {
         self.requests += 1;
         self.now += 600;
-        self.event(Event::Request {
+        self.event(Event::RequestArrived(RequestArrival {
             id: RequestId(self.requests),
             class,
             plan: 0,
@@ -56,11 +56,11 @@
             first_gateway: 5,
             is_retry: false,
             body_incomplete: false,
-        })
+        }))
     }
 
     fn outcome(&mut self, attempt: u32, server: ServerId, status: AttemptStatus, used: f64) -> u64 {
-        self.event(Event::AttemptCompleted {
+        self.event(Event::AttemptCompleted(AttemptReport {
             id: RequestId(self.requests),
             attempt,
             server,
@@ -70,7 +70,7 @@
             reported_usage: Some(used),
             settled_units: None,
             load_report: None,
-        })
+        }))
     }
 
     fn tick(&mut self) -> u64 {
@@ -93,7 +93,7 @@
         request = request.max(visited);
         if k % 3 == 0 {
             tick = tick.max(load.tick());
-            let new = Endpoint { started_at: load.now, ..entry(servers as u64 + 1 + k, 0) };
+            let new = Endpoint { started_at: Some(load.now), ..entry(servers as u64 + 1 + k, 0) };
             change = change.max(load.list(WatchEvent::Delta, vec![new]));
             let old = Endpoint { state: EndpointState::Gone, ..entry(servers as u64 + 1 + k, 0) };
             change = change.max(load.list(WatchEvent::Delta, vec![old]));
@@ -155,7 +155,7 @@
             &mut out,
         );
         for k in 0..customers as u64 {
-            let request = Event::Request {
+            let request = Event::RequestArrived(RequestArrival {
                 id: RequestId(k),
                 class: 0,
                 plan: 0,
@@ -166,11 +166,11 @@
                 first_gateway: 5,
                 is_retry: false,
                 body_incomplete: false,
-            };
+            });
             out.clear();
             gateway.handle(2 * S, request, &mut out);
             if let Some(server) = sent(&out) {
-                let end = Event::AttemptCompleted {
+                let end = Event::AttemptCompleted(AttemptReport {
                     id: RequestId(k),
                     attempt: 0,
                     server,
@@ -180,7 +180,7 @@
                     reported_usage: None,
                     settled_units: None,
                     load_report: None,
-                };
+                });
                 gateway.handle(2 * S, end, &mut out);
             }
         }
@@ -212,7 +212,7 @@
         // This gateway's subset begins at 0.326 of the list.
         let from = servers as u64 * 3 / 10;
         let restarted =
-            (from..from + servers as u64 / 4).map(|k| Endpoint { started_at: load.now, ..entry(k, 0) });
+            (from..from + servers as u64 / 4).map(|k| Endpoint { started_at: Some(load.now), ..entry(k, 0) });
         let restarted: Vec<Endpoint> = restarted.collect();
         let cold: BTreeSet<ServerId> = restarted.iter().map(|e| e.server).collect();
         load.list(WatchEvent::Delta, restarted);
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -22,7 +22,7 @@
     Plan {
         rate: 2.0,
         burst: 4.0,
-        max_concurrency: 0,
+        max_concurrency: None,
         weight_multiplier: 1.0,
         overage_weight: 0.0,
         overage_cost: 1.0,
@@ -63,7 +63,7 @@
     Endpoint {
         server: ServerId(server),
         state: EndpointState::Ready,
-        started_at: 0,
+        started_at: None,
         relative_size: 1.0,
         zone,
         cell: zone,
@@ -114,7 +114,7 @@
     pub fn request(&mut self, class: usize, customer: u64, patience: Micros) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let id = RequestId(self.next);
-        let actions = self.event(Event::Request {
+        let actions = self.event(Event::RequestArrived(RequestArrival {
             id,
             class,
             plan: 0,
@@ -125,7 +125,7 @@
             first_gateway: 0,
             is_retry: false,
             body_incomplete: false,
-        });
+        }));
         (id, actions)
     }
 
@@ -148,7 +148,7 @@
         server: ServerId,
         status: AttemptStatus,
     ) -> Vec<Action> {
-        self.event(Event::AttemptCompleted {
+        self.event(Event::AttemptCompleted(AttemptReport {
             id,
             attempt,
             server,
@@ -158,7 +158,7 @@
             reported_usage: None,
             settled_units: None,
             load_report: None,
-        })
+        }))
     }
 }
 
--- a/crates/core/tests/counter.rs
+++ b/crates/core/tests/counter.rs
@@ -8,8 +8,8 @@
     let mut s = settings();
     s.gateway_count = 4;
     s.capabilities.shared_counter = true;
-    s.capabilities.counter_timeout = 80 * MS;
-    s.capabilities.usage_report_period = S;
+    s.capabilities.counter_timeout = Some(80 * MS);
+    s.capabilities.usage_report_period = Some(S);
     s
 }
 
@@ -22,7 +22,8 @@
 
 fn reply(rig: &mut Rig, counter: CounterId, total: Option<f64>) -> Vec<Action> {
     rig.now += 2 * MS;
-    rig.event(Event::CounterReplied { counter, total, possibly_counted: total.is_none(), elapsed: 2 * MS })
+    let result = total.map_or(CounterResult::Unknown, CounterResult::Total);
+    rig.event(Event::CounterReplied { counter, result, elapsed: 2 * MS })
 }
 
 #[test]
@@ -141,7 +142,7 @@
         let (counter, _) = call(&actions).expect("a call");
         let server = sent(&reply(&mut rig, counter, Some(total))).expect("it goes");
         let (status, used) = (AttemptStatus::Ok, Some(used));
-        let end = Event::AttemptCompleted {
+        let end = Event::AttemptCompleted(AttemptReport {
             id,
             attempt: 0,
             server,
@@ -151,7 +152,7 @@
             reported_usage: used,
             settled_units: None,
             load_report: None,
-        };
+        });
         rig.event(end);
         let (_, mut done) = rig.request(0, 5, 2 * S);
         if call(&done).is_some() {
@@ -168,7 +169,7 @@
     let (id, actions) = rig.request(0, 5, 2 * S);
     let (counter, _) = call(&actions).expect("a call");
     let server = sent(&reply(&mut rig, counter, Some(1.0))).expect("sent");
-    rig.event(Event::AttemptCompleted {
+    rig.event(Event::AttemptCompleted(AttemptReport {
         id,
         attempt: 0,
         server,
@@ -178,7 +179,7 @@
         reported_usage: None,
         settled_units: Some(2.5),
         load_report: None,
-    });
+    }));
     let later: Vec<_> = rig.run_to(rig.now + S).into_iter().map(|d| d.1).collect();
     assert_eq!(call(&later), Some((counter, 1.5)));
 }
@@ -224,12 +225,7 @@
         rig.outcome(id, 0, server, AttemptStatus::Ok);
         if let Some((counter, _)) = asked {
             calls += 1;
-            rig.event(Event::CounterReplied {
-                counter,
-                total: None,
-                possibly_counted: true,
-                elapsed: 80 * MS,
-            });
+            rig.event(Event::CounterReplied { counter, result: CounterResult::Unknown, elapsed: 80 * MS });
         }
     }
     assert!((5..=40).contains(&calls), "{calls}");
@@ -243,12 +239,7 @@
         let (_, actions) = rig.request(0, 1_000 + k, 2 * S);
         let (counter, amount) = call(&actions).expect("a call");
         rig.run_to(rig.now + 12 * MS);
-        rig.event(Event::CounterReplied {
-            counter,
-            total: Some(amount),
-            possibly_counted: false,
-            elapsed: 12 * MS,
-        });
+        rig.event(Event::CounterReplied { counter, result: CounterResult::Total(amount), elapsed: 12 * MS });
         rig.run_to(rig.now + 50 * MS);
     }
 }
@@ -265,7 +256,7 @@
     // With work out at the other server, this plan still avoids the full one; another plan goes there.
     let mine: Vec<_> = (0..3).map(|k| sent(&rig.request(0, 500 + k, 2 * S).1)).collect();
     assert_eq!(mine, [Some(ServerId(2)); 3]);
-    let other = rig.event(Event::Request {
+    let other = rig.event(Event::RequestArrived(RequestArrival {
         id: RequestId(5_000),
         class: 0,
         plan: 1,
@@ -276,7 +267,7 @@
         first_gateway: 0,
         is_retry: false,
         body_incomplete: false,
-    });
+    }));
     assert_eq!(sent(&other), Some(ServerId(1)));
     rig.run_to(rig.now + 10 * S);
     assert_eq!(sent(&rig.request(0, 600, 2 * S).1), Some(ServerId(1)), "tried again after its pause");
@@ -289,9 +280,9 @@
         change(&mut s);
         Gateway::new(s, 1, 0).err().map(|e| e.field)
     };
-    assert_eq!(bad(|s| s.gateway_count = 65_536).as_deref(), Some("gateways"));
+    assert_eq!(bad(|s| s.gateway_count = 65_536).as_deref(), Some("gateway_count"));
     assert_eq!(bad(|s| s.gateway_count = 65_535), None);
-    assert_eq!(bad(|s| s.gateway_index = 2).as_deref(), Some("me"));
-    assert_eq!(bad(|s| s.capabilities.counter_call_cost = -0.1).as_deref(), Some("allow.count_fee"));
-    assert_eq!(bad(|s| s.capabilities.gossip_cost = f64::NAN).as_deref(), Some("allow.peer_price"));
+    assert_eq!(bad(|s| s.gateway_index = 2).as_deref(), Some("gateway_index"));
+    assert_eq!(bad(|s| s.capabilities.counter_call_cost = -0.1).as_deref(), Some("capabilities.counter_call_cost"));
+    assert_eq!(bad(|s| s.capabilities.gossip_cost = f64::NAN).as_deref(), Some("capabilities.gossip_cost"));
 }
--- a/crates/core/tests/legal_orders.rs
+++ b/crates/core/tests/legal_orders.rs
@@ -168,7 +168,7 @@
                 w.owners.insert(id, customer);
                 let customer = CustomerId(customer);
                 let patience = patience * MS;
-                w.event(Event::Request {
+                w.event(Event::RequestArrived(RequestArrival {
                     id,
                     class,
                     plan: 0,
@@ -179,7 +179,7 @@
                     first_gateway: 0,
                     is_retry: false,
                     body_incomplete: false,
-                });
+                }));
             }
             Step::End { pick, status } => {
                 let out: Vec<_> = w
@@ -197,7 +197,7 @@
                 let closed = r.closed || status == AttemptStatus::Ok;
                 r.closed = closed;
                 let attempt = attempt as u32;
-                w.event(Event::AttemptCompleted {
+                w.event(Event::AttemptCompleted(AttemptReport {
                     id,
                     attempt,
                     server,
@@ -207,7 +207,7 @@
                     reported_usage: None,
                     settled_units: None,
                     load_report: None,
-                });
+                }));
             }
             Step::Leave { pick } => {
                 let open: Vec<_> = w.seen.iter().filter(|(_, r)| !r.closed).map(|(id, _)| *id).collect();
--- a/crates/core/tests/many.rs
+++ b/crates/core/tests/many.rs
@@ -20,7 +20,7 @@
 }
 
 fn request(k: u64, customer: u64, spread: usize) -> Event {
-    Event::Request {
+    Event::RequestArrived(RequestArrival {
         id: RequestId(k),
         class: 0,
         plan: 0,
@@ -31,7 +31,7 @@
         first_gateway: 0,
         is_retry: false,
         body_incomplete: false,
-    }
+    })
 }
 
 /// Plays a request to the end of its hold; where it went.
@@ -51,7 +51,7 @@
 fn served(g: &mut Gateway, now: Micros, k: u64, server: ServerId, used: f64) -> Vec<Action> {
     let mut out = Vec::new();
     let (id, status, took) = (RequestId(k), AttemptStatus::Ok, 50 * MS);
-    let end = Event::AttemptCompleted {
+    let end = Event::AttemptCompleted(AttemptReport {
         id,
         attempt: 0,
         server,
@@ -61,14 +61,14 @@
         reported_usage: Some(used),
         settled_units: None,
         load_report: Some(LoadReport { in_flight: Some(0.0), ..LoadReport::default() }),
-    };
+    });
     g.handle(now, end, &mut out);
     out
 }
 
 fn metered() -> Settings {
     let mut s = settings();
-    s.capabilities.usage_report_period = 500 * MS;
+    s.capabilities.usage_report_period = Some(500 * MS);
     s
 }
 
@@ -164,7 +164,7 @@
 fn a_cold_server_gets_from_all_gateways_its_part_and_no_more() {
     let n = 300;
     let mut all: Vec<Gateway> = (0..n).map(|me| gateway(metered(), me, n, 31 * me as u64 + 7)).collect();
-    let cold = Endpoint { started_at: 3 * S, ..entry(20, 0) };
+    let cold = Endpoint { started_at: Some(3 * S), ..entry(20, 0) };
     let (mut to_cold, mut total) = (0, 0);
     for (me, g) in all.iter_mut().enumerate() {
         for k in 0..12 {
@@ -239,7 +239,7 @@
                 pace = now / (100 * MS);
                 let mut entries = Vec::new();
                 if pace == born / (100 * MS) {
-                    entries.push(Endpoint { started_at: born, ..entry(1_000, 0) });
+                    entries.push(Endpoint { started_at: Some(born), ..entry(1_000, 0) });
                 } else if changing && pace > born / (100 * MS) && pace % 3 == 0 {
                     // Another is replaced by one that is warm.
                     let old =
@@ -268,7 +268,7 @@
                 let (status, closed) =
                     if full { (AttemptStatus::Rejected, false) } else { (AttemptStatus::Ok, true) };
                 let id = RequestId(k);
-                let end = Event::AttemptCompleted {
+                let end = Event::AttemptCompleted(AttemptReport {
                     id,
                     attempt,
                     server,
@@ -278,7 +278,7 @@
                     reported_usage: None,
                     settled_units: None,
                     load_report: None,
-                };
+                });
                 out = Vec::new();
                 all[me].handle(now, end, &mut out);
                 attempt += 1;
@@ -422,7 +422,7 @@
     fn new(gateways: usize) -> Counting {
         let mut s = metered();
         s.capabilities.shared_counter = true;
-        s.capabilities.counter_timeout = 80 * MS;
+        s.capabilities.counter_timeout = Some(80 * MS);
         let all = (0..gateways).map(|me| gateway(s.clone(), me, gateways, 31 * me as u64 + 7)).collect();
         Counting { all, totals: BTreeMap::new(), next: 0 }
     }
@@ -464,10 +464,10 @@
                     now += 2 * MS;
                     let total = self.totals.entry(counter).or_default();
                     *total += amount;
-                    let (total, unsure, took) = (Some(*total), false, 2 * MS);
+                    let result = CounterResult::Total(*total);
                     self.all[me].handle(
                         now,
-                        Event::CounterReplied { counter, total, possibly_counted: unsure, elapsed: took },
+                        Event::CounterReplied { counter, result, elapsed: 2 * MS },
                         &mut done,
                     );
                 }
@@ -551,12 +551,8 @@
         });
         for (me, counter, total) in calls.collect::<Vec<_>>() {
             let mut out = Vec::new();
-            let answer = Event::CounterReplied {
-                counter,
-                total: Some(total),
-                possibly_counted: false,
-                elapsed: 2 * MS,
-            };
+            let answer =
+                Event::CounterReplied { counter, result: CounterResult::Total(total), elapsed: 2 * MS };
             fleet.all[me].handle(now + 2 * MS, answer, &mut out);
             pending.extend(out.into_iter().map(|a| (me, a)));
         }
@@ -571,13 +567,13 @@
 #[test]
 fn few_calls_go_where_use_beyond_the_quota_costs_most() {
     let mut s = settings();
-    (s.capabilities.shared_counter, s.capabilities.counter_timeout) = (true, 80 * MS);
+    (s.capabilities.shared_counter, s.capabilities.counter_timeout) = (true, Some(80 * MS));
     s.plans.push(Plan { overage_cost: 0.2, ..plan() });
     s.plans.push(Plan { overage_cost: 0.0, ..plan() });
     let mut g = gateway(s, 0, 160, 3);
     let mut asks = |k: u64, plan: usize, customer: u64| {
         let mut event = request(k, customer, 160);
-        if let Event::Request { plan: p, .. } = &mut event {
+        if let Event::RequestArrived(RequestArrival { plan: p, .. }) = &mut event {
             *p = plan;
         }
         let mut out = Vec::new();
@@ -611,7 +607,7 @@
 fn use_told_after_the_fact_leaves_the_calls_to_those_who_ask() {
     let mut s = settings();
     (s.capabilities.shared_counter, s.capabilities.settles_units, s.capabilities.counter_timeout) =
-        (true, true, 80 * MS);
+        (true, true, Some(80 * MS));
     let mut g = gateway(s, 0, 160, 3);
     let mut does = |now: Micros, event| {
         let mut out = Vec::new();
@@ -625,17 +621,16 @@
         };
         out.iter().filter_map(count).collect()
     };
-    let told =
-        |counter, total| Event::CounterReplied { counter, total, possibly_counted: false, elapsed: 5 * MS };
+    let told = |counter, result| Event::CounterReplied { counter, result, elapsed: 5 * MS };
     let round = || Event::Timer { timer: TimerId(u64::MAX) };
     let now = 2 * S;
     // One that asked turns out to have taken three units, not one.
     let asked = counts(&does(now, request(1, 5, 160)));
     assert_eq!(asked[0].1, 1.0);
     // The store filled by four units since the number's window began, and they ran over.
-    let server = sent(&does(now, told(asked[0].0, Some(5.0)))).expect("room at first");
+    let server = sent(&does(now, told(asked[0].0, CounterResult::Total(5.0)))).expect("room at first");
     let (id, status, settled) = (RequestId(1), AttemptStatus::Ok, Some(3.0));
-    let end = Event::AttemptCompleted {
+    let end = Event::AttemptCompleted(AttemptReport {
         id,
         attempt: 0,
         server,
@@ -645,7 +640,7 @@
         reported_usage: None,
         settled_units: settled,
         load_report: None,
-    };
+    });
     does(now, end);
     for k in 1..5 {
         assert!(counts(&does(now + k * 100 * MS, round())).is_empty(), "a call that nobody waits for");
@@ -655,7 +650,7 @@
     assert_eq!(asked[0].1, 3.0, "the difference goes along");
     // Its client leaves: the two units stay told, the one that was reserved goes back.
     does(now, Event::ClientDisconnected { id: RequestId(2) });
-    assert_eq!(counts(&does(now, told(asked[0].0, Some(8.0)))), [(asked[0].0, -1.0)]);
+    assert_eq!(counts(&does(now, told(asked[0].0, CounterResult::Total(8.0)))), [(asked[0].0, -1.0)]);
     assert!(counts(&does(now, round())).is_empty(), "once");
 }
 
@@ -663,7 +658,7 @@
 #[test]
 fn use_that_nobody_asked_for_is_told_once_calls_are_saved() {
     let mut s = settings();
-    (s.capabilities.shared_counter, s.capabilities.counter_timeout) = (true, 80 * MS);
+    (s.capabilities.shared_counter, s.capabilities.counter_timeout) = (true, Some(80 * MS));
     let mut g = gateway(s, 0, 160, 3);
     let mut does = |now: Micros, event| {
         let mut out = Vec::new();
@@ -687,7 +682,7 @@
         panic!("it does not ask")
     };
     let refused =
-        Event::CounterReplied { counter: *counter, total: None, possibly_counted: false, elapsed: 5 * MS };
+        Event::CounterReplied { counter: *counter, result: CounterResult::Refused, elapsed: 5 * MS };
     assert!(sent(&does(now, refused)).is_some(), "room at first");
     assert!(amounts(&does(now + 100 * MS, round())).is_empty(), "a call that nobody waits for");
     (20..50).for_each(|k| drop(does(now + 100 * MS, request(k, 8, 160))));
@@ -699,7 +694,7 @@
 fn a_plan_without_a_rate_is_never_refused() {
     let mut s = metered();
     (s.plans[0].rate, s.plans[0].burst) = (0.0, 0.0);
-    (s.capabilities.shared_counter, s.capabilities.counter_timeout) = (true, 80 * MS);
+    (s.capabilities.shared_counter, s.capabilities.counter_timeout) = (true, Some(80 * MS));
     for n in [2, 160] {
         let mut g = gateway(s.clone(), 0, n, 3);
         for k in 0..20 {
--- a/crates/core/tests/pacing.rs
+++ b/crates/core/tests/pacing.rs
@@ -64,7 +64,7 @@
     burst(&mut rig, 4);
     let (_, actions) = rig.request(0, 5, 2 * S);
     // Empty bucket, one unit, filled at the even slice of one a second.
-    assert!(matches!(actions[..], [Action::Reject { retry_after: 1_000_000, .. }]), "{actions:?}");
+    assert!(matches!(actions[..], [Action::Reject { retry_after: Some(1_000_000), .. }]), "{actions:?}");
 }
 
 #[test]
@@ -88,7 +88,7 @@
 #[test]
 fn a_metered_share_of_all_use_fills_the_bucket_at_the_whole_quota() {
     let mut s = settings();
-    s.capabilities.usage_report_period = 500 * MS;
+    s.capabilities.usage_report_period = Some(500 * MS);
     let mut rig = rig(s);
     burst(&mut rig, 10);
     let mut went = 0;
@@ -99,7 +99,7 @@
         done.extend(rig.run_to(rig.now + 95 * MS).into_iter().map(|d| d.1));
         if let Some(server) = sent(&done) {
             went += 1;
-            rig.event(Event::AttemptCompleted {
+            rig.event(Event::AttemptCompleted(AttemptReport {
                 id,
                 attempt: 0,
                 server,
@@ -109,7 +109,7 @@
                 reported_usage: Some(0.5), // all use there is, and it is ours
                 settled_units: None,
                 load_report: None,
-            });
+            }));
         }
     }
     assert!(went >= 15, "near two a second over ten seconds: {went}");
--- a/crates/core/tests/pressure.rs
+++ b/crates/core/tests/pressure.rs
@@ -37,7 +37,7 @@
         for k in 0..60 {
             let (id, actions) = rig.request(1, k, 2 * S);
             let server = sent(&actions).expect("room for one");
-            rig.event(Event::AttemptCompleted {
+            rig.event(Event::AttemptCompleted(AttemptReport {
                 id,
                 attempt: 0,
                 server,
@@ -47,7 +47,7 @@
                 reported_usage: None,
                 settled_units: None,
                 load_report: None,
-            });
+            }));
         }
         rig.run_to(20 * S);
         taken(&mut rig, 1)
--- a/crates/core/tests/servers.rs
+++ b/crates/core/tests/servers.rs
@@ -52,7 +52,7 @@
     for k in 0..3 * offered {
         rig.run_to(S + k * 1_500 * MS / offered);
         if k == 2 * offered {
-            rig.event(delta(Endpoint { started_at: rig.now, ..entry(2, 0) }, EndpointState::Ready));
+            rig.event(delta(Endpoint { started_at: Some(rig.now), ..entry(2, 0) }, EndpointState::Ready));
         }
         let (id, actions) = rig.request(0, 100 + k, 2 * S);
         let Some(server) = sent(&actions) else { continue };
@@ -119,7 +119,10 @@
         rig.run_to(S + k * 10 * MS);
         if k == 300 {
             for server in (1..=60).filter(|server| restarts(*server)) {
-                rig.event(delta(Endpoint { started_at: rig.now, ..entry(server, 0) }, EndpointState::Ready));
+                rig.event(delta(
+                    Endpoint { started_at: Some(rig.now), ..entry(server, 0) },
+                    EndpointState::Ready,
+                ));
             }
         }
         let (id, actions) = rig.request(0, 100 + k, 2 * S);
--- a/crates/core/tests/start_times.rs
+++ b/crates/core/tests/start_times.rs
@@ -35,7 +35,7 @@
             rig.event(delta(Vec::new()));
         }
         if k == OFFERED {
-            let started = Endpoint { started_at: fleet_time(rig.now), ..entry(2, 0) };
+            let started = Endpoint { started_at: Some(fleet_time(rig.now)), ..entry(2, 0) };
             rig.event(delta(vec![started]));
         }
         let (id, actions) = rig.request(0, 100 + k, 2 * S);
--- a/crates/core/tests/unit/server_index.rs
+++ b/crates/core/tests/unit/server_index.rs
@@ -111,10 +111,9 @@
     for step in steps {
         match step {
             Step::List { server, state, site, age_s } => {
-                let ready_at = age_s.map_or(0, |age| now - age * S);
+                let started_at = age_s.map(|age| now - age * S);
                 let (id, zone, cell) = (ServerId(server), site % 3, site);
-                let entry =
-                    Endpoint { server: id, state, started_at: ready_at, relative_size: 1.0, zone, cell };
+                let entry = Endpoint { server: id, state, started_at, relative_size: 1.0, zone, cell };
                 let fresh = || Server { entry: entry.clone(), ok: 1.0, item_us: 40e3, ..Server::default() };
                 index.insert(now, fresh());
                 model.0.insert(id, fresh());
@@ -155,13 +154,9 @@
 fn sums_kept_by_changes_agree_with_sums_made_anew() {
     let (mut index, now) = (ServerIndex::new(rules()), 20 * S);
     for k in 0..2_000_u64 {
-        let ready_at = if k % 3 == 0 { now - k * 5_000 } else { 0 };
-        let entry = Endpoint {
-            server: ServerId(k),
-            state: EndpointState::Ready,
-            started_at: ready_at,
-            ..Endpoint::default()
-        };
+        let started_at = (k % 3 == 0).then(|| now - k * 5_000);
+        let entry =
+            Endpoint { server: ServerId(k), state: EndpointState::Ready, started_at, ..Endpoint::default() };
         index.insert(now, Server { entry, item_us: 100.0 + k as f64 / 7.0, ..Server::default() });
         index.update(now, ServerId(k / 2), |x| x.item_us *= 1.01);
     }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::link::Link;
 use crate::stream::{Answered, Upload};
-use grebehook_core::{AttemptStatus, Event, LoadReport, Micros, RequestId, ServerId};
+use grebehook_core::{AttemptReport, AttemptStatus, Event, LoadReport, Micros, RequestId, ServerId};
 use hyper::{HeaderMap, Method, Response, Uri};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -54,7 +54,7 @@
     /// What the decision core is told of the attempt; `closed` where its request is over.
     pub fn outcome(self, id: RequestId, attempt: u32, server: ServerId, took: Micros, closed: bool) -> Event {
         let Reply { status, used, settled, load, .. } = self;
-        Event::AttemptCompleted {
+        Event::AttemptCompleted(AttemptReport {
             id,
             attempt,
             server,
@@ -64,7 +64,7 @@
             reported_usage: used,
             settled_units: settled,
             load_report: load,
-        }
+        })
     }
 }
 
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -13,7 +13,8 @@
 use crate::timers::{Due, Timers};
 use crate::upstream::Upstream;
 use grebehook_core::{
-    Action, AttemptStatus, Event, Gateway, Micros, RequestId, ServerId, TimerId, WatchEvent,
+    Action, AttemptStatus, CounterResult, Event, Gateway, Micros, RequestArrival, RequestId, ServerId,
+    TimerId, WatchEvent,
 };
 use hyper::header::HeaderValue;
 use std::cell::RefCell;
@@ -152,7 +153,7 @@
         self.arm(&mut inner, limit, Due::Limit(id.0));
         let Terms { class, plan, customer, patience, units, spread, first, repeat, .. } = terms;
         let coming = self.await_rest(id, patience, &inner.requests);
-        let event = Event::Request {
+        let event = Event::RequestArrived(RequestArrival {
             id,
             class,
             plan,
@@ -163,7 +164,7 @@
             first_gateway: first,
             is_retry: repeat,
             body_incomplete: coming,
-        };
+        });
         inner.events.push_back(event);
         // The same time for the module's deadline as for the limit: on a busy machine a second look at the
         // clock can be late by more than the module's margin, and the limit would then come first.
@@ -272,8 +273,7 @@
                 // Where there is no shared counter a call of it is refused, and nothing is added.
                 None => inner.events.push_back(Event::CounterReplied {
                     counter,
-                    total: None,
-                    possibly_counted: false,
+                    result: CounterResult::Refused,
                     elapsed: 0,
                 }),
             },
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -2,7 +2,7 @@
 
 use crate::link::{self, Link, LinkIo};
 use bytes::Bytes;
-use grebehook_core::{CounterId, Event, Micros};
+use grebehook_core::{CounterId, CounterResult, Event, Micros};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{HeaderValue, HOST};
@@ -23,17 +23,6 @@
 /// Largest answer read; a total is a short text.
 const ANSWER_MOST: usize = 256;
 
-/// What a call came to.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Count {
-    /// Added; the total.
-    Total(f64),
-    /// Nothing was added.
-    Refused,
-    /// It was added, or may have been or may yet be; the total is not known.
-    Unsure,
-}
-
 struct Connection {
     sender: SendRequest<Empty<Bytes>>,
     link: Rc<Link>,
@@ -64,27 +53,23 @@
         moved
     }
 
-    /// Adds to a number once, and tells the module how that ended.
+    /// Adds to a number once, and tells the decision core how that ended.
     pub async fn add(&self, counter: CounterId, amount: f64, ttl: Micros) -> Event {
         let start = Instant::now();
-        let count = self.call(counter, amount, ttl, start + self.limit).await;
-        let total = match count {
-            Count::Total(total) => Some(total),
-            Count::Refused | Count::Unsure => None,
-        };
-        let took = start.elapsed().as_micros() as Micros;
-        Event::CounterReplied { counter, total, possibly_counted: count == Count::Unsure, elapsed: took }
+        let result = self.call(counter, amount, ttl, start + self.limit).await;
+        let elapsed = start.elapsed().as_micros() as Micros;
+        Event::CounterReplied { counter, result, elapsed }
     }
 
-    async fn call(&self, counter: CounterId, amount: f64, ttl: Micros, until: Instant) -> Count {
+    async fn call(&self, counter: CounterId, amount: f64, ttl: Micros, until: Instant) -> CounterResult {
         let path = format!("/v2/numbers/{:x}?delta={amount}&life_ms={}", counter.0, ttl.div_ceil(1_000));
-        let Ok(path) = Uri::try_from(path) else { return Count::Refused };
+        let Ok(path) = Uri::try_from(path) else { return CounterResult::Refused };
         loop {
             let (connection, used) = match self.idle() {
                 Some(connection) => (connection, true),
                 None => match timeout_at(until.into(), self.connect()).await {
                     Ok(Some(connection)) => (connection, false),
-                    Ok(None) | Err(_) => return Count::Refused,
+                    Ok(None) | Err(_) => return CounterResult::Refused,
                 },
             };
             let link = connection.link.clone();
@@ -93,8 +78,8 @@
                 Ok(Some(count)) => return count,
                 Ok(None) if used && !link.begun() => continue,
                 // No answer that can be read: once the last byte is out, the amount may have been added.
-                Ok(None) | Err(_) if link.whole() => Count::Unsure,
-                Ok(None) | Err(_) => Count::Refused,
+                Ok(None) | Err(_) if link.whole() => CounterResult::Unknown,
+                Ok(None) | Err(_) => CounterResult::Refused,
             };
             link.close();
             return count;
@@ -124,7 +109,7 @@
     }
 
     /// One call over a connection, which is kept if its answer was sound; `None` if there is no such answer.
-    async fn over(&self, mut connection: Connection, path: &Uri) -> Option<Count> {
+    async fn over(&self, mut connection: Connection, path: &Uri) -> Option<CounterResult> {
         let mut request = Request::new(Empty::new());
         *request.method_mut() = Method::POST;
         *request.uri_mut() = path.clone();
@@ -134,8 +119,8 @@
         let status = response.status().as_u16();
         let body = Limited::new(response.into_body(), ANSWER_MOST).collect().await.ok()?.to_bytes();
         let count = match status {
-            200 => Count::Total(number(&body)?),
-            400 | 404 | 503 => Count::Refused,
+            200 => CounterResult::Total(number(&body)?),
+            400 | 404 | 503 => CounterResult::Refused,
             _ => return None,
         };
         if connection.address == self.address.get() {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -376,7 +376,7 @@
             biased;
             answer = answer => answer.unwrap_or(Answer::Failed),
             // It may have ended its own side alone, and still read.
-            () = departed => if left.unsent() { Answer::Refused(0) } else { Answer::Failed },
+            () = departed => if left.unsent() { Answer::Refused(None) } else { Answer::Failed },
         };
         Ok((answer, taken, body))
     }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -171,8 +171,8 @@
     let reports = config.settings.capabilities.load_reports != LoadReports::None;
     // The module waits no longer for a call than the settings say; where they do not say, as for a connection.
     let limit = match config.settings.capabilities.counter_timeout {
-        0 => connect,
-        limit => Duration::from_micros(limit),
+        None => connect,
+        Some(limit) => Duration::from_micros(limit),
     };
     let counter = config.counter.map(|at| Rc::new(SharedCounter::new(at, limit)));
     let counts = Counts::new(config.names.classes.clone());
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -81,7 +81,7 @@
                     MemberStatus::Draining => EndpointState::Draining,
                     MemberStatus::Gone => EndpointState::Gone,
                 },
-                started_at: (usable(self.since_ms).unwrap_or(0.0) * 1_000.0) as u64,
+                started_at: usable(self.since_ms).map(|ms| (ms * 1_000.0) as u64).filter(|at| *at > 0),
                 relative_size: usable(self.weight).unwrap_or(1.0),
                 zone: zone as u32,
                 cell: usable(self.group).unwrap_or(0.0) as u32,
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -38,7 +38,7 @@
     pub link: Rc<Link>,
     address: SocketAddr,
     /// The start, as it was told, of the process that it was opened to.
-    server_start: Micros,
+    server_start: Option<Micros>,
     idle_since: Instant,
 }
 
@@ -46,7 +46,7 @@
     address: SocketAddr,
     state: EndpointState,
     /// Its start as it was told: a name for its process. It is not compared to any clock.
-    start: Micros,
+    start: Option<Micros>,
     idle: Vec<Connection>,
 }
 
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -9,7 +9,7 @@
     /// A server's answer, passed on.
     Served(Response<Answered>),
     /// Refused: trying again is harmless, after a time if one is advised.
-    Refused(Micros),
+    Refused(Option<Micros>),
     /// Failed: nothing is promised.
     Failed,
     /// The client's time ran out before the module answered.
--- a/crates/gateway/src/request_table.rs
+++ b/crates/gateway/src/request_table.rs
@@ -67,7 +67,7 @@
         if self.answer.is_none() || !(self.outgoing.client_has_left)() {
             return;
         }
-        let answer = if self.cannot_have_run() { Answer::Refused(0) } else { Answer::Failed };
+        let answer = if self.cannot_have_run() { Answer::Refused(None) } else { Answer::Failed };
         if let Some(sender) = self.answer.take() {
             let _ = sender.send(answer);
         }
--- a/crates/gateway/src/response.rs
+++ b/crates/gateway/src/response.rs
@@ -118,7 +118,7 @@
         }
         Answer::Refused(wait) => {
             let mut response = plain(StatusCode::TOO_MANY_REQUESTS, REFUSED);
-            if wait > 0 {
+            if let Some(wait) = wait {
                 let seconds = HeaderValue::from_str(&format!("{:.3}", wait.max(1_000) as f64 / 1e6));
                 response.headers_mut().extend(seconds.ok().map(|s| (RETRY_AFTER, s)));
             }
--- a/crates/gateway/tests/command_line.rs
+++ b/crates/gateway/tests/command_line.rs
@@ -68,7 +68,7 @@
         "settings.limits.connectTimeoutUs is not between 1 and 1e12 microseconds",
         "settings.limits.connIdleUs is missing",
         "settings.zones[0] has no name",
-        "settings: tick is zero",
+        "settings: batch_interval is zero",
     ];
     for fault in expected {
         assert!(lines.iter().any(|line| line.starts_with(fault)), "no '{fault}' among {lines:#?}");
--- a/crates/scale-laboratory/src/core_cost.rs
+++ b/crates/scale-laboratory/src/core_cost.rs
@@ -10,8 +10,8 @@
 use crate::settings::{core_settings, DEADLINE};
 use crate::topology::Topology;
 use grebehook_core::{
-    Action, AttemptStatus, CounterId, CustomerId, Endpoint, EndpointState, Event, Gateway, Micros, RequestId,
-    ServerId, TimerId, WatchEvent,
+    Action, AttemptReport, AttemptStatus, CounterId, CounterResult, CustomerId, Endpoint, EndpointState,
+    Event, Gateway, Micros, RequestArrival, RequestId, ServerId, TimerId, WatchEvent,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -69,7 +69,7 @@
         let id = RequestId(self.next_request);
         self.next_request += 1;
         let spread = self.experiment.fleet.gateways_per_tenant.min(self.experiment.fleet.gateways);
-        let actions = self.handle(Event::Request {
+        let actions = self.handle(Event::RequestArrived(RequestArrival {
             id,
             class: 0,
             plan: 0,
@@ -80,7 +80,7 @@
             first_gateway: GATEWAY,
             is_retry: false,
             body_incomplete: false,
-        });
+        }));
         self.answer(actions);
     }
 
@@ -94,8 +94,7 @@
                     *total += amount;
                     Event::CounterReplied {
                         counter,
-                        total: Some(*total),
-                        possibly_counted: false,
+                        result: CounterResult::Total(*total),
                         elapsed: COUNTER_ANSWER,
                     }
                 }
@@ -111,7 +110,7 @@
 }
 
 fn served(id: RequestId, server: ServerId) -> Event {
-    Event::AttemptCompleted {
+    Event::AttemptCompleted(AttemptReport {
         id,
         attempt: 0,
         server,
@@ -121,15 +120,15 @@
         reported_usage: Some(USED),
         settled_units: None,
         load_report: None,
-    }
+    })
 }
 
-fn entry(topology: &Topology, server: usize, ready_at: Micros) -> Endpoint {
+fn entry(topology: &Topology, server: usize, started_at: Option<Micros>) -> Endpoint {
     let zone = topology.zone_of_server(server) as u32;
     Endpoint {
         server: ServerId(server as u64),
         state: EndpointState::Ready,
-        started_at: ready_at,
+        started_at,
         relative_size: 1.0,
         zone,
         cell: zone,
@@ -162,7 +161,7 @@
     let fleet = &core.experiment.fleet;
     let topology = Topology::new(fleet);
     let before = heap_bytes();
-    let entries = (0..fleet.servers()).map(|server| entry(&topology, server, 0)).collect();
+    let entries = (0..fleet.servers()).map(|server| entry(&topology, server, None)).collect();
     let event = Event::EndpointsChanged { watch_event: WatchEvent::Snapshot, endpoints: entries };
     let cpu = measure_micros(|| drop(core.handle(event)));
     point.metrics.insert(Metric::ListCpu, cpu);
@@ -252,7 +251,7 @@
     let mut figures = Vec::new();
     for _ in 0..BATCHES {
         let changed: Vec<Endpoint> =
-            (0..CHANGES).map(|_| entry(&topology, rng.random_range(0..servers), core.now)).collect();
+            (0..CHANGES).map(|_| entry(&topology, rng.random_range(0..servers), Some(core.now))).collect();
         let cpu = measure_micros(|| {
             for entry in changed {
                 core.handle(Event::EndpointsChanged {
--- a/crates/scale-laboratory/src/hollow/counter.rs
+++ b/crates/scale-laboratory/src/hollow/counter.rs
@@ -1,10 +1,9 @@
 //! The shared counter on simulated time: one queue with a capacity, names that expire, and silence.
 
-use super::queue::CallEnd;
 use crate::experiment::CounterService;
 use crate::settings::{micros, CONNECT_TIMEOUT};
 use crate::wire;
-use grebehook_core::{CounterId, Micros};
+use grebehook_core::{CounterId, CounterResult, Micros};
 use std::collections::BTreeMap;
 
 /// The counter's address in calls, for their length.
@@ -33,7 +32,7 @@
     /// When the gateway learns of it.
     pub at: Micros,
     /// How it ended.
-    pub end: CallEnd,
+    pub end: CounterResult,
     /// Bytes of the call and its answer.
     pub bytes: u64,
 }
@@ -76,20 +75,24 @@
     pub fn call(&mut self, now: Micros, call: Call) -> Answer {
         let text = wire::counter_call(ADDRESS, call.counter.0, call.amount, call.life.div_ceil(1_000));
         if !call.reachable {
-            return Answer { at: now + CONNECT_TIMEOUT.min(self.limit), end: CallEnd::Refused, bytes: 0 };
+            return Answer {
+                at: now + CONNECT_TIMEOUT.min(self.limit),
+                end: CounterResult::Refused,
+                bytes: 0,
+            };
         }
         let written = text.len() as u64;
         if self.silent {
-            return Answer { at: now + self.limit, end: CallEnd::Unsure, bytes: written };
+            return Answer { at: now + self.limit, end: CounterResult::Unknown, bytes: written };
         }
         self.busy_until = self.busy_until.max(now as f64) + self.service;
         let answered = self.busy_until as Micros + self.latency;
         let total = self.add(now, call);
         if answered > now + self.limit {
-            return Answer { at: now + self.limit, end: CallEnd::Unsure, bytes: written };
+            return Answer { at: now + self.limit, end: CounterResult::Unknown, bytes: written };
         }
         let bytes = written + wire::counter_answer(total).len() as u64;
-        Answer { at: answered, end: CallEnd::Total(total), bytes }
+        Answer { at: answered, end: CounterResult::Total(total), bytes }
     }
 
     fn add(&mut self, now: Micros, call: Call) -> f64 {
--- a/crates/scale-laboratory/src/hollow/counting.rs
+++ b/crates/scale-laboratory/src/hollow/counting.rs
@@ -2,19 +2,19 @@
 
 use super::counter::Call;
 use super::gateway::COUNTER_CALLS_MOST;
-use super::queue::{CallEnd, GatewayLife, Occurrence};
+use super::queue::{GatewayLife, Occurrence};
 use super::simulation::Simulation;
-use grebehook_core::{CounterId, Event, Micros};
+use grebehook_core::{CounterId, CounterResult, Event, Micros};
 
 impl Simulation {
     /// A gateway calls the counter.
     pub(super) fn count(&mut self, life: GatewayLife, counter: CounterId, amount: f64, ttl: Micros) {
         let gateway = &mut self.gateways[life.gateway];
-        let answers = |at, end| (at, Occurrence::CounterAnswers(life, counter, self.now, end));
+        let answers = |at, result| (at, Occurrence::CounterAnswers(life, counter, self.now, result));
         if gateway.counter_calls >= COUNTER_CALLS_MOST {
             // No connection is free, and none is opened.
             gateway.counter_calls += 1;
-            let (at, occurrence) = answers(self.now, CallEnd::Refused);
+            let (at, occurrence) = answers(self.now, CounterResult::Refused);
             return self.queue.push(at, occurrence);
         }
         gateway.counter_calls += 1;
@@ -23,8 +23,11 @@
         let answer = self.counter.call(self.now, Call { counter, amount, life: ttl, address, reachable });
         self.tally.counts.counter_calls += 1;
         self.tally.counts.counter_bytes += answer.bytes;
-        let back =
-            if matches!(answer.end, CallEnd::Total(_)) { 2 * self.network.to_home(life.gateway) } else { 0 };
+        let back = if matches!(answer.end, CounterResult::Total(_)) {
+            2 * self.network.to_home(life.gateway)
+        } else {
+            0
+        };
         let (at, occurrence) = answers(answer.at + back, answer.end);
         self.queue.push(at, occurrence);
     }
@@ -35,21 +38,14 @@
         life: GatewayLife,
         counter: CounterId,
         asked: Micros,
-        end: CallEnd,
+        result: CounterResult,
     ) {
         let gateway = &mut self.gateways[life.gateway];
         if !gateway.lives(life) {
             return;
         }
         gateway.counter_calls = gateway.counter_calls.saturating_sub(1);
-        let total = match end {
-            CallEnd::Total(total) => Some(total),
-            CallEnd::Refused | CallEnd::Unsure => None,
-        };
-        let unsure = end == CallEnd::Unsure;
-        self.event(
-            life,
-            Event::CounterReplied { counter, total, possibly_counted: unsure, elapsed: self.now - asked },
-        );
+        let elapsed = self.now - asked;
+        self.event(life, Event::CounterReplied { counter, result, elapsed });
     }
 }
--- a/crates/scale-laboratory/src/hollow/queue.rs
+++ b/crates/scale-laboratory/src/hollow/queue.rs
@@ -1,6 +1,6 @@
 //! What happens in a simulation, in the order of its times.
 
-use grebehook_core::{CounterId, Micros, RequestId, TimerId};
+use grebehook_core::{CounterId, CounterResult, Micros, RequestId, TimerId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -13,17 +13,6 @@
     pub life: u32,
 }
 
-/// How a call of the counter ended.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CallEnd {
-    /// Added; the total.
-    Total(f64),
-    /// Nothing was added.
-    Refused,
-    /// It may have been added.
-    Unsure,
-}
-
 /// Something that happens.
 #[derive(Clone, Debug)]
 pub enum Occurrence {
@@ -38,7 +27,7 @@
     /// An attempt ends in the way that the gateway's host has noted.
     AttemptEnds(GatewayLife, RequestId, u32),
     /// A call of the counter ends.
-    CounterAnswers(GatewayLife, CounterId, Micros, CallEnd),
+    CounterAnswers(GatewayLife, CounterId, Micros, CounterResult),
     /// A relay has passed changes up to a version to a gateway's agent.
     AgentLearns(usize, u64),
     /// A watch of the agent has waited long enough.
--- a/crates/scale-laboratory/src/hollow/relay.rs
+++ b/crates/scale-laboratory/src/hollow/relay.rs
@@ -115,7 +115,7 @@
         Endpoint {
             server: ServerId(server as u64),
             state: member.state,
-            started_at: member.ready_at,
+            started_at: Some(member.ready_at).filter(|at| *at > 0),
             relative_size: 1.0,
             zone,
             cell: zone,
--- a/crates/scale-laboratory/src/hollow/simulation.rs
+++ b/crates/scale-laboratory/src/hollow/simulation.rs
@@ -15,7 +15,9 @@
 use crate::settings::{core_settings, micros, CONNECT_TIMEOUT, DEADLINE};
 use crate::timeline::Ending;
 use crate::topology::Topology;
-use grebehook_core::{Action, AttemptStatus, CustomerId, Event, Micros, RequestId, ServerId};
+use grebehook_core::{
+    Action, AttemptReport, AttemptStatus, CustomerId, Event, Micros, RequestArrival, RequestId, ServerId,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -199,7 +201,7 @@
         let life = self.gateways[gateway].this_life();
         self.event(
             life,
-            Event::Request {
+            Event::RequestArrived(RequestArrival {
                 id,
                 class: 0,
                 plan: 0,
@@ -210,7 +212,7 @@
                 first_gateway: first,
                 is_retry: false,
                 body_incomplete: false,
-            },
+            }),
         );
     }
 
@@ -314,7 +316,7 @@
         }
         self.event(
             life,
-            Event::AttemptCompleted {
+            Event::AttemptCompleted(AttemptReport {
                 id,
                 attempt: number,
                 server: ServerId(server as u64),
@@ -324,7 +326,7 @@
                 reported_usage: used,
                 settled_units: None,
                 load_report: None,
-            },
+            }),
         );
         self.forget_if_over(life.gateway, id);
     }
--- a/crates/scale-laboratory/src/settings.rs
+++ b/crates/scale-laboratory/src/settings.rs
@@ -52,8 +52,8 @@
             max_retry_after: 1_000_000,
             max_attempts: 4,
             shared_counter: experiment.counter.enabled,
-            counter_timeout: micros(experiment.counter.limit_milliseconds),
-            usage_report_period: METER,
+            counter_timeout: Some(micros(experiment.counter.limit_milliseconds)).filter(|limit| *limit > 0),
+            usage_report_period: Some(METER),
             ..Capabilities::default()
         },
         rules: ProtocolRules {
@@ -81,7 +81,7 @@
             "connectTimeoutUs": CONNECT_TIMEOUT, "maxRetryAfterUs": settings.capabilities.max_retry_after,
             "mayProbe": false, "peers": false, "retryAfter": true, "secondCopies": false},
         "familyInfo": {"mailPerS": 0.0, "maxUnits": 20, "meterUs": METER,
-            "sharedCounter": settings.capabilities.shared_counter, "countLimitUs": settings.capabilities.counter_timeout, "truedUp": false},
+            "sharedCounter": settings.capabilities.shared_counter, "countLimitUs": settings.capabilities.counter_timeout.unwrap_or(0), "truedUp": false},
         "rules": {"coldFrom": rules.initial_capacity, "warmAfterUs": rules.warm_up, "fallMultiple": rules.overload_multiple,
             "tipAfterUs": rules.overload_window, "graceToAnswerUs": rules.response_grace},
         "stats": {"columns": [], "how": "none"}, "discovery": "push"
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -18,7 +18,7 @@
         Action::Reject { id, retry_after } => {
             let text = named(instance, id)?;
             instance.release(*id, 0, true);
-            json!(["shed", i, text, retry_after])
+            json!(["shed", i, text, retry_after.unwrap_or(0)])
         }
         Action::Fail { id } => {
             let text = named(instance, id)?;
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -3,8 +3,8 @@
 use crate::Instance;
 use base64::{prelude::BASE64_STANDARD, Engine};
 use grebehook_core::{
-    AttemptStatus, CounterId, CustomerId, Endpoint, EndpointState, Event, LoadReport, ServerId, TimerId,
-    WatchEvent,
+    AttemptReport, AttemptStatus, CounterId, CounterResult, CustomerId, Endpoint, EndpointState, Event,
+    LoadReport, RequestArrival, ServerId, TimerId, WatchEvent,
 };
 use serde_json::Value;
 
@@ -79,7 +79,7 @@
             2 => EndpointState::Draining,
             _ => return Err("readiness"),
         },
-        started_at: whole(row, 2, "readyAtUs")?,
+        started_at: Some(whole(row, 2, "readyAtUs")?).filter(|at| *at > 0),
         relative_size: number(row, 3, "size").unwrap_or(1.0),
         zone: whole(row, 5, "locality")? as u32,
         server: server(instance, row, 6)?,
@@ -110,7 +110,7 @@
         "demand" => {
             let id = instance.request(text(f, 0, "call")?);
             let customer = text(f, 3, "apiKey")?;
-            Event::Request {
+            Event::RequestArrived(RequestArrival {
                 id,
                 class: whole(f, 1, "tierClass")? as usize,
                 plan: whole(f, 2, "tier")? as usize,
@@ -121,13 +121,13 @@
                 first_gateway: whole(f, 7, "firstDoor")? as usize,
                 is_retry: whole(f, 8, "flags")? & 2 != 0,
                 body_incomplete: false,
-            }
+            })
         }
         "established" => match instance.ids.get(text(f, 0, "call")?) {
             Some(id) => Event::ResponseStarted { id: *id },
             None => return Err("call"),
         },
-        "finished" => Event::AttemptCompleted {
+        "finished" => Event::AttemptCompleted(AttemptReport {
             id: instance.request(text(f, 0, "call")?),
             attempt: whole(f, 1, "hop")? as u32,
             server: server(instance, f, 2)?,
@@ -137,7 +137,7 @@
             reported_usage: Some(whole(f, 6, "usage")?).filter(|u| *u > 0).map(|u| (u - 1) as f64 / 100.0),
             settled_units: f.get(7).and_then(Value::as_f64).filter(|u| *u > 0.0),
             load_report: load(instance, f.get(8)),
-        },
+        }),
         "gone" => Event::ClientDisconnected { id: instance.request(text(f, 0, "call")?) },
         "due" => match text(f, 0, "name")?.parse() {
             Ok(timer) => Event::Timer { timer: TimerId(timer) },
@@ -158,8 +158,11 @@
                 counter: CounterId(
                     u64::from_str_radix(text(f, 0, "entryName")?, 16).map_err(|_| "entryName")?,
                 ),
-                total: if status == "OK" { Some(number(f, 2, "total")?) } else { None },
-                possibly_counted: status == "DEADLINE_EXCEEDED",
+                result: match status {
+                    "OK" => CounterResult::Total(number(f, 2, "total")?),
+                    "DEADLINE_EXCEEDED" => CounterResult::Unknown,
+                    _ => CounterResult::Refused,
+                },
                 elapsed: whole(f, 3, "costTimeUs")?,
             }
         }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod fields;
 pub mod settings;
 
-use grebehook_core::{Action, Event, Gateway, Micros, RequestId, ServerId};
+use grebehook_core::{Action, AttemptReport, Event, Gateway, Micros, RequestId, ServerId};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -145,7 +145,9 @@
 fn play(instance: &mut Instance, now: Micros, i: u64, event: Event, out: &mut Vec<Value>) {
     let mut actions: Vec<Action> = Vec::new();
     let over = match &event {
-        Event::AttemptCompleted { id, request_finished: closed, .. } => Some((*id, 1, *closed)),
+        Event::AttemptCompleted(AttemptReport { id, request_finished: closed, .. }) => {
+            Some((*id, 1, *closed))
+        }
         Event::ClientDisconnected { id } => Some((*id, 0, true)),
         _ => None,
     };
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -189,7 +189,7 @@
         Plan {
             rate: self.rate,
             burst: self.depth,
-            max_concurrency: self.concurrency as u32,
+            max_concurrency: Some(self.concurrency as u32).filter(|limit| *limit > 0),
             weight_multiplier: self.value_factor,
             overage_weight: self.excess_worth,
             overage_cost: self.excess_cost,
@@ -241,9 +241,9 @@
             health_check_cost: self.prices.probe,
             shared_counter: family.shared_counter,
             counter_call_cost: family.count_fee,
-            counter_timeout: family.count_limit_us,
+            counter_timeout: Some(family.count_limit_us).filter(|limit| *limit > 0),
             marks_retries: self.callers.marks_retry,
-            usage_report_period: family.meter_us,
+            usage_report_period: Some(family.meter_us).filter(|period| *period > 0),
             settles_units: family.trued_up,
             load_reports: match self.stats.how.as_str() {
                 "answers" => LoadReports::WithResponses,
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/simulator-adapter/tests/settings.rs
@@ -31,7 +31,7 @@
     let (settings, columns) = read(&settings()).unwrap();
     assert_eq!((settings.gateway_count, settings.zone, settings.batch_interval), (2, 1, 2_000));
     let keyed = Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: 1_000_000 };
-    assert_eq!((settings.classes[0].idempotency, settings.plans[0].max_concurrency), (keyed, 3));
+    assert_eq!((settings.classes[0].idempotency, settings.plans[0].max_concurrency), (keyed, Some(3)));
     assert_eq!(
         (settings.capabilities.load_reports, settings.capabilities.gossip_messages_per_s),
         (LoadReports::WithHealthChecks, 40.0)
