--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -6,14 +6,14 @@
 use crate::customer_table::{Customer, UsageSource};
 use crate::customers::{MEMORY_S, OFTEN};
 use crate::decaying_rate::seconds;
-use crate::gateway::{Gateway, Out};
+use crate::gateway::{Actions, Gateway};
 use crate::gossip::{GOSSIP_OF_INTAKE, GOSSIP_PER_REQUEST, HEARTBEAT, MAX_GOSSIP_BUDGET};
 use crate::quota::{CALLS_SPARED, COUNT_SURE, FIRST_CALLS_PER_REQUEST, FIRST_SAVED_CALLS, MAX_SAVED_CALLS};
 use crate::random_source::RandomSource;
 use crate::ranked_tree::Subset;
 use crate::request::Request;
 use crate::server_index::ServerIndex;
-use crate::servers::{Patience, REPORT_S};
+use crate::servers::{AttemptTimeouts, REPORT_S};
 
 const HOLD_OF_AIM: f64 = 0.15; // most of the aim that a hold may use; the answer needs the rest
 const HOLD_OF_LEFT: f64 = 0.25; // and of the client's own time, which may be far shorter than the aim
@@ -44,24 +44,24 @@
             / (GOSSIP_OF_INTAKE * settings.capabilities.gossip_messages_per_s).max(0.1))
             as Micros;
         Ok(Gateway {
-            life: (seed ^ (seed >> 32)) as u32 & 0xff_ffff,
-            launched: now,
+            incarnation: (seed ^ (seed >> 32)) as u32 & 0xff_ffff,
+            process_started_at: now,
             highest_value: worth * most(|p| p.weight_multiplier),
             highest_overage_cost: most(|p| p.weight_multiplier * p.overage_cost),
-            usual: settings.classes.iter().map(|c| c.deadline as f64).collect(),
-            patience: Patience::new(&settings.classes),
+            typical_client_timeouts: settings.classes.iter().map(|c| c.deadline as f64).collect(),
+            attempt_timeouts: AttemptTimeouts::new(&settings.classes),
             retry_budget: MAX_RETRY_BUDGET / 2.0,
             random_source: RandomSource(seed),
             server_sampler: RandomSource(!seed),
-            metered: now,
+            usage_reported_at: now,
             gossip_budget: MAX_GOSSIP_BUDGET / 2.0,
             gossip_interval: gap,
             // Few enough to tell each other every unit; among more, only news that matters is told.
-            near: settings.capabilities.gossip && gap <= HEARTBEAT,
-            peers: vec![0; n],
-            calls: if n > OFTEN { FIRST_SAVED_CALLS } else { MAX_SAVED_CALLS / 2.0 },
-            call_share: if n > OFTEN { FIRST_CALLS_PER_REQUEST } else { 1.0 },
-            ends: Micros::MAX,
+            full_mesh_gossip: settings.capabilities.gossip && gap <= HEARTBEAT,
+            peers_heard_at: vec![0; n],
+            counter_call_budget: if n > OFTEN { FIRST_SAVED_CALLS } else { MAX_SAVED_CALLS / 2.0 },
+            calls_per_request: if n > OFTEN { FIRST_CALLS_PER_REQUEST } else { 1.0 },
+            shutdown_deadline: Micros::MAX,
             servers: ServerIndex::new(settings.rules.clone()),
             settings,
             ..Gateway::default()
@@ -70,77 +70,99 @@
 
     /// The customer's state, made full and without delay when new; its ceiling's slice starts empty
     /// with this process, since an earlier life may have drawn it down.
-    pub(crate) fn customer(&mut self, now: Micros, id: CustomerId, plan: usize, spread: usize, first: usize) {
+    pub(crate) fn ensure_customer(
+        &mut self,
+        now: Micros,
+        id: CustomerId,
+        plan: usize,
+        spread: usize,
+        first: usize,
+    ) {
         let Some(p) = self.settings.plans.get(plan) else { return };
         let spread = spread.clamp(1, self.settings.gateway_count);
         if let Some(c) = self.customers.get_mut(id) {
-            c.spread = c.spread.max(spread);
-            c.first = first;
+            c.gateway_count = c.gateway_count.max(spread);
+            c.first_gateway = first;
             return;
         }
         let (terms, even) = (p.clone(), 1.0 / spread as f64);
-        let slice = seconds(now - self.launched) * p.hard_limit_rate * even;
-        let fresh = Customer { plan, terms, spread, first, slice, filled: now, ..Customer::default() };
-        let fresh = Customer { interval_at: now, bucket_level: p.burst, local_allowance: p.burst, ..fresh };
+        let slice = seconds(now - self.process_started_at) * p.hard_limit_rate * even;
+        let fresh = Customer {
+            plan_index: plan,
+            plan: terms,
+            gateway_count: spread,
+            first_gateway: first,
+            hard_limit_tokens: slice,
+            refilled_at: now,
+            ..Customer::default()
+        };
+        let fresh = Customer {
+            pacing_interval_started_at: now,
+            bucket_level: p.burst,
+            local_allowance: p.burst,
+            ..fresh
+        };
         self.customers.insert(id, fresh);
     }
 
     /// The ordinary path: covered requests go at once, others wait their delay. Where the counter is asked
     /// first, the request waits for its word, no longer than any hold.
-    fn arrive(&mut self, now: Micros, id: RequestId, r: Request, out: Out) {
+    fn admit(&mut self, now: Micros, id: RequestId, r: Request, out: Actions) {
         let left = r.deadline.saturating_sub(now) as f64;
         let cap =
             (self.settings.classes[r.class].latency_objective as f64 * HOLD_OF_AIM).min(left * HOLD_OF_LEFT);
         let Some(source) = self.customers.get(r.customer).map(|c| self.usage_source(now, c)) else { return };
         self.gossip_budget = (self.gossip_budget + GOSSIP_PER_REQUEST).min(MAX_GOSSIP_BUDGET);
-        self.calls = (self.calls + self.call_share).min(MAX_SAVED_CALLS);
+        self.counter_call_budget = (self.counter_call_budget + self.calls_per_request).min(MAX_SAVED_CALLS);
         let worth =
             self.settings.classes[r.class].priority_weight * self.settings.plans[r.plan].weight_multiplier;
-        let paid = self.paid(r.plan) || self.pressed(now, worth); // or no room at the back end: no call
+        let paid = self.overage_is_acceptable(r.plan) || self.is_overloaded(now, worth); // or no room at the back end: no call
         let Some(c) = self.customers.get_mut(r.customer) else { return };
         c.refill(now, r.units, source);
-        c.pace(now, c.terms.rate * c.share(now, source), cap / 1e3);
-        c.mine.add(now, r.units, MEMORY_S);
-        c.arrived += r.units;
-        c.open += 1;
+        c.pace(now, c.plan.rate * c.quota_share(now, source), cap / 1e3);
+        c.local_usage_rate.add(now, r.units, MEMORY_S);
+        c.pacing_interval_units += r.units;
+        c.in_flight += 1;
         let (customer, units, deadline) = (r.customer, r.units, r.deadline);
         let covered = c.covers(now, units, source);
-        let sure = source == UsageSource::Exact && c.bucket_level >= COUNT_SURE * c.terms.burst;
+        let sure = source == UsageSource::Exact && c.bucket_level >= COUNT_SURE * c.plan.burst;
         // The fewer calls are left, the more use beyond must cost to be worth one; less where others try too.
-        let gain = c.terms.weight_multiplier * c.terms.overage_cost / c.demand(now).max(1.0);
-        let spared = !c.few() && gain < self.highest_overage_cost * (1.0 - self.calls / CALLS_SPARED);
+        let gain = c.plan.weight_multiplier * c.plan.overage_cost / c.demand(now).max(1.0);
+        let spared = !c.is_shared_by_few()
+            && gain < self.highest_overage_cost * (1.0 - self.counter_call_budget / CALLS_SPARED);
         let ask = self.settings.capabilities.shared_counter
             && !spared
             && !sure
-            && !c.calm
+            && !c.low_demand
             && !paid
             && c.bucket_level >= units;
         let reserve = if c.demand(now) > 1.0 { 0.0 } else { units };
-        let mut leave = (c.next_leave.max(now) + (c.delay_ms * 1e3) as Micros).min(now + cap as Micros);
+        let mut leave =
+            (c.next_dequeue_at.max(now) + (c.pacing_delay_ms * 1e3) as Micros).min(now + cap as Micros);
         out.push(Action::Timer { at: deadline, timer: TimerId(id.0 << 1) });
-        let asked = ask && self.call(now, customer, reserve, out);
+        let asked = ask && self.call_counter(now, customer, reserve, out);
         let held = asked || !covered && leave > now;
-        self.requests.insert(id, Request { held, ..r });
+        self.requests.insert(id, Request { queued: held, ..r });
         if !held {
-            return self.leave(now, id, out);
+            return self.dequeue(now, id, out);
         }
         let Some(c) = self.customers.get_mut(customer) else { return };
         if asked {
             leave = now + cap as Micros;
-            c.waiting.push(id);
+            c.queued_requests.push(id);
         } else {
-            c.next_leave = leave;
+            c.next_dequeue_at = leave;
         }
         out.push(Action::Timer { at: leave.min(deadline), timer: TimerId(id.0 << 1 | 1) });
     }
 
     /// A request's hold is over: it goes if the bucket has its units, else it is refused.
-    pub(crate) fn leave(&mut self, now: Micros, id: RequestId, out: Out) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.done) else { return };
-        r.held = false;
+    pub(crate) fn dequeue(&mut self, now: Micros, id: RequestId, out: Actions) {
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.finished) else { return };
+        r.queued = false;
         let (units, customer, plan, aim) =
             (r.units, r.customer, r.plan, self.settings.classes[r.class].latency_objective);
-        let pays = self.paid(plan);
+        let pays = self.overage_is_acceptable(plan);
         let source = self.customers.get(customer).map(|c| self.usage_source(now, c));
         let (Some(c), Some(source)) = (self.customers.get_mut(customer), source) else { return };
         c.refill(now, units, source);
@@ -148,23 +170,25 @@
         if source == UsageSource::Metered && demand > 1.0 {
             c.local_allowance = (c.local_allowance + units / demand).min(2.0 * units);
         }
-        let (inside, p) = (c.covers(now, units, source), &c.terms);
-        let lack = units - c.available(source);
-        let lack = if p.rate > 0.0 { lack.max(0.0) / (p.rate * c.share(now, source)) } else { 0.0 };
+        let (inside, p) = (c.covers(now, units, source), &c.plan);
+        let lack = units - c.available_units(source);
+        let lack = if p.rate > 0.0 { lack.max(0.0) / (p.rate * c.quota_share(now, source)) } else { 0.0 };
         if !inside && !pays {
-            return self.answer(id, (lack * 1e6) as Micros, out);
+            return self.reject_or_fail(id, (lack * 1e6) as Micros, out);
         }
-        self.requests.entry(id).and_modify(|r| r.inside = inside);
-        if !self.attempt(now, id, out) {
-            self.answer(id, aim / 2, out);
+        self.requests.entry(id).and_modify(|r| r.within_quota = inside);
+        if !self.try_attempt(now, id, out) {
+            self.reject_or_fail(id, aim / 2, out);
         }
     }
 
     /// The only place that gives a final answer; a refusal only where trying again does no harm.
-    pub(crate) fn answer(&mut self, id: RequestId, wait: Micros, out: Out) {
+    pub(crate) fn reject_or_fail(&mut self, id: RequestId, wait: Micros, out: Actions) {
         let s = &self.settings;
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.done && !r.started) else { return };
-        let ran = r.attempts.iter().any(|a| a.may_have_run || a.open);
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.finished && !r.response_started) else {
+            return;
+        };
+        let ran = r.attempts.iter().any(|a| a.may_have_run || a.in_flight);
         let harmless = match s.classes[r.class].idempotency {
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => {
                 true
@@ -177,69 +201,73 @@
         } else {
             Action::Fail { id }
         });
-        for (k, _) in r.attempts.iter().enumerate().filter(|(_, a)| a.open && s.capabilities.cancellation) {
+        for (k, _) in
+            r.attempts.iter().enumerate().filter(|(_, a)| a.in_flight && s.capabilities.cancellation)
+        {
             out.push(Action::Cancel { id, attempt: k as u32 });
         }
-        self.close(id);
+        self.finish_request(id);
     }
 
     /// The request is over; it stays known while an attempt is out.
-    pub(crate) fn close(&mut self, id: RequestId) {
+    pub(crate) fn finish_request(&mut self, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let first = !std::mem::replace(&mut r.done, true);
+        let first = !std::mem::replace(&mut r.finished, true);
         if let Some(c) = self.customers.get_mut(r.customer).filter(|_| first) {
-            c.open = c.open.saturating_sub(1);
+            c.in_flight = c.in_flight.saturating_sub(1);
         }
-        if r.attempts.iter().all(|a| !a.open) {
+        if r.attempts.iter().all(|a| !a.in_flight) {
             self.requests.remove(&id);
         }
     }
 
     /// What is due ten times a second: use to be counted and told, budgets of cold servers, probes.
-    fn tick(&mut self, now: Micros, out: Out) {
-        for id in self.changed.take(MAX_CHANGED) {
-            self.visited += 1;
+    fn tick(&mut self, now: Micros, out: Actions) {
+        for id in self.changed_customers.take(MAX_CHANGED) {
+            self.entries_examined += 1;
             let Some(c) = self.customers.get(id) else { continue };
-            let due = c.uncounted != 0.0 && !self.paid(c.plan);
-            let spare = c.few() || c.uncounted < 0.0 || self.calls >= CALLS_SPARED;
-            let (due, repeats) = (self.settings.capabilities.shared_counter && due, c.sent > 1.0);
-            if self.near && repeats {
+            let due = c.unreported_units != 0.0 && !self.overage_is_acceptable(c.plan_index);
+            let spare =
+                c.is_shared_by_few() || c.unreported_units < 0.0 || self.counter_call_budget >= CALLS_SPARED;
+            let (due, repeats) = (self.settings.capabilities.shared_counter && due, c.admitted_units > 1.0);
+            if self.full_mesh_gossip && repeats {
                 self.publish(id);
             }
-            if due && (!spare || !self.call(now, id, 0.0, out) || self.calls < 1.0) {
-                self.changed.insert(id);
+            if due && (!spare || !self.call_counter(now, id, 0.0, out) || self.counter_call_budget < 1.0) {
+                self.changed_customers.insert(id);
             }
         }
         self.send_gossip(now, out);
-        let sends = self.sends.get(now, MEMORY_S);
+        let sends = self.attempt_rate.get(now, MEMORY_S);
         let ready = self.servers.count(Subset::Ready).max(1);
         let (subset, ready) = (self.subset_size(ready).max(1) as f64, ready as f64);
         // Where many are cold at once, a warm one takes far more than the mean.
-        let subset = subset * self.servers.ramp_sum(now).max(1.0) / ready;
+        let subset = subset * self.servers.slow_start_factor_sum(now).max(1.0) / ready;
         let rules = &self.settings.rules;
-        self.servers.update_cold(|x| {
-            let pace = COLD_SAFETY * rules.overload_multiple * x.ramp(now, rules) * sends / subset;
+        self.servers.update_warming_up(|x| {
+            let pace =
+                COLD_SAFETY * rules.overload_multiple * x.slow_start_factor(now, rules) * sends / subset;
             let most = (pace * seconds(rules.overload_window)).max(1.0);
-            x.cold_budget = (x.cold_budget + pace * seconds(ROUND)).clamp(-most, most);
+            x.slow_start_budget = (x.slow_start_budget + pace * seconds(ROUND)).clamp(-most, most);
         });
         let every = PROBE_EVERY.max((ready / (PROBE_SHARE * sends).max(1e-3) * 1e6) as Micros);
         let s = &self.settings.capabilities;
         if s.health_checks
             && s.load_reports == LoadReports::WithHealthChecks
             && seconds(every) <= REPORT_S
-            && now >= self.probed + every
+            && now >= self.health_checked_at + every
         {
-            self.probed = now;
-            let ready = self.servers.iter().filter(|x| x.entry.state == EndpointState::Ready);
-            out.extend(ready.map(|x| Action::CheckHealth { server: x.entry.server }));
+            self.health_checked_at = now;
+            let ready = self.servers.iter().filter(|x| x.endpoint.state == EndpointState::Ready);
+            out.extend(ready.map(|x| Action::CheckHealth { server: x.endpoint.server }));
         }
         self.customers.forget_idle(now);
         out.push(Action::Timer { at: now + ROUND, timer: TURN });
     }
 
     /// No deadline lies past the end of this process: a request still open then would never be answered.
-    fn stop(&mut self, by: Micros, out: Out) {
-        self.ends = by;
+    fn begin_shutdown(&mut self, by: Micros, out: Actions) {
+        self.shutdown_deadline = by;
         for (id, r) in self.requests.iter_mut().filter(|(_, r)| r.deadline > by) {
             r.deadline = by;
             out.push(Action::Timer { at: by, timer: TimerId(id.0 << 1) });
@@ -249,7 +277,7 @@
     /// Takes one event and appends what is to be done, in order.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.servers.advance(now);
-        if !std::mem::replace(&mut self.begun, true) {
+        if !std::mem::replace(&mut self.has_started, true) {
             if self.settings.capabilities.polls_discovery {
                 out.push(Action::PollEndpoints);
             }
@@ -279,21 +307,34 @@
                 if !sane || patience <= margin {
                     return out.push(Action::Reject { id, retry_after: None });
                 }
-                self.customer(now, customer, plan, spread, first);
-                let deadline = now.saturating_add(patience - margin).min(self.ends);
+                self.ensure_customer(now, customer, plan, spread, first);
+                let deadline = now.saturating_add(patience - margin).min(self.shutdown_deadline);
                 // A later try has less than the usual patience (a running quantile): the rest has gone by.
                 let (deadline_us, left) = (self.settings.classes[class].deadline, patience as f64);
-                let up = if left > self.usual[class] { USUAL_QUANTILE } else { USUAL_QUANTILE - 1.0 };
-                self.usual[class] += up * USUAL_STEP * deadline_us as f64;
+                let up = if left > self.typical_client_timeouts[class] {
+                    USUAL_QUANTILE
+                } else {
+                    USUAL_QUANTILE - 1.0
+                };
+                self.typical_client_timeouts[class] += up * USUAL_STEP * deadline_us as f64;
                 let marks = self.settings.capabilities.marks_retries;
-                let short = if marks { repeat } else { left < SHORT * self.usual[class] };
+                let short = if marks { repeat } else { left < SHORT * self.typical_client_timeouts[class] };
                 let waited = if short { deadline_us.saturating_sub(patience) } else { 0 };
-                let request = Request { class, plan, customer, units, arrived: now, ..Request::default() };
-                self.arrive(now, id, Request { waited, deadline, coming, ..request }, out);
+                let request = Request { class, plan, customer, units, arrived_at: now, ..Request::default() };
+                self.admit(
+                    now,
+                    id,
+                    Request { elapsed_before_arrival: waited, deadline, body_incomplete: coming, ..request },
+                    out,
+                );
+            }
+            Event::BodyComplete { id } => self.body_completed(now, id, out),
+            Event::BodyConsumed { id } => {
+                drop(self.requests.entry(id).and_modify(|r| r.body_consumed = true))
+            }
+            Event::ResponseStarted { id } => {
+                drop(self.requests.entry(id).and_modify(|r| r.response_started = true))
             }
-            Event::BodyComplete { id } => self.came(now, id, out),
-            Event::BodyConsumed { id } => drop(self.requests.entry(id).and_modify(|r| r.spent = true)),
-            Event::ResponseStarted { id } => drop(self.requests.entry(id).and_modify(|r| r.started = true)),
             Event::AttemptCompleted(AttemptReport {
                 id,
                 attempt,
@@ -305,24 +346,26 @@
                 settled_units: settled,
                 load_report: load,
             }) => {
-                self.report(now, server, load);
-                self.meter(now, id, used, settled);
-                self.outcome(now, id, attempt, (status, took, closed), out);
+                self.apply_load_report(now, server, load);
+                self.apply_usage_report(now, id, used, settled);
+                self.complete_attempt(now, id, attempt, (status, took, closed), out);
             }
-            Event::Shutdown { deadline: by } => self.stop(by, out),
-            Event::ClientDisconnected { id } => self.close(id),
+            Event::Shutdown { deadline: by } => self.begin_shutdown(by, out),
+            Event::ClientDisconnected { id } => self.finish_request(id),
             // A request's timers bear its number twice: even at its deadline, odd at the end of its hold.
             Event::Timer { timer: TURN } => self.tick(now, out),
             Event::Timer { timer: TimerId(k) } => match self.requests.get(&RequestId(k >> 1)) {
-                Some(r) if k & 1 == 0 && (r.coming || now < r.deadline) => {}
-                Some(_) if k & 1 == 0 => self.answer(RequestId(k >> 1), 0, out),
-                Some(r) if r.held => self.leave(now, RequestId(k >> 1), out),
+                Some(r) if k & 1 == 0 && (r.body_incomplete || now < r.deadline) => {}
+                Some(_) if k & 1 == 0 => self.reject_or_fail(RequestId(k >> 1), 0, out),
+                Some(r) if r.queued => self.dequeue(now, RequestId(k >> 1), out),
                 _ => {}
             },
-            Event::HealthCheckCompleted { server, load_report: load, .. } => self.report(now, server, load),
+            Event::HealthCheckCompleted { server, load_report: load, .. } => {
+                self.apply_load_report(now, server, load)
+            }
             Event::GossipReceived { from, message: data } => self.receive_gossip(now, from, &data),
             Event::CounterReplied { counter, result, elapsed } => {
-                self.counted(now, counter, result, elapsed, out);
+                self.apply_counter_reply(now, counter, result, elapsed, out);
             }
         }
     }
--- a/crates/core/src/customer_table.rs
+++ b/crates/core/src/customer_table.rs
@@ -8,36 +8,36 @@
 /// A customer as this gateway sees it.
 #[derive(Default)]
 pub(crate) struct Customer {
-    pub plan: usize,
-    pub terms: Plan,
-    pub spread: usize,
-    pub first: usize,
+    pub plan_index: usize,
+    pub plan: Plan,
+    pub gateway_count: usize,
+    pub first_gateway: usize,
     pub bucket_level: f64,
-    pub filled: Micros,
-    pub mine: Rate,
-    pub demand: f64,
-    pub demand_at: Micros,
+    pub refilled_at: Micros,
+    pub local_usage_rate: Rate,
+    pub reported_demand: f64,
+    pub demand_reported_at: Micros,
     pub local_allowance: f64,
-    pub delay_ms: f64,
-    pub interval_at: Micros,
-    pub arrived: f64,
-    pub next_leave: Micros,
-    pub open: u32,
-    pub slice: f64,
-    pub sent: f64,
-    pub heard: BTreeMap<usize, (u32, u32)>,
-    pub uncounted: f64,
-    pub adding: f64,
-    pub owed: f64,
-    pub calling: bool,
-    pub calm: bool,
-    pub counted: Micros,
-    pub total: Option<f64>,
-    pub unsure: f64,
-    pub overflow: f64,
+    pub pacing_delay_ms: f64,
+    pub pacing_interval_started_at: Micros,
+    pub pacing_interval_units: f64,
+    pub next_dequeue_at: Micros,
+    pub in_flight: u32,
+    pub hard_limit_tokens: f64,
+    pub admitted_units: f64,
+    pub peer_totals: BTreeMap<usize, (u32, u32)>,
+    pub unreported_units: f64,
+    pub units_in_call: f64,
+    pub settlement_due: f64,
+    pub call_in_flight: bool,
+    pub low_demand: bool,
+    pub counter_replied_at: Micros,
+    pub counter_total: Option<f64>,
+    pub possibly_counted_units: f64,
+    pub bucket_overflow: f64,
     /// What the call that is out corrects the total by.
-    pub correction: f64,
-    pub waiting: Vec<RequestId>,
+    pub total_correction: f64,
+    pub queued_requests: Vec<RequestId>,
 }
 
 /// How a customer's use by other gateways is known.
@@ -91,7 +91,7 @@
             self.queue.remove(&(due, id));
             self.visited += 1;
             let Some(c) = self.customers.get(&id) else { continue };
-            if c.open > 0 || c.calling {
+            if c.in_flight > 0 || c.call_in_flight {
                 later.push((now + 1, id));
             } else if now < c.idle_at() {
                 later.push((c.idle_at(), id));
--- a/crates/core/src/customers.rs
+++ b/crates/core/src/customers.rs
@@ -25,114 +25,118 @@
 impl Customer {
     /// Demand at all gateways, in quotas, as far as it is known: it fades unless told of again.
     pub fn demand(&self, now: Micros) -> f64 {
-        let age = now.saturating_sub(self.demand_at.saturating_add(METER_LAG));
-        self.demand * fade(age, DEMAND_FADE_S)
+        let age = now.saturating_sub(self.demand_reported_at.saturating_add(METER_LAG));
+        self.reported_demand * fade(age, DEMAND_FADE_S)
     }
 
     /// This gateway's metered share of the quota, floored at the even slice.
-    pub fn share(&self, now: Micros, source: UsageSource) -> f64 {
-        let (even, total) = (1.0 / self.spread as f64, self.demand(now) * self.terms.rate);
+    pub fn quota_share(&self, now: Micros, source: UsageSource) -> f64 {
+        let (even, total) = (1.0 / self.gateway_count as f64, self.demand(now) * self.plan.rate);
         match source {
             UsageSource::Exact => 1.0,
             UsageSource::Unknown => even,
-            UsageSource::Metered => (self.mine.get(now, MEMORY_S) / total.max(1e-9)).clamp(even, 1.0),
+            UsageSource::Metered => {
+                (self.local_usage_rate.get(now, MEMORY_S) / total.max(1e-9)).clamp(even, 1.0)
+            }
         }
     }
 
     /// Whether so few gateways share the customer that each sees it often.
-    pub fn few(&self) -> bool {
-        self.spread <= OFTEN
+    pub fn is_shared_by_few(&self) -> bool {
+        self.gateway_count <= OFTEN
     }
 
     /// Start of the window in which use is counted under a name of its own, as long as a name lives. One of
     /// many gateways sees a customer seldom, so a total must tell by itself since when; among few the window
     /// starts at 0.
-    pub fn window(&self, now: Micros, id: CustomerId) -> Micros {
+    pub fn counter_window(&self, now: Micros, id: CustomerId) -> Micros {
         // Not all customers' begin at once.
         let phase = id.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) % WINDOW;
-        if self.few() || now < WINDOW {
+        if self.is_shared_by_few() || now < WINDOW {
             return 0;
         }
         now - (now - phase) % WINDOW
     }
 
     /// Whether what the window before left owing may still bear on one that began then.
-    pub fn opens(&self, now: Micros, start: Micros) -> bool {
-        start >= WINDOW && self.terms.rate * seconds(now - start) < self.terms.burst * (1.0 + DEBT_OF_BURST)
+    pub fn may_owe_previous_window(&self, now: Micros, start: Micros) -> bool {
+        start >= WINDOW && self.plan.rate * seconds(now - start) < self.plan.burst * (1.0 + DEBT_OF_BURST)
     }
 
     /// Takes the last total of the window before, in which the store was full at first: the next one starts
     /// with what that lacks.
-    pub fn carry_over(&mut self, total: f64) {
-        let most = self.terms.burst * (1.0 + DEBT_OF_BURST);
-        self.correction = (total - self.terms.rate * seconds(WINDOW)).clamp(0.0, most);
-        self.bucket_level -= self.correction;
+    pub fn carry_over_deficit(&mut self, total: f64) {
+        let most = self.plan.burst * (1.0 + DEBT_OF_BURST);
+        self.total_correction = (total - self.plan.rate * seconds(WINDOW)).clamp(0.0, most);
+        self.bucket_level -= self.total_correction;
     }
 
     /// Takes a total of the window that began at `start`, which alone says what the store of many gateways
     /// holds: it was full then, and has been filled since. Where the total lags behind that, the rest ran
     /// over; it has to be added, or the next burst would have it.
-    pub fn take_shared_total(&mut self, now: Micros, start: Micros, total: f64, added: f64, fraction: f64) {
-        let corrected = std::mem::take(&mut self.correction);
-        let others = total - added - self.total.replace(total).unwrap_or(total - added);
+    pub fn apply_shared_total(&mut self, now: Micros, start: Micros, total: f64, added: f64, fraction: f64) {
+        let corrected = std::mem::take(&mut self.total_correction);
+        let others = total - added - self.counter_total.replace(total).unwrap_or(total - added);
         if corrected != 0.0 && others / corrected >= ECHO {
             // Another gateway saw the same and was quicker.
-            self.correction = -corrected;
+            self.total_correction = -corrected;
             return;
         }
-        let over = self.terms.rate * seconds(now - start) - total - self.uncounted - self.owed;
-        self.bucket_level = self.terms.burst * (1.0 - RESERVE_OF_BURST) + over.min(0.0);
-        let lost = (over + self.terms.burst * (1.0 + DEBT_OF_BURST)).min(0.0);
+        let over =
+            self.plan.rate * seconds(now - start) - total - self.unreported_units - self.settlement_due;
+        self.bucket_level = self.plan.burst * (1.0 - RESERVE_OF_BURST) + over.min(0.0);
+        let lost = (over + self.plan.burst * (1.0 + DEBT_OF_BURST)).min(0.0);
         // One that is far ahead may only wait for a correction of it to be taken back.
         let seldom = if fraction < SELDOM { lost } else { 0.0 };
-        self.correction = if over > OVERFLOW_OF_BURST * self.terms.burst { over } else { seldom };
+        self.total_correction = if over > OVERFLOW_OF_BURST * self.plan.burst { over } else { seldom };
     }
 
     /// Fills the bucket, its slice and that of the ceiling; a slice below one request still serves one.
     pub fn refill(&mut self, now: Micros, units: f64, source: UsageSource) {
-        let (plan, even) = (&self.terms, 1.0 / self.spread as f64);
-        let dt = seconds(now.saturating_sub(self.filled));
+        let (plan, even) = (&self.plan, 1.0 / self.gateway_count as f64);
+        let dt = seconds(now.saturating_sub(self.refilled_at));
         let full = self.bucket_level + dt * plan.rate;
         self.bucket_level = full.min(plan.burst);
-        self.overflow += full - self.bucket_level;
+        self.bucket_overflow += full - self.bucket_level;
         if self.demand(now) <= 1.0 {
             let part = match source {
-                _ if self.calm => 1.0,
+                _ if self.low_demand => 1.0,
                 UsageSource::Unknown => even,
                 _ => (HEADROOM * even).min(1.0),
             };
             // What the counter told a gateway of many may be more than its part.
-            let told = if self.few() { 0.0 } else { self.local_allowance };
+            let told = if self.is_shared_by_few() { 0.0 } else { self.local_allowance };
             let most = (plan.burst * part).max(FEWEST * units).max(told);
             self.local_allowance = (self.local_allowance + dt * plan.rate * part).min(most);
         }
         let most = (plan.hard_limit_burst + plan.hard_limit_overdraft) * even;
-        self.slice = (self.slice + dt * plan.hard_limit_rate * even).min(most);
-        self.filled = self.filled.max(now);
+        self.hard_limit_tokens = (self.hard_limit_tokens + dt * plan.hard_limit_rate * even).min(most);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
     /// Ends the pacer's intervals that are over: the paper's Figure 10.
     pub fn pace(&mut self, now: Micros, quota: f64, cap_ms: f64) {
-        while now >= self.interval_at + INTERVAL {
-            let over = self.arrived / seconds(INTERVAL) - quota;
-            self.delay_ms = if over > 0.0 {
-                let before = if self.delay_ms == 0.0 { 1.0 } else { self.delay_ms };
-                (over / f64::from(self.open.max(1)) * before).min(cap_ms)
-            } else if self.delay_ms > DELTA_MS {
-                self.delay_ms * BETA
+        while now >= self.pacing_interval_started_at + INTERVAL {
+            let over = self.pacing_interval_units / seconds(INTERVAL) - quota;
+            self.pacing_delay_ms = if over > 0.0 {
+                let before = if self.pacing_delay_ms == 0.0 { 1.0 } else { self.pacing_delay_ms };
+                (over / f64::from(self.in_flight.max(1)) * before).min(cap_ms)
+            } else if self.pacing_delay_ms > DELTA_MS {
+                self.pacing_delay_ms * BETA
             } else {
                 0.0
             };
-            self.arrived = 0.0;
-            self.interval_at += INTERVAL;
-            if self.delay_ms == 0.0 {
-                self.interval_at += (now - self.interval_at) / INTERVAL * INTERVAL;
+            self.pacing_interval_units = 0.0;
+            self.pacing_interval_started_at += INTERVAL;
+            if self.pacing_delay_ms == 0.0 {
+                self.pacing_interval_started_at +=
+                    (now - self.pacing_interval_started_at) / INTERVAL * INTERVAL;
             }
         }
     }
 
     /// Units at hand: where use is told unit by unit, what the bucket holds; else no more than the slice.
-    pub fn available(&self, source: UsageSource) -> f64 {
+    pub fn available_units(&self, source: UsageSource) -> f64 {
         match source {
             UsageSource::Exact => self.bucket_level,
             _ => self.bucket_level.min(self.local_allowance),
@@ -141,31 +145,31 @@
 
     /// Whether a try may go within the quota: told unit by unit, by the bucket; else by its slice as well.
     pub fn covers(&self, now: Micros, units: f64, source: UsageSource) -> bool {
-        let most_open = |limit| (f64::from(limit) * self.share(now, source)).round().max(1.0);
+        let most_open = |limit| (f64::from(limit) * self.quota_share(now, source)).round().max(1.0);
         let below_concurrency =
-            self.terms.max_concurrency.is_none_or(|limit| f64::from(self.open) <= most_open(limit));
-        (self.terms.rate == 0.0 || self.available(source) >= units) && below_concurrency
+            self.plan.max_concurrency.is_none_or(|limit| f64::from(self.in_flight) <= most_open(limit));
+        (self.plan.rate == 0.0 || self.available_units(source) >= units) && below_concurrency
     }
 
     /// How long until an unused customer is as good as new: its stores have filled again.
     pub fn idle_after(&self) -> Micros {
-        let (p, fill) = (&self.terms, |most: f64, rate: f64| if rate > 0.0 { most / rate } else { 0.0 });
-        let quota = fill(p.burst * (1.0 + DEBT_OF_BURST), p.rate) * self.spread as f64;
+        let (p, fill) = (&self.plan, |most: f64, rate: f64| if rate > 0.0 { most / rate } else { 0.0 });
+        let quota = fill(p.burst * (1.0 + DEBT_OF_BURST), p.rate) * self.gateway_count as f64;
         let ceiling = fill(p.hard_limit_burst + p.hard_limit_overdraft, p.hard_limit_rate);
         ((quota.max(ceiling) + 1.0) * 1e6) as Micros
     }
 
     /// When it is, if it stays unused.
     pub fn idle_at(&self) -> Micros {
-        self.filled.saturating_add(self.idle_after())
+        self.refilled_at.saturating_add(self.idle_after())
     }
 
     /// Takes news of the demand; at its onset gateways start at odds, so that their firsts do not all go.
-    pub fn learn(&mut self, now: Micros, demand: f64, phase: f64) {
+    pub fn record_demand(&mut self, now: Micros, demand: f64, phase: f64) {
         if self.demand(now) <= 1.0 && demand > 1.0 {
             self.local_allowance = self.local_allowance.min(phase);
         }
-        self.demand = demand;
-        self.demand_at = now;
+        self.reported_demand = demand;
+        self.demand_reported_at = now;
     }
 }
--- a/crates/core/src/handover.rs
+++ b/crates/core/src/handover.rs
@@ -28,11 +28,11 @@
 impl std::error::Error for HandoverError {}
 
 record!(write_gateway, read_gateway, Gateway:
-    latency_estimate, call_share, metered, sends.value, sends.at, flow.value, flow.at);
-record!(write_server, read_server, Server: ok, judged, ejected, ejections, item_us, cold_budget, open);
+    relative_latency, calls_per_request, usage_reported_at, attempt_rate.value, attempt_rate.at, goodput.value, goodput.at);
+record!(write_server, read_server, Server: success_rate, last_outcome_at, ejected_until, consecutive_ejections, service_time_us, slow_start_budget, attempts_in_flight);
 record!(write_customer, read_customer, Customer:
-    plan, spread, first, bucket_level, local_allowance, filled, mine.value, mine.at, demand, demand_at, delay_ms,
-    interval_at, arrived, next_leave, slice, uncounted, unsure, counted, overflow);
+    plan_index, gateway_count, first_gateway, bucket_level, local_allowance, refilled_at, local_usage_rate.value, local_usage_rate.at, reported_demand, demand_reported_at, pacing_delay_ms,
+    pacing_interval_started_at, pacing_interval_units, next_dequeue_at, hard_limit_tokens, unreported_units, possibly_counted_units, counter_replied_at, bucket_overflow);
 
 /// From the clock of the process that wrote a text to that of the one which reads it: each counts from the wall clock as
 /// it stood when the process began, and that may have been stepped between the two.
@@ -58,16 +58,16 @@
         let mut text = format!("{VERSION}\nclock {now}\ngateway {}\n", write_gateway(self));
         // Writing to a string cannot fail.
         for x in self.servers.iter() {
-            let _ = writeln!(text, "server {} {}", x.entry.server.0, write_server(x));
+            let _ = writeln!(text, "server {} {}", x.endpoint.server.0, write_server(x));
         }
         for (id, c) in self.customers.iter_mut() {
-            c.uncounted += std::mem::take(&mut c.owed);
+            c.unreported_units += std::mem::take(&mut c.settlement_due);
             // A call that is out may have been added by the time of the next one.
-            let unsure = c.unsure;
-            c.unsure += c.adding;
-            let total = c.total.map_or("-".to_owned(), |t| t.to_string());
+            let unsure = c.possibly_counted_units;
+            c.possibly_counted_units += c.units_in_call;
+            let total = c.counter_total.map_or("-".to_owned(), |t| t.to_string());
             let _ = writeln!(text, "customer {} {} {total}", id.0, write_customer(c));
-            (c.uncounted, c.unsure) = (0.0, unsure);
+            (c.unreported_units, c.possibly_counted_units) = (0.0, unsure);
         }
         text
     }
@@ -95,30 +95,30 @@
             read.ok_or(HandoverError { line })?;
         }
         for mut g in gateways {
-            shift.apply([&mut g.metered, &mut g.sends.at, &mut g.flow.at]);
-            (self.latency_estimate, self.call_share, self.metered) =
-                (g.latency_estimate, g.call_share, g.metered);
-            (self.sends, self.flow) = (g.sends, g.flow);
+            shift.apply([&mut g.usage_reported_at, &mut g.attempt_rate.at, &mut g.goodput.at]);
+            (self.relative_latency, self.calls_per_request, self.usage_reported_at) =
+                (g.relative_latency, g.calls_per_request, g.usage_reported_at);
+            (self.attempt_rate, self.goodput) = (g.attempt_rate, g.goodput);
         }
         for (id, mut seen) in servers {
-            shift.apply([&mut seen.judged, &mut seen.ejected]);
+            shift.apply([&mut seen.last_outcome_at, &mut seen.ejected_until]);
             self.servers.update(now, id, |x| {
-                (x.ok, x.judged, x.ejected, x.ejections) =
-                    (seen.ok, seen.judged, seen.ejected, seen.ejections);
-                (x.item_us, x.cold_budget) = (seen.item_us, seen.cold_budget);
+                (x.success_rate, x.last_outcome_at, x.ejected_until, x.consecutive_ejections) =
+                    (seen.success_rate, seen.last_outcome_at, seen.ejected_until, seen.consecutive_ejections);
+                (x.service_time_us, x.slow_start_budget) = (seen.service_time_us, seen.slow_start_budget);
                 // What the old process still has out there is others' work to this one.
-                (x.others, x.reported) = (f64::from(seen.open), now);
+                (x.peers_in_flight, x.load_reported_at) = (f64::from(seen.attempts_in_flight), now);
             });
         }
         for (id, mut customer) in customers {
             shift.apply([
-                &mut customer.filled,
-                &mut customer.mine.at,
-                &mut customer.demand_at,
-                &mut customer.interval_at,
-                &mut customer.next_leave,
+                &mut customer.refilled_at,
+                &mut customer.local_usage_rate.at,
+                &mut customer.demand_reported_at,
+                &mut customer.pacing_interval_started_at,
+                &mut customer.next_dequeue_at,
             ]);
-            self.changed.insert(id);
+            self.changed_customers.insert(id);
             self.customers.insert(id, customer);
         }
         Ok(())
@@ -126,14 +126,15 @@
 
     fn read_customer(&self, words: &mut SplitAsciiWhitespace<'_>) -> Option<(CustomerId, Customer)> {
         let (id, seen) = (CustomerId(next(words)?), read_customer(words)?);
-        let (terms, gateways) = (self.settings.plans.get(seen.plan)?.clone(), self.settings.gateway_count);
-        if !(1..=gateways).contains(&seen.spread) || seen.first >= gateways {
+        let (terms, gateways) =
+            (self.settings.plans.get(seen.plan_index)?.clone(), self.settings.gateway_count);
+        if !(1..=gateways).contains(&seen.gateway_count) || seen.first_gateway >= gateways {
             return None;
         }
         let total = match words.next()? {
             "-" => None,
             total => Some(next(&mut total.split_ascii_whitespace())?),
         };
-        Some((id, Customer { terms, total, ..seen }))
+        Some((id, Customer { plan: terms, counter_total: total, ..seen }))
     }
 }
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -6,7 +6,7 @@
 use crate::customer_table::{Customer, UsageSource};
 use crate::customers::{DEBT_OF_BURST, MEMORY_S, METER_LAG, OFTEN, WINDOW};
 use crate::decaying_rate::{fade, seconds};
-use crate::gateway::{Gateway, Out};
+use crate::gateway::{Actions, Gateway};
 use crate::gossip::PEER_FRESH;
 
 const METER_STALE: Micros = 4_000_000; // µs; with no figure of use for this long the even slice serves
@@ -44,11 +44,18 @@
     pub(crate) fn usage_source(&self, now: Micros, c: &Customer) -> UsageSource {
         let s = &self.settings;
         let fresh = |g: usize| {
-            g == s.gateway_index || now < self.peers[g].saturating_add(PEER_FRESH) && self.peers[g] > 0
+            g == s.gateway_index
+                || now < self.peers_heard_at[g].saturating_add(PEER_FRESH) && self.peers_heard_at[g] > 0
         };
-        let told = s.capabilities.shared_counter && c.counted > 0 && now <= c.counted + COUNT_FRESH
-            || self.near && (0..c.spread).all(|k| fresh((c.first + k) % s.gateway_count));
-        match (told, s.capabilities.usage_report_period.is_some() && now <= self.metered + METER_STALE) {
+        let told = s.capabilities.shared_counter
+            && c.counter_replied_at > 0
+            && now <= c.counter_replied_at + COUNT_FRESH
+            || self.full_mesh_gossip
+                && (0..c.gateway_count).all(|k| fresh((c.first_gateway + k) % s.gateway_count));
+        match (
+            told,
+            s.capabilities.usage_report_period.is_some() && now <= self.usage_reported_at + METER_STALE,
+        ) {
             (true, _) => UsageSource::Exact,
             (_, true) => UsageSource::Metered,
             _ => UsageSource::Unknown,
@@ -56,77 +63,94 @@
     }
 
     /// Whether a request pays beyond its quota too: then nobody needs to know whether it is inside.
-    pub(crate) fn paid(&self, plan: usize) -> bool {
+    pub(crate) fn overage_is_acceptable(&self, plan: usize) -> bool {
         let pays = self.settings.plans.get(plan).is_some_and(|p| p.overage_weight > p.overage_cost);
-        pays && self.latency_estimate < ANSWER_OF_AIM
+        pays && self.relative_latency < ANSWER_OF_AIM
     }
 
     /// What an answer says of the customer's use over all gateways, and of a guess's true units.
-    pub(crate) fn meter(&mut self, now: Micros, id: RequestId, used: Option<f64>, settled: Option<f64>) {
+    pub(crate) fn apply_usage_report(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        used: Option<f64>,
+        settled: Option<f64>,
+    ) {
         let phase = self.random_source.next_fraction();
         let Some(r) = self.requests.get(&id) else { return };
         let (customer, meter) =
             (r.customer, seconds(self.settings.capabilities.usage_report_period.unwrap_or(0)));
         let Some(c) = self.customers.get_mut(customer) else { return };
-        let plan = &c.terms;
-        if let Some(units) = settled.filter(|u| u.is_finite() && r.inside && !r.done) {
+        let plan = &c.plan;
+        if let Some(units) = settled.filter(|u| u.is_finite() && r.within_quota && !r.finished) {
             c.bucket_level = (c.bucket_level - (units - r.units)).min(plan.burst);
-            let due = if c.few() { &mut c.uncounted } else { &mut c.owed };
+            let due = if c.is_shared_by_few() { &mut c.unreported_units } else { &mut c.settlement_due };
             *due += units - r.units;
         }
         let Some(used) = used.filter(|u| u.is_finite() && *u >= 0.0 && plan.rate > 0.0) else { return };
-        self.metered = now;
-        if c.few() && c.demand_at == 0 && used >= SPENT {
-            c.bucket_level = c.bucket_level.min((plan.burst - c.total.unwrap_or(plan.burst)).max(0.0));
+        self.usage_reported_at = now;
+        if c.is_shared_by_few() && c.demand_reported_at == 0 && used >= SPENT {
+            c.bucket_level =
+                c.bucket_level.min((plan.burst - c.counter_total.unwrap_or(plan.burst)).max(0.0));
         }
         let before = c.demand(now);
         // While the share binds, the meter shows the demand cut by it, some time later.
-        if before > 1.0 && now < c.demand_at + METER_LAG {
+        if before > 1.0 && now < c.demand_reported_at + METER_LAG {
             return;
         }
         let seen = used * plan.rate * meter / r.units.max(1e-9);
-        let fresh = 1.0 - fade(now.saturating_sub(c.demand_at), MEMORY_S);
+        let fresh = 1.0 - fade(now.saturating_sub(c.demand_reported_at), MEMORY_S);
         let weight = fresh * seen / (seen + METER_PRIOR_REQUESTS);
         let demand = (before + weight * (used * before.max(1.0) - before)).min(DEMAND_MOST);
-        c.learn(now, demand, phase * r.units);
-        c.calm = !c.few() && demand < LOW_DEMAND && c.terms.rate * meter >= LOW_DEMAND_REQUESTS * r.units;
-        if demand.max(before) > 1.0 && !self.near {
+        c.record_demand(now, demand, phase * r.units);
+        c.low_demand = !c.is_shared_by_few()
+            && demand < LOW_DEMAND
+            && c.plan.rate * meter >= LOW_DEMAND_REQUESTS * r.units;
+        if demand.max(before) > 1.0 && !self.full_mesh_gossip {
             self.publish(customer);
         }
     }
 
     /// Adds what is not counted yet and what is reserved for a waiting request to the counter, one call at a
     /// time. Its budget follows the counter's own speed: a crowded or silent one is called less by all.
-    pub(crate) fn call(&mut self, now: Micros, id: CustomerId, reserve: f64, out: Out) -> bool {
+    pub(crate) fn call_counter(&mut self, now: Micros, id: CustomerId, reserve: f64, out: Actions) -> bool {
         let Some(c) = self.customers.get_mut(id) else { return false };
-        if c.calling || self.calls < 1.0 {
-            return c.calling;
+        if c.call_in_flight || self.counter_call_budget < 1.0 {
+            return c.call_in_flight;
         }
-        c.calling = true;
+        c.call_in_flight = true;
         // What is reserved counts as used until the request goes; a refused one gives it back.
-        c.adding = c.uncounted + std::mem::take(&mut c.owed) + c.correction + reserve;
-        c.uncounted = -reserve;
-        let (start, amount) = (c.window(now, id), c.adding);
-        self.count(id, start, start, amount, out);
+        c.units_in_call =
+            c.unreported_units + std::mem::take(&mut c.settlement_due) + c.total_correction + reserve;
+        c.unreported_units = -reserve;
+        let (start, amount) = (c.counter_window(now, id), c.units_in_call);
+        self.send_counter_call(id, start, start, amount, out);
         true
     }
 
     /// Calls the number of a window; by the total of another it learns what the one from `start` owes.
-    pub(crate) fn count(&mut self, id: CustomerId, window: Micros, start: Micros, amount: f64, out: Out) {
+    pub(crate) fn send_counter_call(
+        &mut self,
+        id: CustomerId,
+        window: Micros,
+        start: Micros,
+        amount: f64,
+        out: Actions,
+    ) {
         let counter = CounterId(id.0 ^ (window / 1_000) << NAME_BITS);
-        self.calls -= 1.0;
-        self.asked.insert(counter, (id, window, start));
+        self.counter_call_budget -= 1.0;
+        self.pending_counter_calls.insert(counter, (id, window, start));
         out.push(Action::AddToCounter { counter, amount, ttl: WINDOW });
     }
 
     /// A total of the counter: what it rose by besides our own is others' use. Few put nothing right on it.
-    pub(crate) fn counted(
+    pub(crate) fn apply_counter_reply(
         &mut self,
         now: Micros,
         counter: CounterId,
         result: CounterResult,
         took: Micros,
-        out: Out,
+        out: Actions,
     ) {
         let fraction = self.random_source.next_fraction();
         let total = match result {
@@ -136,68 +160,70 @@
         let (limit, many) = (self.settings.capabilities.counter_timeout, self.settings.gateway_count > OFTEN);
         let quick = if many { QUICK_DIVISOR_OF_MANY } else { QUICK_DIVISOR };
         let quick = total.is_some() && limit.is_none_or(|limit| took < limit / quick);
-        if quick || now >= self.cut + CROWDED {
+        if quick || now >= self.last_backoff_at + CROWDED {
             let gain = if quick { CALLS_INCREASE } else { CALLS_DECREASE };
-            self.call_share = (self.call_share * gain).clamp(MIN_CALLS_PER_REQUEST, MAX_CALLS_PER_REQUEST);
-            self.cut = if quick { self.cut } else { now };
+            self.calls_per_request =
+                (self.calls_per_request * gain).clamp(MIN_CALLS_PER_REQUEST, MAX_CALLS_PER_REQUEST);
+            self.last_backoff_at = if quick { self.last_backoff_at } else { now };
         }
-        let Some((id, window, start)) = self.asked.remove(&counter) else { return };
+        let Some((id, window, start)) = self.pending_counter_calls.remove(&counter) else { return };
         let Some(c) = self.customers.get_mut(id) else { return };
-        c.calling = false;
-        let (added, waiting) = (std::mem::take(&mut c.adding), std::mem::take(&mut c.waiting));
+        c.call_in_flight = false;
+        let (added, waiting) = (std::mem::take(&mut c.units_in_call), std::mem::take(&mut c.queued_requests));
         if let Some(total) = total.filter(|t| t.is_finite()) {
             c.refill(now, 0.0, UsageSource::Exact);
             let before = total - added;
-            if c.few() {
-                let last = c.total.replace(total).unwrap_or(before);
+            if c.is_shared_by_few() {
+                let last = c.counter_total.replace(total).unwrap_or(before);
                 let others = if before < last * COUNT_FELL { before.max(0.0) } else { before - last };
                 // A call that had no answer may have been added, and then is none of theirs. They took theirs
                 // while the store filled, so first of what it could not hold. What several took at once, each
                 // by a total of some age, is owed; tries beyond that took nothing.
-                let others = others - std::mem::take(&mut c.unsure).clamp(0.0, others.max(0.0));
-                let lag = seconds(COUNT_FRESH) * c.terms.rate * c.spread as f64;
-                let least = c.bucket_level.min(-lag.min(c.terms.burst * DEBT_OF_BURST));
-                c.bucket_level =
-                    (c.bucket_level + std::mem::take(&mut c.overflow) - others).clamp(least, c.terms.burst);
+                let others =
+                    others - std::mem::take(&mut c.possibly_counted_units).clamp(0.0, others.max(0.0));
+                let lag = seconds(COUNT_FRESH) * c.plan.rate * c.gateway_count as f64;
+                let least = c.bucket_level.min(-lag.min(c.plan.burst * DEBT_OF_BURST));
+                c.bucket_level = (c.bucket_level + std::mem::take(&mut c.bucket_overflow) - others)
+                    .clamp(least, c.plan.burst);
             } else if window != start {
-                c.carry_over(total);
-            } else if before == 0.0 && c.opens(now, start) {
+                c.carry_over_deficit(total);
+            } else if before == 0.0 && c.may_owe_previous_window(now, start) {
                 // Who opens a window looks up what the one before left owing.
-                (c.calling, c.total) = (true, Some(total));
-                self.count(id, start - WINDOW, start, 0.0, out);
+                (c.call_in_flight, c.counter_total) = (true, Some(total));
+                self.send_counter_call(id, start - WINDOW, start, 0.0, out);
             } else {
-                c.take_shared_total(now, start, total, added, fraction);
+                c.apply_shared_total(now, start, total, added, fraction);
             }
             let Some(c) = self.customers.get_mut(id) else { return };
-            c.counted = now;
-            if !c.few() {
+            c.counter_replied_at = now;
+            if !c.is_shared_by_few() {
                 c.local_allowance = c.bucket_level.max(0.0);
             }
-            let dry = if c.few() {
+            let dry = if c.is_shared_by_few() {
                 EMPTY_STORE_DEMAND
             } else {
                 (EMPTY_AGAIN_FACTOR * c.demand(now)).clamp(EMPTY_STORE_DEMAND, DEMAND_MOST)
             };
             if c.bucket_level < 1.0 && c.demand(now) < dry {
-                c.learn(now, dry, 0.0);
+                c.record_demand(now, dry, 0.0);
             }
         } else if result == CounterResult::Unknown {
-            (c.unsure, c.correction) = (c.unsure + added, 0.0);
+            (c.possibly_counted_units, c.total_correction) = (c.possibly_counted_units + added, 0.0);
         } else {
-            c.uncounted += added - std::mem::take(&mut c.correction);
+            c.unreported_units += added - std::mem::take(&mut c.total_correction);
         }
-        self.changed.insert(id);
+        self.changed_customers.insert(id);
         for waits in waiting {
-            if self.requests.get(&waits).is_some_and(|r| r.held) {
-                self.leave(now, waits, out);
+            if self.requests.get(&waits).is_some_and(|r| r.queued) {
+                self.dequeue(now, waits, out);
             }
         }
         // All gateways go by the total: what it lacks, or holds for one that did not go, waits for no round.
-        let answered = |c: &&Customer| total.is_some() && !c.few() && !c.calling;
+        let answered = |c: &&Customer| total.is_some() && !c.is_shared_by_few() && !c.call_in_flight;
         let Some(c) = self.customers.get(id).filter(answered) else { return };
-        if c.correction != 0.0 || c.uncounted != 0.0 {
-            self.calls = self.calls.max(1.0);
-            self.call(now, id, 0.0, out);
+        if c.total_correction != 0.0 || c.unreported_units != 0.0 {
+            self.counter_call_budget = self.counter_call_budget.max(1.0);
+            self.call_counter(now, id, 0.0, out);
         }
     }
 }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -5,16 +5,16 @@
 /// An attempt of a request at a server.
 pub(crate) struct Attempt {
     pub server: ServerId,
-    pub sent: Micros,
+    pub sent_at: Micros,
     /// No outcome yet.
-    pub open: bool,
+    pub in_flight: bool,
     pub may_have_run: bool,
     /// Requests that the server was expected to hold at the send.
-    pub held: f64,
+    pub expected_in_flight: f64,
     /// Waited for no longer than a slow answer takes.
-    pub cut: bool,
+    pub uses_attempt_timeout: bool,
     /// The server has the whole request.
-    pub working: bool,
+    pub fully_sent: bool,
 }
 
 /// A client's request.
@@ -24,21 +24,21 @@
     pub plan: usize,
     pub customer: CustomerId,
     pub units: f64,
-    pub arrived: Micros,
+    pub arrived_at: Micros,
     /// Time that the client has spent on earlier tries.
-    pub waited: Micros,
+    pub elapsed_before_arrival: Micros,
     pub deadline: Micros,
     /// Waits for its delay or for the counter.
-    pub held: bool,
+    pub queued: bool,
     /// Within the customer's quota.
-    pub inside: bool,
+    pub within_quota: bool,
     /// Its answer has begun to stream.
-    pub started: bool,
+    pub response_started: bool,
     /// Part of its body has gone on that is at hand no more.
-    pub spent: bool,
+    pub body_consumed: bool,
     /// Part of its body is still to come.
-    pub coming: bool,
+    pub body_incomplete: bool,
     /// Answered, or left by its client.
-    pub done: bool,
+    pub finished: bool,
     pub attempts: Vec<Attempt>,
 }
--- a/crates/core/src/ring.rs
+++ b/crates/core/src/ring.rs
@@ -28,7 +28,7 @@
 
     /// The place of a ready server.
     pub fn place(&self, servers: &ServerIndex, server: &Server) -> usize {
-        let position = servers.rank(Subset::Ready, server.entry.server);
+        let position = servers.rank(Subset::Ready, server.endpoint.server);
         (position + self.ready - self.start) % self.ready.max(1)
     }
 
@@ -38,7 +38,7 @@
         servers: &'a ServerIndex,
         subset: Subset,
     ) -> impl Iterator<Item = (usize, &'a Server)> {
-        let next = self.at(servers, self.size).map(|x| x.entry.server);
+        let next = self.at(servers, self.size).map(|x| x.endpoint.server);
         let first = next.map_or(0, |id| servers.rank(subset, id));
         let count = servers.count(subset);
         let members = (0..count).filter_map(move |k| servers.at(subset, (first + k) % count));
--- a/crates/core/src/selection.rs
+++ b/crates/core/src/selection.rs
@@ -8,7 +8,7 @@
 use crate::request::{Attempt, Request};
 use crate::ring::Ring;
 use crate::server_index::{Server, Site};
-use crate::servers::avoided;
+use crate::servers::enforced_ejections;
 
 /// Gateways that send to a server, where there are so many, so that they even out.
 const GATEWAYS_PER_SERVER: usize = 16;
@@ -42,7 +42,7 @@
     /// Whether it is a further attempt.
     again: bool,
     ring: Ring,
-    /// Whether ejected servers are avoided.
+    /// Whether ejected servers are enforced_ejections.
     trust: bool,
     /// Where the attempt has to go, if an earlier one may have run.
     site: Option<Site>,
@@ -65,7 +65,7 @@
             now,
             again,
             ring: Ring { start: self.subset_start(size, ready), size, ready },
-            trust: avoided(ready - self.servers.count(Subset::Trusted), ready) > 0,
+            trust: enforced_ejections(ready - self.servers.count(Subset::Trusted), ready) > 0,
             site: self.required_site(request),
             best: None,
             usable: 0,
@@ -105,8 +105,8 @@
 
     /// Where repeats of a request that may have run are dropped, if not everywhere.
     fn required_site(&self, request: &Request) -> Option<Site> {
-        let ran = request.attempts.iter().find(|a| a.may_have_run || a.open)?;
-        let home = &self.servers.get(ran.server)?.entry;
+        let ran = request.attempts.iter().find(|a| a.may_have_run || a.in_flight)?;
+        let home = &self.servers.get(ran.server)?.endpoint;
         match self.settings.classes[request.class].idempotency {
             Idempotency::IdempotencyKey { scope: group, .. } => site(group, home),
             _ => None,
@@ -121,12 +121,12 @@
             Idempotency::IdempotencyKey { scope: group, .. } => group,
             Idempotency::NonIdempotent => return false,
         };
-        let Some(site) = site(group, &home.entry) else {
-            let itself = home.entry.state == EndpointState::Ready && home.ejected <= now;
+        let Some(site) = site(group, &home.endpoint) else {
+            let itself = home.endpoint.state == EndpointState::Ready && home.ejected_until <= now;
             return self.servers.count(Subset::Trusted) > usize::from(itself);
         };
         let mut near = self.servers.at_site(site, 0.0).take(MAX_SUBSTITUTES);
-        near.any(|x| x.ejected <= now && x.entry.server != server)
+        near.any(|x| x.ejected_until <= now && x.endpoint.server != server)
     }
 }
 
@@ -182,43 +182,43 @@
             return;
         }
         let last_resort = self.is_last_resort(x);
-        let wait = x.wait(self.now, &self.gateway.settings.rules);
+        let wait = x.expected_latency_us(self.now, &self.gateway.settings.rules);
         let score = self.score(x, wait, last_resort);
         if self.best.as_ref().is_none_or(|(least, _)| score < *least) {
-            self.best = Some((score, Choice { server: x.entry.server, wait }));
+            self.best = Some((score, Choice { server: x.endpoint.server, wait }));
         }
         self.usable += usize::from(!last_resort);
     }
 
     fn may_use(&self, x: &Server, place: usize) -> bool {
-        let ramp = x.ramp(self.now, &self.gateway.settings.rules);
+        let ramp = x.slow_start_factor(self.now, &self.gateway.settings.rules);
         // A cold one's budget is shared by the gateways whose subset it is in, and by no others.
-        let spared = ramp < 1.0 && (x.cold_budget < 1.0 || place >= self.ring.size);
+        let spared = ramp < 1.0 && (x.slow_start_budget < 1.0 || place >= self.ring.size);
         let at_site = match self.site {
-            Some(Site::Zone(zone)) => x.entry.zone == zone,
-            Some(Site::Cell(cell)) => x.entry.cell == cell,
+            Some(Site::Zone(zone)) => x.endpoint.zone == zone,
+            Some(Site::Cell(cell)) => x.endpoint.cell == cell,
             None => true,
         };
-        at_site && !spared && !(self.trust && x.ejected > self.now)
+        at_site && !spared && !(self.trust && x.ejected_until > self.now)
     }
 
     fn is_last_resort(&self, x: &Server) -> bool {
-        let shut = x.shut.get(&self.request.plan).is_some_and(|f| f.0 > self.now);
-        let tried = |a: &Attempt| a.server == x.entry.server;
+        let shut = x.rejection_backoff.get(&self.request.plan).is_some_and(|f| f.0 > self.now);
+        let tried = |a: &Attempt| a.server == x.endpoint.server;
         shut || self.again && self.request.attempts.iter().any(tried)
     }
 
     /// How long an answer should take, weighted by what speaks against the server; the lowest is the best.
     fn score(&self, x: &Server, wait: f64, last_resort: bool) -> f64 {
         let settings = &self.gateway.settings;
-        let good = x.success(self.now);
+        let good = x.current_success_rate(self.now);
         let mut score = wait / (good * good).max(1e-3);
         if self.ring.is_partial() {
             // One just used waits its turn, as long as it takes; one passed over comes sooner.
-            let item = x.item_us / x.ramp(self.now, &settings.rules);
-            score += (x.turn - self.gateway.turn).max(-item);
+            let item = x.service_time_us / x.slow_start_factor(self.now, &settings.rules);
+            score += (x.virtual_time - self.gateway.virtual_time).max(-item);
         }
-        if x.entry.zone != settings.zone {
+        if x.endpoint.zone != settings.zone {
             score *= CROSS_ZONE_FACTOR;
         }
         if last_resort {
--- a/crates/core/src/server_index.rs
+++ b/crates/core/src/server_index.rs
@@ -25,28 +25,28 @@
 #[derive(Default)]
 pub(crate) struct Server {
     /// As it is listed; its start by this process's clock.
-    pub entry: Endpoint,
+    pub endpoint: Endpoint,
     /// Its start by the fleet's clock, as it was told.
-    pub told_start: Option<Micros>,
+    pub reported_start: Option<Micros>,
     /// Attempts out there from here.
-    pub open: u32,
+    pub attempts_in_flight: u32,
     /// Time per request held, µs.
-    pub item_us: f64,
+    pub service_time_us: f64,
     /// Requests of others there, as last reported, and when that was.
-    pub others: f64,
-    pub reported: Micros,
+    pub peers_in_flight: f64,
+    pub load_reported_at: Micros,
     /// Share of outcomes that were good, and when the last one was.
-    pub ok: f64,
-    pub judged: Micros,
+    pub success_rate: f64,
+    pub last_outcome_at: Micros,
     /// The end of its ejection, and how many there were in a row.
-    pub ejected: Micros,
-    pub ejections: u32,
+    pub ejected_until: Micros,
+    pub consecutive_ejections: u32,
     /// By plan: until when it is left alone for having been full, and how many times in a row.
-    pub shut: BTreeMap<usize, (Micros, u32)>,
+    pub rejection_backoff: BTreeMap<usize, (Micros, u32)>,
     /// Attempts that a cold one may be sent.
-    pub cold_budget: f64,
+    pub slow_start_budget: f64,
     /// Its next turn, where servers take turns.
-    pub turn: f64,
+    pub virtual_time: f64,
 }
 
 /// What the index holds of a record.
@@ -56,9 +56,9 @@
     zone: u32,
     cell: u32,
     started_at: Option<Micros>,
-    ejected: Micros,
+    ejected_until: Micros,
     idle: bool,
-    item_us: f64,
+    service_time_us: f64,
 }
 
 impl Indexed {
@@ -68,14 +68,22 @@
         zone: 0,
         cell: 0,
         started_at: None,
-        ejected: 0,
+        ejected_until: 0,
         idle: false,
-        item_us: 0.0,
+        service_time_us: 0.0,
     };
 
     fn of(x: &Server) -> Indexed {
-        let Endpoint { state, zone, cell, started_at, .. } = x.entry;
-        Indexed { state, zone, cell, started_at, ejected: x.ejected, idle: x.open == 0, item_us: x.item_us }
+        let Endpoint { state, zone, cell, started_at, .. } = x.endpoint;
+        Indexed {
+            state,
+            zone,
+            cell,
+            started_at,
+            ejected_until: x.ejected_until,
+            idle: x.attempts_in_flight == 0,
+            service_time_us: x.service_time_us,
+        }
     }
 
     fn is_ready(&self) -> bool {
@@ -102,13 +110,13 @@
     /// By the end of the ejection.
     ejected: BTreeSet<(Micros, Slot)>,
     /// By the time of their start, so that the first is the next to be warm.
-    cold: BTreeSet<(Option<Micros>, Slot)>,
+    warming_up: BTreeSet<(Option<Micros>, Slot)>,
     /// Ready ones by zone and by cell.
     zones: BTreeSet<(u32, Slot)>,
     cells: BTreeSet<(u32, Slot)>,
     vacated: BTreeSet<Slot>,
     listed: usize,
-    item_us_sum: f64,
+    service_time_sum_us: f64,
     visited: Cell<u64>,
 }
 
@@ -172,40 +180,40 @@
     /// How many ready servers are ejected at a time; walks the ejected ones.
     pub fn ejected_at(&self, now: Micros) -> usize {
         let out = self.ejected.range((now.saturating_add(1), 0)..);
-        out.filter(|(_, slot)| self.record(*slot).entry.state == EndpointState::Ready).count()
+        out.filter(|(_, slot)| self.record(*slot).endpoint.state == EndpointState::Ready).count()
     }
 
     /// Servers still ramping, ready or not, as of the last [`Self::advance`].
-    pub fn cold(&self) -> impl Iterator<Item = &Server> {
-        self.cold.iter().map(|(_, slot)| self.record(*slot))
+    pub fn warming_up(&self) -> impl Iterator<Item = &Server> {
+        self.warming_up.iter().map(|(_, slot)| self.record(*slot))
     }
 
     /// Changes what is not indexed of each server that is still ramping.
-    pub fn update_cold(&mut self, mut change: impl FnMut(&mut Server)) {
-        self.visited.set(self.visited.get() + self.cold.len() as u64);
-        for (_, slot) in &self.cold {
+    pub fn update_warming_up(&mut self, mut change: impl FnMut(&mut Server)) {
+        self.visited.set(self.visited.get() + self.warming_up.len() as u64);
+        for (_, slot) in &self.warming_up {
             change(&mut self.records[*slot as usize]);
         }
     }
 
     /// Sum of the ready servers' shares of their capacity.
-    pub fn ramp_sum(&self, now: Micros) -> f64 {
-        if !self.cold.is_empty() && self.len() <= MAX_SUMMED {
-            return self.iter().filter(|x| is_ready(x)).map(|x| x.ramp(now, &self.rules)).sum();
+    pub fn slow_start_factor_sum(&self, now: Micros) -> f64 {
+        if !self.warming_up.is_empty() && self.len() <= MAX_SUMMED {
+            return self.iter().filter(|x| is_ready(x)).map(|x| x.slow_start_factor(now, &self.rules)).sum();
         }
         let mut sum = self.count(Subset::Ready) as f64;
-        for x in self.cold().filter(|x| is_ready(x)) {
-            sum += x.ramp(now, &self.rules) - 1.0;
+        for x in self.warming_up().filter(|x| is_ready(x)) {
+            sum += x.slow_start_factor(now, &self.rules) - 1.0;
         }
         sum
     }
 
     /// Mean time per request held, over all in the table.
-    pub fn mean_item_us(&self) -> Option<f64> {
+    pub fn mean_service_time_us(&self) -> Option<f64> {
         let sum = match self.len() {
             0 => return None,
-            1..=MAX_SUMMED => self.iter().map(|x| x.item_us).sum(),
-            _ => self.item_us_sum,
+            1..=MAX_SUMMED => self.iter().map(|x| x.service_time_us).sum(),
+            _ => self.service_time_sum_us,
         };
         Some(sum / self.len() as f64)
     }
@@ -216,7 +224,7 @@
         self.records.reserve(further);
         self.order.reserve(further);
         let listed: BTreeSet<ServerId> = list.iter().map(|e| e.server).collect();
-        self.iter().map(|x| x.entry.server).filter(|id| !listed.contains(id)).collect()
+        self.iter().map(|x| x.endpoint.server).filter(|id| !listed.contains(id)).collect()
     }
 
     /// Lets time pass: ejections end, and servers get warm.
@@ -225,11 +233,11 @@
             self.ejected.remove(&(until, slot));
             self.place_in_subsets(slot);
         }
-        while let Some((started_at, slot)) = self.cold.first().copied() {
-            if self.record(slot).ramp(now, &self.rules) < 1.0 {
+        while let Some((started_at, slot)) = self.warming_up.first().copied() {
+            if self.record(slot).slow_start_factor(now, &self.rules) < 1.0 {
                 return;
             }
-            self.cold.remove(&(started_at, slot));
+            self.warming_up.remove(&(started_at, slot));
             self.place_in_subsets(slot);
         }
     }
@@ -250,7 +258,7 @@
 
     /// Adds a server, or puts another record in the place of the one it has.
     pub fn insert(&mut self, now: Micros, server: Server) {
-        let id = server.entry.server;
+        let id = server.endpoint.server;
         if self.order.find(id.0).is_some() {
             self.update(now, id, |x| *x = server);
             return;
@@ -270,10 +278,10 @@
         for slot in std::mem::take(&mut self.vacated) {
             let server = std::mem::take(&mut self.records[slot as usize]);
             self.visited.set(self.visited.get() + 1);
-            self.ejected.remove(&(server.ejected, slot));
-            self.cold.remove(&(server.entry.started_at, slot));
-            self.item_us_sum -= server.item_us;
-            self.order.remove(server.entry.server.0);
+            self.ejected.remove(&(server.ejected_until, slot));
+            self.warming_up.remove(&(server.endpoint.started_at, slot));
+            self.service_time_sum_us -= server.service_time_us;
+            self.order.remove(server.endpoint.server.0);
             self.free.push(slot);
         }
     }
@@ -289,7 +297,7 @@
         if after == before {
             return;
         }
-        self.item_us_sum += after.item_us - before.item_us;
+        self.service_time_sum_us += after.service_time_us - before.service_time_us;
         self.listed = self.listed + usize::from(after.is_listed()) - usize::from(before.is_listed());
         if before.is_ready() {
             self.zones.remove(&(before.zone, slot));
@@ -304,16 +312,16 @@
         } else {
             self.vacated.remove(&slot);
         }
-        if after.ejected != before.ejected {
-            self.ejected.remove(&(before.ejected, slot));
-            if after.ejected > now {
-                self.ejected.insert((after.ejected, slot));
+        if after.ejected_until != before.ejected_until {
+            self.ejected.remove(&(before.ejected_until, slot));
+            if after.ejected_until > now {
+                self.ejected.insert((after.ejected_until, slot));
             }
         }
         if after.started_at != before.started_at {
-            self.cold.remove(&(before.started_at, slot));
-            if self.record(slot).ramp(now, &self.rules) < 1.0 {
-                self.cold.insert((after.started_at, slot));
+            self.warming_up.remove(&(before.started_at, slot));
+            if self.record(slot).slow_start_factor(now, &self.rules) < 1.0 {
+                self.warming_up.insert((after.started_at, slot));
             }
         }
         self.place_in_subsets(slot);
@@ -321,13 +329,13 @@
 
     fn place_in_subsets(&mut self, slot: Slot) {
         let x = &self.records[slot as usize];
-        let ready = x.entry.state == EndpointState::Ready;
-        let trusted = ready && !self.ejected.contains(&(x.ejected, slot));
-        let available = trusted && !self.cold.contains(&(x.entry.started_at, slot));
+        let ready = x.endpoint.state == EndpointState::Ready;
+        let trusted = ready && !self.ejected.contains(&(x.ejected_until, slot));
+        let available = trusted && !self.warming_up.contains(&(x.endpoint.started_at, slot));
         self.order.set_membership(slot, [ready, trusted, available]);
     }
 }
 
 fn is_ready(x: &Server) -> bool {
-    x.entry.state == EndpointState::Ready
+    x.endpoint.state == EndpointState::Ready
 }
--- a/crates/core/src/servers.rs
+++ b/crates/core/src/servers.rs
@@ -23,51 +23,52 @@
 
 impl Server {
     /// Requests expected there: our own, always fresh, and others' as last reported, fading with age.
-    pub fn holds(&self, now: Micros) -> f64 {
-        f64::from(self.open) + self.others * fade(now.saturating_sub(self.reported), REPORT_S)
+    pub fn expected_in_flight(&self, now: Micros) -> f64 {
+        f64::from(self.attempts_in_flight)
+            + self.peers_in_flight * fade(now.saturating_sub(self.load_reported_at), REPORT_S)
     }
 
     /// Share of its capacity that is there at least.
-    pub fn ramp(&self, now: Micros, rules: &ProtocolRules) -> f64 {
-        let Some(started_at) = self.entry.started_at.filter(|_| rules.warm_up > 0) else { return 1.0 };
+    pub fn slow_start_factor(&self, now: Micros, rules: &ProtocolRules) -> f64 {
+        let Some(started_at) = self.endpoint.started_at.filter(|_| rules.warm_up > 0) else { return 1.0 };
         let (up, from) =
             (now.saturating_sub(started_at) as f64 / rules.warm_up as f64, rules.initial_capacity.min(1.0));
         (from + (1.0 - from) * up).clamp(0.01, 1.0)
     }
 
     /// How long an answer to one more request should take, µs.
-    pub fn wait(&self, now: Micros, rules: &ProtocolRules) -> f64 {
-        (self.holds(now) + 1.0) * self.item_us / self.ramp(now, rules)
+    pub fn expected_latency_us(&self, now: Micros, rules: &ProtocolRules) -> f64 {
+        (self.expected_in_flight(now) + 1.0) * self.service_time_us / self.slow_start_factor(now, rules)
     }
 
     /// Share of outcomes that were good, fading to all as the verdict ages.
-    pub fn success(&self, now: Micros) -> f64 {
-        1.0 - (1.0 - self.ok) * fade(now.saturating_sub(self.judged), HEAL_S)
+    pub fn current_success_rate(&self, now: Micros) -> f64 {
+        1.0 - (1.0 - self.success_rate) * fade(now.saturating_sub(self.last_outcome_at), HEAL_S)
     }
 
     /// Books one outcome; a server that keeps failing is ejected for a time that doubles.
-    pub fn judge(&mut self, now: Micros, good: bool, dead: bool) {
-        self.ok = self.success(now);
+    pub fn record_outcome(&mut self, now: Micros, good: bool, dead: bool) {
+        self.success_rate = self.current_success_rate(now);
         // A server seen rarely is judged by the little that is seen, and for about as long as that lasts.
-        let gap = now.saturating_sub(self.judged);
+        let gap = now.saturating_sub(self.last_outcome_at);
         let gain = OK_GAIN.max(1.0 - fade(gap, HEAL_S));
-        self.ok += gain * (f64::from(u8::from(good)) - self.ok);
-        self.judged = now;
-        if good && self.ok > OK_CLEAR {
-            self.ejections = 0;
+        self.success_rate += gain * (f64::from(u8::from(good)) - self.success_rate);
+        self.last_outcome_at = now;
+        if good && self.success_rate > OK_CLEAR {
+            self.consecutive_ejections = 0;
         }
-        if (dead || self.ok < OK_EJECT) && now >= self.ejected {
-            self.ejected = now
-                + (FIRST_EJECTION << self.ejections.min(EJECTION_DOUBLINGS))
+        if (dead || self.success_rate < OK_EJECT) && now >= self.ejected_until {
+            self.ejected_until = now
+                + (FIRST_EJECTION << self.consecutive_ejections.min(EJECTION_DOUBLINGS))
                     .max(gap.min(FIRST_EJECTION << EJECTION_DOUBLINGS));
-            self.ejections += 1;
-            self.ok = OK_EJECT; // the next error ejects again
+            self.consecutive_ejections += 1;
+            self.success_rate = OK_EJECT; // the next error ejects again
         }
     }
 }
 
-/// How many ejected servers, of so many that take work, are avoided; none while too many look bad.
-pub(crate) fn avoided(ejected: usize, ready: usize) -> usize {
+/// How many ejected servers, of so many that take work, are enforced_ejections; none while too many look bad.
+pub(crate) fn enforced_ejections(ejected: usize, ready: usize) -> usize {
     if ejected as f64 <= EJECT_SHARE * ready as f64 {
         ejected
     } else {
@@ -78,16 +79,16 @@
 /// How long attempts of each class are waited for: a running quantile of the times to answer. A connection
 /// that fell silent holds its request no longer than a slow answer would; where many are slow it rises.
 #[derive(Default)]
-pub(crate) struct Patience(Vec<f64>);
+pub(crate) struct AttemptTimeouts(Vec<f64>);
 
-impl Patience {
+impl AttemptTimeouts {
     /// Before anything was answered, half of the aim is given to an attempt.
-    pub fn new(classes: &[Class]) -> Patience {
-        Patience(classes.iter().map(|c| 0.5 * c.latency_objective as f64 / SILENT).collect())
+    pub fn new(classes: &[Class]) -> AttemptTimeouts {
+        AttemptTimeouts(classes.iter().map(|c| 0.5 * c.latency_objective as f64 / SILENT).collect())
     }
 
     /// Books an attempt that was answered after this time, or given up then.
-    pub fn learn(&mut self, class: usize, aim: Micros, took: Micros) {
+    pub fn record(&mut self, class: usize, aim: Micros, took: Micros) {
         let step = SLOW_STEP * aim as f64;
         if let Some(slow) = self.0.get_mut(class) {
             let up = if took as f64 > *slow { SLOW_QUANTILE } else { SLOW_QUANTILE - 1.0 };
@@ -96,7 +97,7 @@
     }
 
     /// An attempt out for so long is silent.
-    pub fn limit(&self, class: usize, aim: Micros) -> Micros {
+    pub fn timeout(&self, class: usize, aim: Micros) -> Micros {
         let slow = self.0.get(class).map_or(f64::MAX, |slow| SILENT * slow);
         slow.max(SILENT_OF_AIM * aim as f64) as Micros
     }
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -99,7 +99,10 @@
     assert_eq!(refusal(|s| s.classes.clear()).as_deref(), Some("classes"));
     assert_eq!(refusal(|s| s.plans.clear()).as_deref(), Some("plans"));
     assert_eq!(refusal(|s| s.plans[0].rate = -1.0).as_deref(), Some("plans[0].rate"));
-    assert_eq!(refusal(|s| s.plans[0].hard_limit_rate = f64::NAN).as_deref(), Some("plans[0].hard_limit_rate"));
+    assert_eq!(
+        refusal(|s| s.plans[0].hard_limit_rate = f64::NAN).as_deref(),
+        Some("plans[0].hard_limit_rate")
+    );
     assert_eq!(refusal(|s| s.gateway_index = 2).as_deref(), Some("gateway_index"));
     assert_eq!(refusal(|s| s.batch_interval = 0).as_deref(), Some("batch_interval"));
     assert_eq!(
--- a/crates/core/tests/counter.rs
+++ b/crates/core/tests/counter.rs
@@ -283,6 +283,9 @@
     assert_eq!(bad(|s| s.gateway_count = 65_536).as_deref(), Some("gateway_count"));
     assert_eq!(bad(|s| s.gateway_count = 65_535), None);
     assert_eq!(bad(|s| s.gateway_index = 2).as_deref(), Some("gateway_index"));
-    assert_eq!(bad(|s| s.capabilities.counter_call_cost = -0.1).as_deref(), Some("capabilities.counter_call_cost"));
+    assert_eq!(
+        bad(|s| s.capabilities.counter_call_cost = -0.1).as_deref(),
+        Some("capabilities.counter_call_cost")
+    );
     assert_eq!(bad(|s| s.capabilities.gossip_cost = f64::NAN).as_deref(), Some("capabilities.gossip_cost"));
 }
--- a/crates/core/tests/handover.rs
+++ b/crates/core/tests/handover.rs
@@ -24,7 +24,7 @@
         "to a process that knows nothing it is new"
     );
     new.gateway.take_over(S, &text).expect("its own text");
-    assert_eq!(new.gateway.pool(S), (3, 1));
+    assert_eq!(new.gateway.endpoint_counts(S), (3, 1));
     assert_eq!(sent(&new.request(0, 5, 2 * S).1), None);
     assert!(sent(&new.request(0, 6, 2 * S).1).is_some(), "another customer is none the worse");
 }
--- a/crates/core/tests/servers.rs
+++ b/crates/core/tests/servers.rs
@@ -92,9 +92,9 @@
     rig.event(delta(entry(3, 0), EndpointState::Draining));
     let dead = |s| if s == ServerId(1) { AttemptStatus::ConnectFailed } else { AttemptStatus::Ok };
     (0..10).for_each(|k| drop(rig.play(100 + k, dead)));
-    assert_eq!(rig.gateway.pool(rig.now), (3, 1));
+    assert_eq!(rig.gateway.endpoint_counts(rig.now), (3, 1));
     rig.run_to(rig.now + 20 * S);
-    assert_eq!(rig.gateway.pool(rig.now), (3, 0));
+    assert_eq!(rig.gateway.endpoint_counts(rig.now), (3, 0));
 }
 
 #[test]
@@ -103,7 +103,11 @@
     for k in 0..40 {
         rig.play(100 + k, |_| AttemptStatus::ConnectionReset);
     }
-    assert_eq!(rig.gateway.pool(rig.now), (2, 0), "what is not avoided is not told as such");
+    assert_eq!(
+        rig.gateway.endpoint_counts(rig.now),
+        (2, 0),
+        "what is not enforced_ejections is not told as such"
+    );
     assert!(!rig.play(500, |_| AttemptStatus::Ok).is_empty());
 }
 
--- a/crates/core/tests/unit/customer_table.rs
+++ b/crates/core/tests/unit/customer_table.rs
@@ -9,7 +9,7 @@
 /// A customer that is as good as new 1 s + 1.5 s for each of its gateways after its last use.
 fn customer(filled: Micros, spread: usize) -> Customer {
     let terms = Plan { rate: 1.0, burst: 1.0, ..Plan::default() };
-    Customer { terms, spread, filled, ..Customer::default() }
+    Customer { plan: terms, gateway_count: spread, refilled_at: filled, ..Customer::default() }
 }
 
 #[derive(Clone, Debug)]
@@ -43,8 +43,8 @@
                 }
                 Step::Use { id, open, calling, spread } => {
                     let change = |c: &mut Customer| {
-                        (c.filled, c.open, c.calling) = (now, open, calling);
-                        c.spread = c.spread.max(spread);
+                        (c.refilled_at, c.in_flight, c.call_in_flight) = (now, open, calling);
+                        c.gateway_count = c.gateway_count.max(spread);
                     };
                     table.get_mut(CustomerId(id)).into_iter().for_each(change);
                     model.get_mut(&id).into_iter().for_each(change);
@@ -52,7 +52,7 @@
                 Step::Tick(ms) => {
                     now += ms * 1_000;
                     table.forget_idle(now);
-                    model.retain(|_, c| c.open > 0 || c.calling || now < c.idle_at());
+                    model.retain(|_, c| c.in_flight > 0 || c.call_in_flight || now < c.idle_at());
                 }
             }
             prop_assert!(table.iter_mut().map(|(id, _)| id.0).eq(model.keys().copied()));
@@ -75,7 +75,7 @@
 fn a_customer_in_use_is_not_examined_by_each_tick() {
     let mut table = CustomerTable::default();
     table.insert(CustomerId(1), customer(S, 1));
-    table.get_mut(CustomerId(1)).expect("just added").filled = 3 * S;
+    table.get_mut(CustomerId(1)).expect("just added").refilled_at = 3 * S;
     (4 * S..5 * S).step_by(100_000).for_each(|now| table.forget_idle(now));
     assert_eq!((table.visited(), table.iter_mut().count()), (1, 1));
     table.forget_idle(6 * S);
--- a/crates/core/tests/unit/server_index.rs
+++ b/crates/core/tests/unit/server_index.rs
@@ -48,24 +48,24 @@
 
 impl Model {
     fn ready(&self) -> Vec<&Server> {
-        self.0.values().filter(|x| x.entry.state == EndpointState::Ready).collect()
+        self.0.values().filter(|x| x.endpoint.state == EndpointState::Ready).collect()
     }
 
     fn members(&self, subset: Subset, now: Micros) -> Vec<ServerId> {
         let is_member = |x: &&Server| match subset {
             Subset::Ready => true,
-            Subset::Trusted => x.ejected <= now,
-            Subset::Available => x.ejected <= now && x.ramp(now, &rules()) >= 1.0,
+            Subset::Trusted => x.ejected_until <= now,
+            Subset::Available => x.ejected_until <= now && x.slow_start_factor(now, &rules()) >= 1.0,
         };
-        self.ready().into_iter().filter(is_member).map(|x| x.entry.server).collect()
+        self.ready().into_iter().filter(is_member).map(|x| x.endpoint.server).collect()
     }
 
     fn at_site(&self, site: Site) -> BTreeSet<ServerId> {
         let is_there = |x: &&Server| match site {
-            Site::Zone(zone) => x.entry.zone == zone,
-            Site::Cell(cell) => x.entry.cell == cell,
+            Site::Zone(zone) => x.endpoint.zone == zone,
+            Site::Cell(cell) => x.endpoint.cell == cell,
         };
-        self.ready().into_iter().filter(is_there).map(|x| x.entry.server).collect()
+        self.ready().into_iter().filter(is_there).map(|x| x.endpoint.server).collect()
     }
 }
 
@@ -75,32 +75,32 @@
 
 fn agree(index: &ServerIndex, model: &Model, now: Micros) {
     assert_eq!(index.len(), model.0.len());
-    assert!(index.iter().map(|x| x.entry.server).eq(model.0.keys().copied()));
-    assert_eq!(index.listed(), model.0.values().filter(|x| x.entry.state != EndpointState::Gone).count());
+    assert!(index.iter().map(|x| x.endpoint.server).eq(model.0.keys().copied()));
+    assert_eq!(index.listed(), model.0.values().filter(|x| x.endpoint.state != EndpointState::Gone).count());
     for subset in [Subset::Ready, Subset::Trusted, Subset::Available] {
         let members = model.members(subset, now);
         assert_eq!(index.count(subset), members.len(), "{subset:?}");
         for (position, id) in members.iter().enumerate() {
-            assert_eq!(index.at(subset, position).map(|x| x.entry.server), Some(*id));
+            assert_eq!(index.at(subset, position).map(|x| x.endpoint.server), Some(*id));
             assert_eq!(index.rank(subset, *id), position);
         }
     }
-    let cold: BTreeSet<ServerId> = index.cold().map(|x| x.entry.server).collect();
-    let ramping = |x: &&Server| x.ramp(now, &rules()) < 1.0;
-    assert_eq!(cold, model.0.values().filter(ramping).map(|x| x.entry.server).collect());
-    assert_eq!(index.ejected_at(now), model.ready().iter().filter(|x| x.ejected > now).count());
+    let cold: BTreeSet<ServerId> = index.warming_up().map(|x| x.endpoint.server).collect();
+    let ramping = |x: &&Server| x.slow_start_factor(now, &rules()) < 1.0;
+    assert_eq!(cold, model.0.values().filter(ramping).map(|x| x.endpoint.server).collect());
+    assert_eq!(index.ejected_at(now), model.ready().iter().filter(|x| x.ejected_until > now).count());
     for site in (0..6).map(Site::Zone).chain((0..6).map(Site::Cell)) {
         for from in [0.0, 0.3, 0.99] {
-            let found: Vec<ServerId> = index.at_site(site, from).map(|x| x.entry.server).collect();
+            let found: Vec<ServerId> = index.at_site(site, from).map(|x| x.endpoint.server).collect();
             let distinct: BTreeSet<ServerId> = found.iter().copied().collect();
             assert_eq!(found.len(), distinct.len(), "{site:?}: one twice");
             assert_eq!(distinct, model.at_site(site), "{site:?}");
         }
     }
-    let ramps: f64 = model.ready().iter().map(|x| x.ramp(now, &rules())).sum();
-    assert!(close_to(index.ramp_sum(now), ramps));
-    let items: f64 = model.0.values().map(|x| x.item_us).sum();
-    match index.mean_item_us() {
+    let ramps: f64 = model.ready().iter().map(|x| x.slow_start_factor(now, &rules())).sum();
+    assert!(close_to(index.slow_start_factor_sum(now), ramps));
+    let items: f64 = model.0.values().map(|x| x.service_time_us).sum();
+    match index.mean_service_time_us() {
         Some(mean) => assert!(close_to(mean * model.0.len() as f64, items)),
         None => assert!(model.0.is_empty()),
     }
@@ -114,22 +114,27 @@
                 let started_at = age_s.map(|age| now - age * S);
                 let (id, zone, cell) = (ServerId(server), site % 3, site);
                 let entry = Endpoint { server: id, state, started_at, relative_size: 1.0, zone, cell };
-                let fresh = || Server { entry: entry.clone(), ok: 1.0, item_us: 40e3, ..Server::default() };
+                let fresh = || Server {
+                    endpoint: entry.clone(),
+                    success_rate: 1.0,
+                    service_time_us: 40e3,
+                    ..Server::default()
+                };
                 index.insert(now, fresh());
                 model.0.insert(id, fresh());
             }
             Step::Change { server, eject_s, open, item_us } => {
                 let id = ServerId(server);
                 let change = |x: &mut Server| {
-                    x.ejected = eject_s.map_or(x.ejected, |s| now + s * S);
-                    (x.open, x.item_us) = (open, item_us);
+                    x.ejected_until = eject_s.map_or(x.ejected_until, |s| now + s * S);
+                    (x.attempts_in_flight, x.service_time_us) = (open, item_us);
                 };
                 assert_eq!(index.update(now, id, change).is_some(), model.0.contains_key(&id));
                 model.0.get_mut(&id).into_iter().for_each(change);
             }
             Step::Sweep => {
                 index.remove_vacated();
-                model.0.retain(|_, x| x.entry.state != EndpointState::Gone || x.open > 0);
+                model.0.retain(|_, x| x.endpoint.state != EndpointState::Gone || x.attempts_in_flight > 0);
             }
             Step::Wait { ms } => {
                 now += ms * 1_000;
@@ -157,17 +162,21 @@
         let started_at = (k % 3 == 0).then(|| now - k * 5_000);
         let entry =
             Endpoint { server: ServerId(k), state: EndpointState::Ready, started_at, ..Endpoint::default() };
-        index.insert(now, Server { entry, item_us: 100.0 + k as f64 / 7.0, ..Server::default() });
-        index.update(now, ServerId(k / 2), |x| x.item_us *= 1.01);
+        index.insert(
+            now,
+            Server { endpoint: entry, service_time_us: 100.0 + k as f64 / 7.0, ..Server::default() },
+        );
+        index.update(now, ServerId(k / 2), |x| x.service_time_us *= 1.01);
     }
     for k in (0..2_000).step_by(4) {
-        index.update(now, ServerId(k), |x| x.entry.state = EndpointState::Gone);
+        index.update(now, ServerId(k), |x| x.endpoint.state = EndpointState::Gone);
     }
     index.remove_vacated();
     assert_eq!(index.len(), 1_500);
-    let (ramps, items): (f64, f64) =
-        index.iter().fold((0.0, 0.0), |sum, x| (sum.0 + x.ramp(now, &rules()), sum.1 + x.item_us));
-    assert!(index.cold().count() > 100, "both kinds of ramp are summed");
-    assert!(close_to(index.ramp_sum(now), ramps));
-    assert!(close_to(index.mean_item_us().expect("not empty"), items / 1_500.0));
+    let (ramps, items): (f64, f64) = index
+        .iter()
+        .fold((0.0, 0.0), |sum, x| (sum.0 + x.slow_start_factor(now, &rules()), sum.1 + x.service_time_us));
+    assert!(index.warming_up().count() > 100, "both kinds of ramp are summed");
+    assert!(close_to(index.slow_start_factor_sum(now), ramps));
+    assert!(close_to(index.mean_service_time_us().expect("not empty"), items / 1_500.0));
 }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -135,7 +135,7 @@
 
     /// The figures that operators read.
     pub fn figures(&self) -> String {
-        self.counts.text(self.inner.borrow().gateway.pool(self.clock.now()))
+        self.counts.text(self.inner.borrow().gateway.endpoint_counts(self.clock.now()))
     }
 
     /// A client's request: its number, where its one answer will arrive, and by what it is counted. `None`
--- a/crates/scale-laboratory/src/hollow/gateway.rs
+++ b/crates/scale-laboratory/src/hollow/gateway.rs
@@ -16,13 +16,13 @@
     /// The server's life then.
     pub epoch: u32,
     /// When.
-    pub sent: Micros,
+    pub sent_at: Micros,
     /// How long the core waits for it.
     pub timeout: Micros,
     /// How it ends.
     pub status: AttemptStatus,
     /// Whether it is still out.
-    pub open: bool,
+    pub in_flight: bool,
 }
 
 /// A request that the host holds.
--- a/crates/scale-laboratory/src/hollow/simulation.rs
+++ b/crates/scale-laboratory/src/hollow/simulation.rs
@@ -273,7 +273,7 @@
         let (ends, status) =
             if in_time { (ends, status) } else { (self.now + timeout, AttemptStatus::Timeout) };
         let epoch = self.servers.get(server).epoch;
-        let attempt = Attempt { server, epoch, sent: self.now, timeout, status, open: true };
+        let attempt = Attempt { server, epoch, sent_at: self.now, timeout, status, in_flight: true };
         let Some(held) = self.gateways[life.gateway].requests.get_mut(&id) else { return };
         held.attempts.push(attempt);
         let number = held.attempts.len() as u32 - 1;
@@ -292,17 +292,17 @@
             return;
         }
         let Some(held) = gateway.requests.get_mut(&id) else { return };
-        let Some(attempt) = held.attempts.get_mut(number as usize).filter(|a| a.open) else { return };
+        let Some(attempt) = held.attempts.get_mut(number as usize).filter(|a| a.in_flight) else { return };
         let answered = attempt.status == AttemptStatus::Ok;
         let server_gone = self.servers.get(attempt.server).epoch != attempt.epoch;
         if answered && (server_gone || !self.network.reaches_server(life.gateway, attempt.server)) {
             // Nothing comes back: the gateway waits for as long as it meant to.
             attempt.status = AttemptStatus::Timeout;
-            let ends = attempt.sent.saturating_add(attempt.timeout).max(self.now);
+            let ends = attempt.sent_at.saturating_add(attempt.timeout).max(self.now);
             return self.queue.push(ends, Occurrence::AttemptEnds(life, id, number));
         }
-        attempt.open = false;
-        let (server, status, sent, over) = (attempt.server, attempt.status, attempt.sent, held.over);
+        attempt.in_flight = false;
+        let (server, status, sent, over) = (attempt.server, attempt.status, attempt.sent_at, held.over);
         let mut used = None;
         if answered {
             if let Some(tenant) = self.pending.get(&id).map(|r| r.tenant) {
@@ -333,7 +333,7 @@
 
     fn cancel(&mut self, life: GatewayLife, id: RequestId, number: u32) {
         let Some(held) = self.gateways[life.gateway].requests.get_mut(&id) else { return };
-        let Some(attempt) = held.attempts.get_mut(number as usize).filter(|a| a.open) else { return };
+        let Some(attempt) = held.attempts.get_mut(number as usize).filter(|a| a.in_flight) else { return };
         attempt.status = AttemptStatus::Cancelled;
         self.queue.push(self.now, Occurrence::AttemptEnds(life, id, number));
     }
@@ -354,7 +354,7 @@
 
     fn forget_if_over(&mut self, gateway: usize, id: RequestId) {
         let requests = &mut self.gateways[gateway].requests;
-        if requests.get(&id).is_some_and(|r| r.over && r.attempts.iter().all(|a| !a.open)) {
+        if requests.get(&id).is_some_and(|r| r.over && r.attempts.iter().all(|a| !a.in_flight)) {
             requests.remove(&id);
         }
     }
