--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/bodies/forwarding.rs
@@ -1,8 +1,8 @@
 //! Bodies: those that are short are held whole, those past 64 KiB are passed on as they come. Whoever takes
 //! them slowly slows down whoever gives them, and what is held of them meanwhile is bounded over all of them.
 
-use crate::body_size::HELD_MOST;
-use crate::link::Link;
+use crate::bodies::size::MAX_BUFFERED_BODY_BYTES;
+use crate::servers::connection::ServerConnection;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -23,7 +23,7 @@
 
 /// Why a body cannot be passed on to its end.
 #[derive(Debug)]
-pub enum Cut {
+pub enum BodyError {
     /// It broke off.
     Broken(hyper::Error),
     /// Nothing more came of it.
@@ -32,27 +32,28 @@
     Spent,
 }
 
-impl fmt::Display for Cut {
+impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Cut::Broken(e) => write!(f, "the body broke off: {e}"),
-            Cut::Stalled => write!(f, "the body stalled"),
-            Cut::Spent => write!(f, "the body went on to an earlier attempt"),
+            BodyError::Broken(e) => write!(f, "the body broke off: {e}"),
+            BodyError::Stalled => write!(f, "the body stalled"),
+            BodyError::Spent => write!(f, "the body went on to an earlier attempt"),
         }
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for BodyError {}
 
 /// Reads a body until it ends or is past the length up to which bodies are held: what came, and what is still
 /// to come of a longer one.
 pub async fn begin(mut body: Incoming) -> Result<(Bytes, Option<Incoming>), hyper::Error> {
-    let mut head = BytesMut::with_capacity(body.size_hint().lower().min(HELD_MOST as u64) as usize);
+    let mut head =
+        BytesMut::with_capacity(body.size_hint().lower().min(MAX_BUFFERED_BODY_BYTES as u64) as usize);
     while let Some(frame) = body.frame().await {
         if let Ok(part) = frame?.into_data() {
             head.extend_from_slice(&part);
         }
-        if head.len() > HELD_MOST {
+        if head.len() > MAX_BUFFERED_BODY_BYTES {
             return Ok((head.freeze(), Some(body)));
         }
     }
@@ -68,8 +69,8 @@
     length: Option<u64>,
     state: Cell<UploadState>,
     /// What is done once all of a long one has gone on.
-    passed: RefCell<Option<Box<dyn FnOnce()>>>,
-    _room: Option<OwnedSemaphorePermit>,
+    on_forwarded: RefCell<Option<Box<dyn FnOnce()>>>,
+    _body_memory: Option<OwnedSemaphorePermit>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -94,7 +95,7 @@
     ) -> Upload {
         let length = if rest.is_some() { length } else { Some(head.len() as u64) };
         let (rest, state) = (RefCell::new(rest), Cell::new(UploadState::AtHand));
-        Upload { head, rest, length, state, passed: RefCell::default(), _room: room }
+        Upload { head, rest, length, state, on_forwarded: RefCell::default(), _body_memory: room }
     }
 
     /// No body.
@@ -108,77 +109,80 @@
     }
 
     /// Whether a further attempt could not be given all of it.
-    pub fn spent(&self) -> bool {
+    pub fn is_consumed(&self) -> bool {
         self.state.get() != UploadState::AtHand
     }
 
     /// Whether the client broke it off.
-    pub fn broken(&self) -> bool {
+    pub fn is_broken(&self) -> bool {
         self.state.get() == UploadState::Broken
     }
 
     /// What to do once all of it has gone on; whether there is anything to wait for.
-    pub fn when_passed(&self, then: impl FnOnce() + 'static) -> bool {
+    pub fn on_forwarded(&self, then: impl FnOnce() + 'static) -> bool {
         let long = self.rest.borrow().is_some();
         if long {
-            self.passed.replace(Some(Box::new(then)));
+            self.on_forwarded.replace(Some(Box::new(then)));
         }
         long
     }
 
     /// Whether part of it is still to come.
-    pub fn coming(&self) -> bool {
-        self.passed.borrow().is_some() && self.state.get() != UploadState::Broken
+    pub fn is_incomplete(&self) -> bool {
+        self.on_forwarded.borrow().is_some() && self.state.get() != UploadState::Broken
     }
 
     /// Whether nothing more is to come of it.
-    pub fn read_out(&self) -> bool {
+    pub fn is_read_to_end(&self) -> bool {
         self.rest.borrow().is_none() && matches!(self.state.get(), UploadState::AtHand | UploadState::Passed)
     }
 }
 
 /// An upload on its way over one connection.
-pub struct Sending {
+pub struct RequestBody {
     upload: Rc<Upload>,
     head: Bytes,
     rest: Option<Incoming>,
-    link: Rc<Link>,
+    connection: Rc<ServerConnection>,
     stall: Option<Pin<Box<Sleep>>>,
 }
 
-impl Sending {
+impl RequestBody {
     /// The body of one attempt.
-    pub fn new(upload: &Rc<Upload>, link: Rc<Link>) -> Sending {
+    pub fn new(upload: &Rc<Upload>, link: Rc<ServerConnection>) -> RequestBody {
         // Only one attempt is out at a time, so that the rest is here unless some of it has gone on.
         let rest = upload.rest.borrow_mut().take();
         let stall = rest.is_some().then(|| Box::pin(sleep(STALL_MOST)));
-        Sending { upload: upload.clone(), head: upload.head.clone(), rest, link, stall }
+        RequestBody { upload: upload.clone(), head: upload.head.clone(), rest, connection: link, stall }
     }
 
     /// All of it has been handed on.
     fn end(&mut self) {
         self.rest = None;
-        self.link.body_ended();
+        self.connection.body_ended();
         if self.upload.state.replace(UploadState::Passed) != UploadState::Passed {
-            let passed = self.upload.passed.borrow_mut().take();
+            let passed = self.upload.on_forwarded.borrow_mut().take();
             passed.into_iter().for_each(|then| then());
         }
     }
 }
 
-impl Drop for Sending {
+impl Drop for RequestBody {
     fn drop(&mut self) {
-        if !self.upload.spent() {
+        if !self.upload.is_consumed() {
             self.upload.rest.replace(self.rest.take());
         }
     }
 }
 
-impl Body for Sending {
+impl Body for RequestBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyError;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if !self.head.is_empty() {
             return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.head)))));
         }
@@ -186,14 +190,14 @@
         let state = &this.upload.state;
         loop {
             let Some(rest) = this.rest.as_mut() else {
-                this.link.body_ended();
-                return Poll::Ready(this.upload.spent().then_some(Err(Cut::Spent)));
+                this.connection.body_ended();
+                return Poll::Ready(this.upload.is_consumed().then_some(Err(BodyError::Spent)));
             };
             let frame = match (Pin::new(&mut *rest).poll_frame(cx), &mut this.stall) {
-                (Poll::Ready(frame), _) => frame.transpose().map_err(Cut::Broken),
+                (Poll::Ready(frame), _) => frame.transpose().map_err(BodyError::Broken),
                 (Poll::Pending, Some(stall)) => {
                     ready!(stall.as_mut().poll(cx));
-                    Err(Cut::Stalled)
+                    Err(BodyError::Stalled)
                 }
                 (Poll::Pending, None) => return Poll::Pending,
             };
@@ -234,70 +238,77 @@
 }
 
 /// The body of an answer.
-pub enum Answered {
-    /// Held whole.
-    Whole(Bytes),
+pub enum ResponseContent {
+    /// PendingRequest whole.
+    Buffered(Bytes),
     /// Passed on as it comes.
-    Passing(Box<Download>),
+    Forwarded(Box<Download>),
 }
 
 /// An answer that is passed on while its server gives it. Dropped before its end, it ends its connection.
 pub struct Download {
     head: Bytes,
     rest: Incoming,
-    link: Rc<Link>,
+    connection: Rc<ServerConnection>,
     /// Takes the connection back, once all has come.
-    done: Option<Box<dyn FnOnce()>>,
+    on_complete: Option<Box<dyn FnOnce()>>,
     stall: Pin<Box<Sleep>>,
-    _room: OwnedSemaphorePermit,
+    _body_memory: OwnedSemaphorePermit,
 }
 
 impl Download {
     /// What has come of an answer, what is still to come, over which connection, and what becomes of that.
     pub fn new(
         (head, rest): (Bytes, Incoming),
-        link: Rc<Link>,
+        link: Rc<ServerConnection>,
         done: Box<dyn FnOnce()>,
         room: OwnedSemaphorePermit,
     ) -> Box<Download> {
         let stall = Box::pin(sleep(STALL_MOST));
-        Box::new(Download { head, rest, link, done: Some(done), stall, _room: room })
+        Box::new(Download {
+            head,
+            rest,
+            connection: link,
+            on_complete: Some(done),
+            stall,
+            _body_memory: room,
+        })
     }
 }
 
 impl Drop for Download {
     fn drop(&mut self) {
-        if self.done.is_some() {
-            self.link.close();
+        if self.on_complete.is_some() {
+            self.connection.close();
         }
     }
 }
 
-impl Answered {
+impl ResponseContent {
     /// The next piece of it, or its end.
-    pub fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
+    pub fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         match self {
-            Answered::Whole(data) => {
+            ResponseContent::Buffered(data) => {
                 let piece = data.len().min(PIECE);
                 Poll::Ready((piece > 0).then(|| Ok(data.split_to(piece))))
             }
-            Answered::Passing(passing) => passing.poll_piece(cx),
+            ResponseContent::Forwarded(passing) => passing.poll_piece(cx),
         }
     }
 
     /// Whether nothing is left of it.
     pub fn is_over(&self) -> bool {
         match self {
-            Answered::Whole(data) => data.is_empty(),
-            Answered::Passing(passing) => passing.done.is_none(),
+            ResponseContent::Buffered(data) => data.is_empty(),
+            ResponseContent::Forwarded(passing) => passing.on_complete.is_none(),
         }
     }
 
     /// How long what is left of it is, as far as that is known.
     pub fn size_hint(&self) -> SizeHint {
         match self {
-            Answered::Whole(data) => SizeHint::with_exact(data.len() as u64),
-            Answered::Passing(passing) => {
+            ResponseContent::Buffered(data) => SizeHint::with_exact(data.len() as u64),
+            ResponseContent::Forwarded(passing) => {
                 let rest = passing.rest.size_hint().exact();
                 rest.map_or_else(SizeHint::default, |n| SizeHint::with_exact(n + passing.head.len() as u64))
             }
@@ -306,7 +317,7 @@
 }
 
 impl Download {
-    fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
+    fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         if !self.head.is_empty() {
             let piece = self.head.len().min(PIECE);
             return Poll::Ready(Some(Ok(self.head.split_to(piece))));
@@ -316,16 +327,16 @@
                 Poll::Ready(frame) => frame,
                 Poll::Pending => {
                     ready!(self.stall.as_mut().poll(cx));
-                    return Poll::Ready(Some(Err(Cut::Stalled)));
+                    return Poll::Ready(Some(Err(BodyError::Stalled)));
                 }
             };
             self.stall.as_mut().reset(Instant::now() + STALL_MOST);
             let frame = match frame.transpose() {
                 Ok(frame) => frame,
-                Err(e) => return Poll::Ready(Some(Err(Cut::Broken(e)))),
+                Err(e) => return Poll::Ready(Some(Err(BodyError::Broken(e)))),
             };
             // hyper asks no further once it has as much as was announced.
-            let done = self.done.take_if(|_| frame.is_none() || self.rest.is_end_stream());
+            let done = self.on_complete.take_if(|_| frame.is_none() || self.rest.is_end_stream());
             done.into_iter().for_each(|done| done());
             match frame.map(Frame::into_data) {
                 Some(Ok(data)) => return Poll::Ready(Some(Ok(data))),
--- /dev/null
+++ b/crates/gateway/src/bodies/mod.rs
@@ -0,0 +1,4 @@
+//! Bodies of requests and responses on their way through.
+
+pub mod forwarding;
+pub mod size;
--- a/crates/gateway/src/client_connection.rs
+++ b/crates/gateway/src/clients/connection.rs
@@ -1,6 +1,6 @@
 //! One client's connection: whether it may be closed, and when it has had its time. The front keeps one for each.
 
-use crate::wire::Wire;
+use crate::clients::stream::ClientStream;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,13 +16,13 @@
 /// A client's connection and where it stands between requests.
 pub struct ClientConnection {
     /// Its socket, under hyper.
-    pub wire: Rc<Wire>,
+    pub stream: Rc<ClientStream>,
     /// A request is in work.
-    pub request_in_work: Cell<bool>,
+    pub request_in_progress: Cell<bool>,
     /// An answer is passed on to it as it comes.
     pub answer_streaming: Cell<bool>,
     /// A request was taken up at some time.
-    pub has_asked: Cell<bool>,
+    pub has_sent_request: Cell<bool>,
     /// Since when no request is in work.
     pub idle_since: Cell<Instant>,
     /// Was told to close.
@@ -41,10 +41,10 @@
     /// A connection that was just accepted.
     pub fn new(stream: TcpStream) -> Rc<ClientConnection> {
         Rc::new(ClientConnection {
-            wire: Wire::new(stream),
-            request_in_work: Cell::new(false),
+            stream: ClientStream::new(stream),
+            request_in_progress: Cell::new(false),
             answer_streaming: Cell::new(false),
-            has_asked: Cell::new(false),
+            has_sent_request: Cell::new(false),
             idle_since: Cell::new(Instant::now()),
             closing: Cell::new(false),
             closing_mid_request: Cell::new(false),
@@ -56,43 +56,43 @@
 
     /// Whether nothing of an earlier request is left to do.
     pub fn is_idle(&self) -> bool {
-        !self.request_in_work.get() && !self.answer_streaming.get() && !self.wire.answering()
+        !self.request_in_progress.get() && !self.answer_streaming.get() && !self.stream.is_answering()
     }
 
     /// Whether it takes no more of its answer.
     pub fn is_stalled(&self, now: Instant) -> bool {
-        !self.request_in_work.get()
-            && self.wire.answering()
-            && now.duration_since(self.wire.wrote()) > MAX_IDLE
+        !self.request_in_progress.get()
+            && self.stream.is_answering()
+            && now.duration_since(self.stream.last_written_at()) > MAX_IDLE
     }
 
     /// Whether it has had its time: one that has not brought a request whole, or one idle for long.
     pub fn is_expired(&self, now: Instant) -> bool {
-        let from = match self.wire.began() {
-            Some(began) if self.has_asked.get() => began,
+        let from = match self.stream.request_began_at() {
+            Some(began) if self.has_sent_request.get() => began,
             _ => self.idle_since.get(),
         };
-        let asked_idle = self.has_asked.get() && self.wire.began().is_none();
+        let asked_idle = self.has_sent_request.get() && self.stream.request_began_at().is_none();
         let limit = if asked_idle { MAX_IDLE } else { MAX_REQUEST_TIME };
         self.is_stalled(now) || self.is_idle() && now.duration_since(from) > limit
     }
 
     /// Until when the request that is being read has to be whole.
     pub fn request_deadline(&self) -> Instant {
-        let began = self.wire.began().filter(|_| self.has_asked.get());
+        let began = self.stream.request_began_at().filter(|_| self.has_sent_request.get());
         began.unwrap_or(self.idle_since.get()) + MAX_REQUEST_TIME
     }
 
     /// Asks its task to close it, unless a request comes before that.
     pub fn request_close(&self) {
         self.closing.set(true);
-        self.closing_mid_request.set(self.wire.began().is_some());
+        self.closing_mid_request.set(self.stream.request_began_at().is_some());
         self.close.notify_one();
     }
 
     /// Whether a request is on its way: some of it was read, or lies there to be read.
     pub fn has_request_coming(&self) -> bool {
-        self.wire.began().is_some() || self.wire.unread()
+        self.stream.request_began_at().is_some() || self.stream.has_unread_input()
     }
 
     /// Whether to go now. A request that came since this was decided is not cut off.
@@ -104,7 +104,7 @@
     /// Whether to end with the current request, at once if there is none. One that asks ends with that answer, and
     /// one that has brought nothing yet is about to.
     pub fn may_drain(&self) -> bool {
-        !self.is_idle() || self.has_asked.get() && !self.has_request_coming()
+        !self.is_idle() || self.has_sent_request.get() && !self.has_request_coming()
     }
 }
 
--- a/crates/gateway/src/client_connection/tests.rs
+++ b/crates/gateway/src/clients/connection/tests.rs
@@ -11,7 +11,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut far = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let client = ClientConnection::new(listener.accept().await.unwrap().0);
-        client.has_asked.set(true);
+        client.has_sent_request.set(true);
         client.request_close();
         assert!(client.may_close() && client.may_drain());
         far.write_all(b"GET").unwrap();
--- a/crates/gateway/src/eviction.rs
+++ b/crates/gateway/src/clients/eviction.rs
@@ -16,10 +16,10 @@
 /// An idle connection that could be closed.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Names the connection.
+    /// WireNames the connection.
     pub key: u64,
     /// It has brought a request before.
-    pub has_asked: bool,
+    pub has_sent_request: bool,
     /// Part of a request has come.
     pub has_begun: bool,
     /// When bytes last came on it, or it was accepted.
@@ -39,7 +39,7 @@
     limit: usize,
     mut has_unread: impl FnMut(u64) -> bool,
 ) -> Option<u64> {
-    let fresh = candidates.iter().filter(|c| !c.has_asked);
+    let fresh = candidates.iter().filter(|c| !c.has_sent_request);
     let silent = fresh.clone().filter(|c| now.saturating_duration_since(c.last_heard) > SETTLE_TIME);
     let by_silence = |c: &Candidate| Reverse((c.last_heard, c.key));
     let never_heard = silent.clone().filter(|c| !c.has_begun).map(by_silence);
@@ -50,7 +50,7 @@
     let remaining = if is_crowded {
         silent.filter(|c| c.has_begun).map(by_silence).collect()
     } else {
-        let returning = candidates.iter().filter(|c| c.has_asked && !c.has_begun);
+        let returning = candidates.iter().filter(|c| c.has_sent_request && !c.has_begun);
         returning.map(|c| Reverse((c.idle_since, c.key))).collect()
     };
     first_without_input(remaining, &mut has_unread)
--- a/crates/gateway/src/eviction/tests.rs
+++ b/crates/gateway/src/clients/eviction/tests.rs
@@ -4,7 +4,7 @@
 const LIMIT: usize = 300;
 
 fn candidate(key: u64, has_asked: bool, at: Instant) -> Candidate {
-    Candidate { key, has_asked, has_begun: false, last_heard: at, idle_since: at }
+    Candidate { key, has_sent_request: has_asked, has_begun: false, last_heard: at, idle_since: at }
 }
 
 /// Connections whose age falls with their key: the first is the oldest.
--- /dev/null
+++ b/crates/gateway/src/clients/mod.rs
@@ -0,0 +1,8 @@
+//! Clients: their connections, requests and responses.
+
+pub mod connection;
+pub mod eviction;
+pub mod request_head;
+pub mod response;
+pub mod server;
+pub mod stream;
--- a/crates/gateway/src/response.rs
+++ b/crates/gateway/src/clients/response.rs
@@ -1,9 +1,9 @@
 //! What a client is answered: a server's answer, a refusal, a failure, or what is wrong with its request.
 
-use crate::client_connection::ClientConnection;
-use crate::counts::{Ending, Taken};
-use crate::request::Answer;
-use crate::stream::{Answered, Cut};
+use crate::bodies::forwarding::{BodyError, ResponseContent};
+use crate::clients::connection::ClientConnection;
+use crate::driver::request::Answer;
+use crate::operations::request_counts::{RequestCounterGuard, RequestOutcome};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::{HeaderValue, RETRY_AFTER};
@@ -20,21 +20,24 @@
 /// that was taken ends, and counts, with the body of its answer.
 pub struct ResponseBody {
     /// What is left of it.
-    pub body: Answered,
+    pub body: ResponseContent,
     /// The request's place in the figures, until it has ended.
-    pub taken: Option<Taken>,
+    pub taken: Option<RequestCounterGuard>,
     /// The client that it goes to, if it may take a while.
     pub client: Option<Rc<ClientConnection>>,
 }
 
 impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyError;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let piece = ready!(self.body.poll_piece(cx));
         if let (Some(Err(_)), Some(taken)) = (&piece, &self.taken) {
-            taken.ends(Ending::Errors);
+            taken.set_outcome(RequestOutcome::Failed);
         }
         if self.body.is_over() {
             self.taken.take();
@@ -62,7 +65,7 @@
 
 /// Why a client's request is not taken up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum RequestError {
     /// A header is missing, malformed or names what the settings do not know.
     Header(&'static str),
     /// The method is not the one that follows from the class.
@@ -79,17 +82,19 @@
     Departed,
 }
 
-impl Fault {
+impl RequestError {
     /// The answer that tells the client.
     pub fn response(self) -> Response<ResponseBody> {
         let (status, text) = match self {
-            Fault::Header(name) => (StatusCode::BAD_REQUEST, format!("{name} is missing or malformed\n")),
-            Fault::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n".to_owned()),
-            Fault::Method => (StatusCode::METHOD_NOT_ALLOWED, "not this class's method\n".to_owned()),
-            Fault::Body => (StatusCode::REQUEST_TIMEOUT, "the body did not arrive\n".to_owned()),
-            Fault::Framing => (StatusCode::BAD_REQUEST, "the body's length is ambiguous\n".to_owned()),
-            Fault::Repeated => (StatusCode::CONFLICT, "a request of this id is open\n".to_owned()),
-            Fault::Departed => (StatusCode::TOO_MANY_REQUESTS, REFUSED.to_owned()),
+            RequestError::Header(name) => {
+                (StatusCode::BAD_REQUEST, format!("{name} is missing or malformed\n"))
+            }
+            RequestError::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n".to_owned()),
+            RequestError::Method => (StatusCode::METHOD_NOT_ALLOWED, "not this class's method\n".to_owned()),
+            RequestError::Body => (StatusCode::REQUEST_TIMEOUT, "the body did not arrive\n".to_owned()),
+            RequestError::Framing => (StatusCode::BAD_REQUEST, "the body's length is ambiguous\n".to_owned()),
+            RequestError::Repeated => (StatusCode::CONFLICT, "a request of this id is open\n".to_owned()),
+            RequestError::Departed => (StatusCode::TOO_MANY_REQUESTS, REFUSED.to_owned()),
         };
         plain(status, text)
     }
@@ -97,18 +102,21 @@
 
 /// An answer of our own, with a line of text.
 pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
-    let mut response =
-        Response::new(ResponseBody { body: Answered::Whole(text.into()), taken: None, client: None });
+    let mut response = Response::new(ResponseBody {
+        body: ResponseContent::Buffered(text.into()),
+        taken: None,
+        client: None,
+    });
     *response.status_mut() = status;
     response
 }
 
 /// The response to a request from its final answer.
-pub fn reply(answer: Answer, taken: Taken) -> Response<ResponseBody> {
-    taken.ends(match answer {
-        Answer::Served(_) => Ending::Ok,
-        Answer::Refused(_) => Ending::Shed,
-        Answer::Failed | Answer::Overdue => Ending::Errors,
+pub fn reply(answer: Answer, taken: RequestCounterGuard) -> Response<ResponseBody> {
+    taken.set_outcome(match answer {
+        Answer::Served(_) => RequestOutcome::Served,
+        Answer::Rejected(_) => RequestOutcome::Rejected,
+        Answer::Failed | Answer::TimedOut => RequestOutcome::Failed,
     });
     let mut response = match answer {
         Answer::Served(served) => {
@@ -116,7 +124,7 @@
             head.version = hyper::Version::HTTP_11;
             Response::from_parts(head, ResponseBody { body, taken: None, client: None })
         }
-        Answer::Refused(wait) => {
+        Answer::Rejected(wait) => {
             let mut response = plain(StatusCode::TOO_MANY_REQUESTS, REFUSED);
             if let Some(wait) = wait {
                 let seconds = HeaderValue::from_str(&format!("{:.3}", wait.max(1_000) as f64 / 1e6));
@@ -125,7 +133,7 @@
             response
         }
         Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed\n"),
-        Answer::Overdue => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
+        Answer::TimedOut => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
     };
     response.body_mut().taken = Some(taken);
     response
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/clients/server.rs
@@ -1,19 +1,19 @@
 //! Clients: takes their connections in, reads their requests and writes the one answer to each.
 
-use crate::attempt::Outgoing;
-use crate::body_size::HELD_MOST;
-use crate::client_connection::ClientConnection;
-use crate::core::Core;
-use crate::counts::Taken;
-use crate::eviction::{self, Candidate};
-use crate::headers::strip;
-use crate::repeat_limiter::RepeatLimiter;
-use crate::request::Answer;
-use crate::request_terms::{one, TermsReader};
-use crate::response::{plain, reply, Fault, ResponseBody};
-use crate::stream::{self, Answered, Upload};
-use crate::system_error::{is_descriptor_limit, is_exhaustion};
-use crate::wire::{Framing, WireIo};
+use crate::bodies::forwarding::{self, ResponseContent, Upload};
+use crate::bodies::size::MAX_BUFFERED_BODY_BYTES;
+use crate::clients::connection::ClientConnection;
+use crate::clients::eviction::{self, Candidate};
+use crate::clients::request_head::{one, RequestHeadReader};
+use crate::clients::response::{plain, reply, RequestError, ResponseBody};
+use crate::clients::stream::{ClientStreamIo, Framing};
+use crate::driver::decision_driver::DecisionDriver;
+use crate::driver::request::Answer;
+use crate::network::headers::strip;
+use crate::network::repeat_limiter::RepeatLimiter;
+use crate::network::system_error::{is_descriptor_limit, is_exhaustion};
+use crate::operations::request_counts::RequestCounterGuard;
+use crate::servers::attempt::OutgoingRequest;
 use grebehook_core::RequestId;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION, EXPECT, TRANSFER_ENCODING};
@@ -38,7 +38,7 @@
 /// hyper's buffer for one connection, at most.
 const BUFFER_MOST: usize = 32 << 10;
 /// Largest body of a request.
-const UPLOAD_MOST: u64 = 32 << 20;
+const MAX_REQUEST_BODY_BYTES: u64 = 32 << 20;
 /// Bodies up to here need no room of their own: hyper's buffer has held them already.
 const SMALL: u64 = 4 << 10;
 /// The pause after an accept error that may last, such as having no descriptor left...
@@ -57,36 +57,41 @@
 const HEALTH: &str = "/_health";
 
 /// All connections of clients.
-pub struct Front {
-    core: Rc<Core>,
-    terms: TermsReader,
-    most: usize,
+pub struct ClientServer {
+    driver: Rc<DecisionDriver>,
+    head_reader: RequestHeadReader,
+    max_connections: usize,
     /// Room for what is held of clients' bodies, in KiB.
-    room: Arc<Semaphore>,
+    body_memory: Arc<Semaphore>,
     clients: RefCell<HashMap<u64, Rc<ClientConnection>>>,
-    next: Cell<u64>,
-    accepted: Cell<Instant>,
+    next_key: Cell<u64>,
+    last_accepted_at: Cell<Instant>,
     accept_errors: RepeatLimiter,
     stopping: Cell<bool>,
     handed_over: Cell<bool>,
-    freed: Notify,
+    connection_closed: Notify,
 }
 
-impl Front {
+impl ClientServer {
     /// A front that takes in at most `most` connections, and holds at most `room` bytes of their bodies.
-    pub fn new(core: Rc<Core>, terms: TermsReader, most: usize, room: usize) -> Rc<Front> {
-        Rc::new(Front {
-            core,
-            terms,
-            most,
-            room: Arc::new(Semaphore::new(room.max(HELD_MOST) >> 10)),
+    pub fn new(
+        core: Rc<DecisionDriver>,
+        terms: RequestHeadReader,
+        most: usize,
+        room: usize,
+    ) -> Rc<ClientServer> {
+        Rc::new(ClientServer {
+            driver: core,
+            head_reader: terms,
+            max_connections: most,
+            body_memory: Arc::new(Semaphore::new(room.max(MAX_BUFFERED_BODY_BYTES) >> 10)),
             clients: RefCell::default(),
-            next: Cell::new(0),
-            accepted: Cell::new(Instant::now()),
+            next_key: Cell::new(0),
+            last_accepted_at: Cell::new(Instant::now()),
             accept_errors: RepeatLimiter::default(),
             stopping: Cell::new(false),
             handed_over: Cell::new(false),
-            freed: Notify::new(),
+            connection_closed: Notify::new(),
         })
     }
 
@@ -98,19 +103,19 @@
                 // It is taken in before room is made: a request on it may count as taken already.
                 Ok((stream, _)) => {
                     failed_in_a_row = 0;
-                    self.take(stream);
+                    self.accept_connection(stream);
                 }
                 Err(e) => {
                     failed_in_a_row += 1;
-                    self.bear_accept_error(&e, failed_in_a_row).await;
+                    self.back_off_after_accept_error(&e, failed_in_a_row).await;
                 }
             }
-            while self.clients.borrow().len() > self.most {
+            while self.clients.borrow().len() > self.max_connections {
                 // One at a time: what `freed` tells of may have gone before.
                 if !self.clients.borrow().values().any(|c| c.closing.get()) {
-                    self.shed();
+                    self.evict_one();
                 }
-                let _ = timeout(ACCEPT_PAUSE, self.freed.notified()).await;
+                let _ = timeout(ACCEPT_PAUSE, self.connection_closed.notified()).await;
             }
         }
     }
@@ -126,13 +131,13 @@
                 Ok((stream, _)) => {
                     failed_in_a_row = 0;
                     let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
-                    stream.into_iter().for_each(|stream| self.take(stream));
+                    stream.into_iter().for_each(|stream| self.accept_connection(stream));
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(_) if Instant::now() >= until => return,
                 Err(e) => {
                     failed_in_a_row += 1;
-                    self.bear_accept_error(&e, failed_in_a_row).await;
+                    self.back_off_after_accept_error(&e, failed_in_a_row).await;
                 }
             }
         }
@@ -141,7 +146,7 @@
     /// Waits as long as an error of `accept` asks for, of so many in a row. One of a connection or of the network says
     /// nothing of the connections behind it. Where descriptors or memory are short, the connections wait in the
     /// backlog, and room is made for them if that lasts.
-    async fn bear_accept_error(&self, error: &io::Error, failed_in_a_row: u32) {
+    async fn back_off_after_accept_error(&self, error: &io::Error, failed_in_a_row: u32) {
         let exhausted = is_exhaustion(error);
         if !exhausted && !failed_in_a_row.is_multiple_of(ACCEPT_ERRORS_AT_ONCE) {
             return;
@@ -151,39 +156,39 @@
         }
         let patience = if is_descriptor_limit(error) { 1 } else { SYSTEM_ERRORS_BORNE };
         if exhausted && failed_in_a_row > patience {
-            self.shed();
+            self.evict_one();
         }
         sleep(if failed_in_a_row > 1 { ACCEPT_PAUSE } else { ACCEPT_FIRST_PAUSE }).await;
     }
 
     /// Closes one connection without a request in work, if [`eviction`] names one.
-    fn shed(&self) {
+    fn evict_one(&self) {
         let clients = self.clients.borrow();
         let idle = clients.iter().filter(|(_, client)| client.is_idle() && !client.closing.get());
         let candidates: Vec<Candidate> = idle
             .map(|(key, client)| Candidate {
                 key: *key,
-                has_asked: client.has_asked.get(),
-                has_begun: client.wire.began().is_some(),
-                last_heard: client.wire.heard(),
+                has_sent_request: client.has_sent_request.get(),
+                has_begun: client.stream.request_began_at().is_some(),
+                last_heard: client.stream.last_read_at(),
                 idle_since: client.idle_since.get(),
             })
             .collect();
-        let has_unread = |key| clients.get(&key).is_some_and(|client| client.wire.unread());
-        let evicted = eviction::select(&candidates, Instant::now(), self.most, has_unread);
+        let has_unread = |key| clients.get(&key).is_some_and(|client| client.stream.has_unread_input());
+        let evicted = eviction::select(&candidates, Instant::now(), self.max_connections, has_unread);
         if let Some(client) = evicted.and_then(|key| clients.get(&key)) {
             client.request_close();
         }
     }
 
     /// Closes connections that have had their time, for ever.
-    pub async fn look_over(self: Rc<Self>) {
+    pub async fn close_expired_connections(self: Rc<Self>) {
         loop {
             sleep(LOOK_EVERY).await;
             let now = Instant::now();
             for client in self.clients.borrow().values().filter(|c| c.is_expired(now)) {
                 // A request that has just come is not cut off for the silence before it.
-                if client.wire.began().is_some() || !client.wire.unread() {
+                if client.stream.request_began_at().is_some() || !client.stream.has_unread_input() {
                     client.request_close();
                 }
             }
@@ -211,34 +216,36 @@
     /// Closes connections that have no request in work and none on its way.
     pub fn close_idle(&self) {
         let clients = self.clients.borrow();
-        let idle = clients.values().filter(|c| c.is_idle() && c.wire.began().is_none() && !c.wire.unread());
+        let idle = clients
+            .values()
+            .filter(|c| c.is_idle() && c.stream.request_began_at().is_none() && !c.stream.has_unread_input());
         idle.for_each(|c| c.request_close());
     }
 
     /// When a connection was last taken in.
     pub fn last_accepted(&self) -> Instant {
-        self.accepted.get()
+        self.last_accepted_at.get()
     }
 
     /// Waits until no connection is left.
-    pub async fn emptied(&self) {
+    pub async fn wait_until_empty(&self) {
         while !self.clients.borrow().is_empty() {
-            self.freed.notified().await;
+            self.connection_closed.notified().await;
         }
     }
 
-    fn take(self: &Rc<Self>, stream: TcpStream) {
+    fn accept_connection(self: &Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        self.accepted.set(Instant::now());
+        self.last_accepted_at.set(Instant::now());
         let client = ClientConnection::new(stream);
-        let key = self.next.get();
-        self.next.set(key + 1);
+        let key = self.next_key.get();
+        self.next_key.set(key + 1);
         self.clients.borrow_mut().insert(key, client.clone());
         let front = self.clone();
         tokio::task::spawn_local(async move {
             front.serve(&client).await;
             front.clients.borrow_mut().remove(&key);
-            front.freed.notify_one();
+            front.connection_closed.notify_one();
         });
     }
 
@@ -251,7 +258,7 @@
             .keep_alive(!self.stopping.get())
             .max_buf_size(BUFFER_MOST)
             .writev(false)
-            .serve_connection(TokioIo::new(WireIo(client.wire.clone())), service));
+            .serve_connection(TokioIo::new(ClientStreamIo(client.stream.clone())), service));
         let read_out = loop {
             tokio::select! {
                 // A connection that broke concerns its client alone. hyper answers what it cannot read.
@@ -269,7 +276,7 @@
         };
         if read_out {
             tokio::select! {
-                () = client.wire.linger() => {}
+                () = client.stream.linger() => {}
                 () = client.close.notified() => {}
             }
         }
@@ -284,31 +291,34 @@
             (request.body().size_hint().exact(), request.body().size_hint().exact().is_none());
         let bare = request.body().is_end_stream();
         let (mut response, close) = if request.uri().path() == HEALTH {
-            client.has_asked.set(true);
+            client.has_sent_request.set(true);
             (plain(StatusCode::OK, ""), !bare)
         } else {
             match self.admit(client, request).await {
                 Ok((answer, taken, upload)) => {
                     // What is left of a body that nobody needs any more is read, but not as a request.
-                    client.input_unreadable.set(!upload.read_out() || !client.wire.readable());
+                    client.input_unreadable.set(!upload.is_read_to_end() || !client.stream.wait_readable());
                     // Where a chunked body ends in the connection's bytes is hyper's to know.
-                    (reply(answer, taken), chunked || !upload.read_out() || !client.wire.readable())
+                    (
+                        reply(answer, taken),
+                        chunked || !upload.is_read_to_end() || !client.stream.wait_readable(),
+                    )
                 }
                 Err(fault) => {
                     // What is left of a body is not read, so no further request can be found behind it.
-                    let close = !bare || matches!(fault, Fault::Framing | Fault::Departed);
+                    let close = !bare || matches!(fault, RequestError::Framing | RequestError::Departed);
                     client.input_unreadable.set(close);
                     (fault.response(), close)
                 }
             }
         };
-        if let Answered::Passing(_) = response.body().body {
+        if let ResponseContent::Forwarded(_) = response.body().body {
             client.answer_streaming.set(true);
             response.body_mut().client = Some(client.clone());
         }
-        client.request_in_work.set(false);
+        client.request_in_progress.set(false);
         client.idle_since.set(Instant::now());
-        client.wire.next(length.unwrap_or(0) as usize);
+        client.stream.next_request(length.unwrap_or(0) as usize);
         if self.stopping.get() || close {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -320,28 +330,28 @@
         self: &Rc<Self>,
         client: &Rc<ClientConnection>,
         request: Request<Incoming>,
-    ) -> Result<(Answer, Taken, Rc<Upload>), Fault> {
+    ) -> Result<(Answer, RequestCounterGuard, Rc<Upload>), RequestError> {
         let (head, body) = request.into_parts();
         // hyper has dropped one of the two headers by now, but not from the bytes as they came.
         let coded = head.headers.contains_key(TRANSFER_ENCODING);
-        match client.wire.framing() {
-            Some(Framing { length: true, coding: true }) => return Err(Fault::Framing),
-            None if coded => return Err(Fault::Framing),
+        match client.stream.framing() {
+            Some(Framing { length: true, coding: true }) => return Err(RequestError::Framing),
+            None if coded => return Err(RequestError::Framing),
             _ => {}
         }
-        let terms = self.terms.read(&head.method, &head.headers)?;
+        let terms = self.head_reader.read(&head.method, &head.headers)?;
         let length = body.size_hint().exact();
-        if length.is_some_and(|n| n > UPLOAD_MOST) {
-            return Err(Fault::TooLarge);
+        if length.is_some_and(|n| n > MAX_REQUEST_BODY_BYTES) {
+            return Err(RequestError::TooLarge);
         }
         let body = if body.is_end_stream() {
             Upload::none()
         } else {
             let read = timeout_at(client.request_deadline().into(), self.upload(body)).await;
-            read.map_err(|_| Fault::Body)?.ok_or(Fault::Body)?
+            read.map_err(|_| RequestError::Body)?.ok_or(RequestError::Body)?
         };
         if head.method == Method::GET && body.length() != Some(0) {
-            return Err(Fault::Header("content-length"));
+            return Err(RequestError::Header("content-length"));
         }
         let body = Rc::new(body);
         let call = one(&head.headers, "x-call-id")?.clone();
@@ -352,31 +362,32 @@
             Some(path) => Uri::from(path.clone()),
             None => head.uri,
         };
-        let (wire, coming) = (client.wire.clone(), body.clone());
+        let (wire, coming) = (client.stream.clone(), body.clone());
         // Once its body goes on, hyper reads the connection and finds its end.
         let client_has_left =
-            Box::new(move || if coming.read_out() { wire.has_left() } else { wire.end_announced() });
+            Box::new(move || if coming.is_read_to_end() { wire.has_left() } else { wire.end_is_announced() });
         if client_has_left() {
-            return Err(Fault::Departed);
+            return Err(RequestError::Departed);
         }
-        let outgoing = Outgoing { method: head.method, uri, headers, body: body.clone(), client_has_left };
-        let (id, answer, taken) = self.core.request(call, terms, outgoing).ok_or(Fault::Repeated)?;
-        client.request_in_work.set(true);
-        client.has_asked.set(true);
+        let outgoing =
+            OutgoingRequest { method: head.method, uri, headers, body: body.clone(), client_has_left };
+        let (id, answer, taken) = self.driver.submit(call, terms, outgoing).ok_or(RequestError::Repeated)?;
+        client.request_in_progress.set(true);
+        client.has_sent_request.set(true);
         // hyper drops this future when it finds the connection closed.
-        let left = Left { core: &self.core, id };
+        let left = Left { core: &self.driver, id };
         let departed = async {
-            if body.coming() {
+            if body.is_incomplete() {
                 departed_before_upload(client, &body).await;
             } else {
-                client.wire.left().await;
+                client.stream.client_left().await;
             }
         };
         let answer = tokio::select! {
             biased;
             answer = answer => answer.unwrap_or(Answer::Failed),
             // It may have ended its own side alone, and still read.
-            () = departed => if left.unsent() { Answer::Refused(None) } else { Answer::Failed },
+            () = departed => if left.unsent() { Answer::Rejected(None) } else { Answer::Failed },
         };
         Ok((answer, taken, body))
     }
@@ -384,20 +395,20 @@
     /// Reads a body whole if it is short, or else as much of it as is held. It waits for room to do so.
     async fn upload(&self, body: Incoming) -> Option<Upload> {
         let length = body.size_hint().exact();
-        let held = length.unwrap_or(HELD_MOST as u64).min(HELD_MOST as u64);
+        let held = length.unwrap_or(MAX_BUFFERED_BODY_BYTES as u64).min(MAX_BUFFERED_BODY_BYTES as u64);
         let room = match held {
             0..=SMALL => None,
-            _ => Some(self.room.clone().acquire_many_owned(held.div_ceil(1 << 10) as u32).await.ok()?),
+            _ => Some(self.body_memory.clone().acquire_many_owned(held.div_ceil(1 << 10) as u32).await.ok()?),
         };
-        let (head, rest) = stream::begin(body).await.ok()?;
+        let (head, rest) = forwarding::begin(body).await.ok()?;
         Some(Upload::new(head, rest, length, room))
     }
 }
 
 /// Waits until the client of a long body ends its side, for as long as no attempt has taken any of the body.
 async fn departed_before_upload(client: &ClientConnection, body: &Upload) {
-    while !body.spent() {
-        if client.wire.end_announced() {
+    while !body.is_consumed() {
+        if client.stream.end_is_announced() {
             return;
         }
         sleep(DEPARTURE_CHECK).await;
@@ -407,19 +418,19 @@
 
 /// Tells the core that a client left, unless its answer was there by then.
 struct Left<'a> {
-    core: &'a Rc<Core>,
+    core: &'a Rc<DecisionDriver>,
     id: RequestId,
 }
 
 impl Left<'_> {
     /// Tells it now; whether the request cannot have run.
     fn unsent(&self) -> bool {
-        self.core.gone(self.id)
+        self.core.client_disconnected(self.id)
     }
 }
 
 impl Drop for Left<'_> {
     fn drop(&mut self) {
-        self.core.gone(self.id);
+        self.core.client_disconnected(self.id);
     }
 }
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/clients/stream.rs
@@ -1,6 +1,6 @@
 //! One client's TCP connection, under hyper: what hyper does not tell of a request's framing and progress.
 
-use crate::socket::Socket;
+use crate::network::socket::Socket;
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
@@ -98,7 +98,7 @@
 }
 
 /// A client's connection; its holders share the one socket.
-pub struct Wire {
+pub struct ClientStream {
     state: RefCell<State>,
     /// When the first byte of the request that is being read came.
     began: Cell<Option<Instant>>,
@@ -114,9 +114,9 @@
     heard: Cell<Instant>,
 }
 
-impl Wire {
+impl ClientStream {
     /// A wire over an accepted connection.
-    pub fn new(stream: TcpStream) -> Rc<Wire> {
+    pub fn new(stream: TcpStream) -> Rc<ClientStream> {
         let state = State {
             stream: Some(Socket::new(stream)),
             scan: Scan::default(),
@@ -124,7 +124,7 @@
             ahead: BytesMut::new(),
             overrun: false,
         };
-        Rc::new(Wire {
+        Rc::new(ClientStream {
             state: RefCell::new(state),
             began: Cell::new(None),
             answering: Cell::new(false),
@@ -136,22 +136,22 @@
     }
 
     /// When the request that is being read began to come.
-    pub fn began(&self) -> Option<Instant> {
+    pub fn request_began_at(&self) -> Option<Instant> {
         self.began.get()
     }
 
     /// Whether an answer is on its way out.
-    pub fn answering(&self) -> bool {
+    pub fn is_answering(&self) -> bool {
         self.answering.get()
     }
 
     /// When the client last took some of an answer, or was last given one.
-    pub fn wrote(&self) -> Instant {
+    pub fn last_written_at(&self) -> Instant {
         self.wrote.get()
     }
 
     /// When bytes last came, or the connection did.
-    pub fn heard(&self) -> Instant {
+    pub fn last_read_at(&self) -> Instant {
         self.heard.get()
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// A request has its answer, and its body took so many bytes: what follows is the next one.
-    pub fn next(&self, body: usize) {
+    pub fn next_request(&self, body: usize) {
         self.answering.set(true);
         self.wrote.set(Instant::now());
         let mut state = self.state.borrow_mut();
@@ -172,7 +172,7 @@
     }
 
     /// Whether bytes have come that nobody has read.
-    pub fn unread(&self) -> bool {
+    pub fn has_unread_input(&self) -> bool {
         let state = self.state.borrow();
         let Some(stream) = &state.stream else { return false };
         if !state.ahead.is_empty() {
@@ -194,7 +194,7 @@
             let Some(stream) = &state.stream else { return true };
             match (&*socket2::SockRef::from(stream.get_ref())).read(&mut data) {
                 Ok(0) => state.ended = true,
-                Ok(read) => self.keep_ahead(&mut state, &data[..read]),
+                Ok(read) => self.buffer_ahead(&mut state, &data[..read]),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return e.kind() != io::ErrorKind::WouldBlock,
             }
@@ -203,7 +203,7 @@
 
     /// Whether the client has ended its side behind bytes that nobody has read, as of the runtime's last look at its
     /// events: the rest of a long body lies before the end, and is not read until an attempt takes it.
-    pub fn end_announced(&self) -> bool {
+    pub fn end_is_announced(&self) -> bool {
         let state = self.state.borrow();
         let Some(stream) = &state.stream else { return true };
         let ready = pin!(stream.get_ref().ready(Interest::READABLE));
@@ -212,7 +212,7 @@
     }
 
     /// Keeps bytes that came while a request is in work, up to a limit.
-    fn keep_ahead(&self, state: &mut State, data: &[u8]) {
+    fn buffer_ahead(&self, state: &mut State, data: &[u8]) {
         state.overrun |= state.ahead.len() + data.len() > AHEAD_MOST;
         if !state.overrun {
             state.ahead.extend_from_slice(data);
@@ -222,19 +222,19 @@
 
     /// Waits until the client ends its side or the connection breaks, while its request is in work. hyper does not
     /// look once the client has sent anything ahead, which is read here and kept for it.
-    pub async fn left(&self) {
+    pub async fn client_left(&self) {
         let _working = Working::new(&self.working);
-        poll_fn(|cx| self.poll_left(cx)).await;
+        poll_fn(|cx| self.poll_client_left(cx)).await;
     }
 
-    fn poll_left(&self, cx: &mut Context<'_>) -> Poll<()> {
+    fn poll_client_left(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut data = [0; READ_AHEAD];
         loop {
             if self.state.borrow().ended {
                 return Poll::Ready(());
             }
             let mut buf = ReadBuf::new(&mut data);
-            if ready!(self.poll(|stream| stream.poll_read(cx, &mut buf))).is_err() {
+            if ready!(self.poll_socket(|stream| stream.poll_read(cx, &mut buf))).is_err() {
                 return Poll::Ready(());
             }
             let mut state = self.state.borrow_mut();
@@ -242,12 +242,12 @@
                 state.ended = true;
                 return Poll::Ready(());
             }
-            self.keep_ahead(&mut state, buf.filled());
+            self.buffer_ahead(&mut state, buf.filled());
         }
     }
 
     /// Whether a further request can be read, and not only part of what came.
-    pub fn readable(&self) -> bool {
+    pub fn wait_readable(&self) -> bool {
         let state = self.state.borrow();
         !state.ended && !state.overrun
     }
@@ -275,7 +275,7 @@
     }
 
     /// Hands on what was read ahead, if there is any.
-    fn take_ahead(&self, buf: &mut ReadBuf<'_>) -> bool {
+    fn take_buffered(&self, buf: &mut ReadBuf<'_>) -> bool {
         let mut state = self.state.borrow_mut();
         let length = state.ahead.len().min(buf.remaining());
         buf.put_slice(&state.ahead.split_to(length));
@@ -283,7 +283,7 @@
         length > 0 || state.ended
     }
 
-    fn poll<T>(
+    fn poll_socket<T>(
         &self,
         act: impl FnOnce(Pin<&mut Socket<TcpStream>>) -> Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
@@ -311,9 +311,9 @@
 }
 
 /// A wire as hyper reads and writes it.
-pub struct WireIo(pub Rc<Wire>);
+pub struct ClientStreamIo(pub Rc<ClientStream>);
 
-impl AsyncRead for WireIo {
+impl AsyncRead for ClientStreamIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         // hyper reads on by itself once the request has its answer.
@@ -324,9 +324,9 @@
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
-        let read = match self.0.take_ahead(buf) {
+        let read = match self.0.take_buffered(buf) {
             true => Poll::Ready(Ok(())),
-            false => self.0.poll(|stream| stream.poll_read(cx, buf)),
+            false => self.0.poll_socket(|stream| stream.poll_read(cx, buf)),
         };
         if let Poll::Ready(Ok(())) = &read {
             let data = &buf.filled()[before..];
@@ -344,9 +344,9 @@
     }
 }
 
-impl AsyncWrite for WireIo {
+impl AsyncWrite for ClientStreamIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
-        let wrote = self.0.poll(|stream| stream.poll_write(cx, data));
+        let wrote = self.0.poll_socket(|stream| stream.poll_write(cx, data));
         self.0.answering.set(true);
         if wrote.is_ready() {
             self.0.wrote.set(Instant::now());
@@ -356,7 +356,7 @@
 
     // hyper flushes what lies under it once it has written all that it had.
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let flushed = self.0.poll(|stream| stream.poll_flush(cx));
+        let flushed = self.0.poll_socket(|stream| stream.poll_flush(cx));
         if flushed.is_ready() {
             self.0.answering.set(false);
         }
@@ -364,7 +364,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.0.poll(|stream| stream.poll_shutdown(cx))
+        self.0.poll_socket(|stream| stream.poll_shutdown(cx))
     }
 }
 
--- a/crates/gateway/src/config_check.rs
+++ b/crates/gateway/src/config/check.rs
@@ -3,13 +3,13 @@
 //! Reading stops at the first fault. So each faulty field is replaced by that of a sound example, and the
 //! rest is read again, until all of it can be read.
 
-use crate::config::{Config, ConfigError};
+use crate::config::document::{Config, ConfigError};
 use grebehook_core::Gateway;
 use serde_json::Value;
 use std::path::Path;
 
 /// A sound configuration with every field that is read.
-const EXAMPLE: &str = include_str!("config_example.json");
+const EXAMPLE: &str = include_str!("example.json");
 /// Past so many faults no further one is looked for.
 const MAX_FAULTS: usize = 100;
 
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config/document.rs
@@ -1,8 +1,8 @@
 //! What a gateway is told at its start, by the JSON file of its configuration and the environment.
 
-use crate::config_file::{ConfigFile, Named, TransportFile, TransportSettings};
-use crate::members::Listing;
-use crate::names::Names;
+use crate::config::file::{ConfigFile, Named, TransportFile, TransportSettings};
+use crate::config::names::WireNames;
+use crate::control::endpoint_list::EndpointList;
 use grebehook_core::{Settings, SettingsError};
 use grebehook_simulator_adapter::fields::{self, FieldError};
 use serde_json::Value;
@@ -49,13 +49,13 @@
     /// Most memory, in bytes.
     pub memory: usize,
     /// The servers as this gateway last knew them.
-    pub known: Listing,
+    pub known: EndpointList,
     /// Most units that one request may take.
     pub most_units: f64,
     /// What the decision module is told.
     pub settings: Settings,
-    /// Names on the wire, by their place in the settings.
-    pub names: Names,
+    /// WireNames on the wire, by their place in the settings.
+    pub names: WireNames,
     /// Connections not established by then have failed.
     pub connect_timeout: Duration,
     /// Servers close connections that stood idle for so long.
@@ -122,7 +122,7 @@
             seed: file.seed,
             sockets: sockets as usize,
             memory: memory_mb as usize * BYTES_PER_MB,
-            known: file.known.listing(&names),
+            known: file.known.into_list(&names),
             most_units: most_units.unwrap_or(DEFAULT_MAX_UNITS),
             settings,
             names,
@@ -132,7 +132,7 @@
     }
 }
 
-fn names(settings: &TransportSettings) -> Names {
+fn names(settings: &TransportSettings) -> WireNames {
     let all = |named: &[Named]| named.iter().map(|Named(name)| name.clone()).collect();
-    Names { classes: all(&settings.classes), plans: all(&settings.plans), zones: all(&settings.zones) }
+    WireNames { classes: all(&settings.classes), plans: all(&settings.plans), zones: all(&settings.zones) }
 }
--- a/crates/gateway/src/config_file.rs
+++ b/crates/gateway/src/config/file.rs
@@ -1,6 +1,6 @@
 //! The configuration as the platform writes it: the types of its JSON. Unknown keys are ignored.
 
-use crate::members::ListMessage;
+use crate::control::endpoint_list::EndpointListMessage;
 use grebehook_simulator_adapter::fields;
 use grebehook_simulator_adapter::settings::SettingsMessage;
 use serde::de::Error;
@@ -32,7 +32,7 @@
     /// What the process may use.
     pub limits: Option<LimitsSection>,
     /// The list of servers as this gateway last had it.
-    pub known: ListMessage,
+    pub known: EndpointListMessage,
     /// What the decision core is told.
     pub settings: SettingsMessage,
 }
--- a/crates/gateway/src/names.rs
+++ b/crates/gateway/src/config/names.rs
@@ -1,8 +1,8 @@
 //! The names of classes, plans and zones: the wire has them, the decision core has their numbers.
 
-/// Names on the wire whose place in the settings is what the module knows.
+/// WireNames on the wire whose place in the settings is what the module knows.
 #[derive(Clone)]
-pub struct Names {
+pub struct WireNames {
     /// Classes.
     pub classes: Vec<String>,
     /// Plans.
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/control/counter.rs
@@ -1,6 +1,6 @@
 //! The shared counter: carries the module's calls to it and tells what each came to.
 
-use crate::link::{self, Link, LinkIo};
+use crate::servers::connection::{self, ServerConnection, ServerConnectionIo};
 use bytes::Bytes;
 use grebehook_core::{CounterId, CounterResult, Event, Micros};
 use http_body_util::{BodyExt, Empty, Limited};
@@ -16,7 +16,7 @@
 use tokio::time::timeout_at;
 
 /// Connections at once: well under what the counter holds and what the gateway spares for it.
-const MOST: usize = 16;
+const MAX_CONNECTIONS: usize = 16;
 /// A connection idle for longer is not used again: the counter may close it just as a call is written, and
 /// nobody could tell then whether the amount was added.
 const IDLE_MOST: Duration = Duration::from_secs(2);
@@ -25,7 +25,7 @@
 
 struct Connection {
     sender: SendRequest<Empty<Bytes>>,
-    link: Rc<Link>,
+    link: Rc<ServerConnection>,
     address: SocketAddr,
     idle_since: Instant,
 }
@@ -33,7 +33,7 @@
 /// The counter's address, and the idle connections to it.
 pub struct SharedCounter {
     address: Cell<SocketAddr>,
-    limit: Duration,
+    timeout: Duration,
     open: Rc<Cell<usize>>,
     idle: RefCell<Vec<Connection>>,
 }
@@ -41,7 +41,12 @@
 impl SharedCounter {
     /// A counter at an address, whose calls end after a time; no connection yet.
     pub fn new(address: SocketAddr, limit: Duration) -> SharedCounter {
-        SharedCounter { address: Cell::new(address), limit, open: Rc::default(), idle: RefCell::default() }
+        SharedCounter {
+            address: Cell::new(address),
+            timeout: limit,
+            open: Rc::default(),
+            idle: RefCell::default(),
+        }
     }
 
     /// Calls go to another address from now on; those that are out end where they are. Whether it changed.
@@ -56,7 +61,7 @@
     /// Adds to a number once, and tells the decision core how that ended.
     pub async fn add(&self, counter: CounterId, amount: f64, ttl: Micros) -> Event {
         let start = Instant::now();
-        let result = self.call(counter, amount, ttl, start + self.limit).await;
+        let result = self.call(counter, amount, ttl, start + self.timeout).await;
         let elapsed = start.elapsed().as_micros() as Micros;
         Event::CounterReplied { counter, result, elapsed }
     }
@@ -73,12 +78,12 @@
                 },
             };
             let link = connection.link.clone();
-            link.begin(Some(0));
+            link.begin_request(Some(0));
             let count = match timeout_at(until.into(), self.over(connection, &path)).await {
                 Ok(Some(count)) => return count,
-                Ok(None) if used && !link.begun() => continue,
+                Ok(None) if used && !link.has_begun_writing() => continue,
                 // No answer that can be read: once the last byte is out, the amount may have been added.
-                Ok(None) | Err(_) if link.whole() => CounterResult::Unknown,
+                Ok(None) | Err(_) if link.request_written() => CounterResult::Unknown,
                 Ok(None) | Err(_) => CounterResult::Refused,
             };
             link.close();
@@ -96,14 +101,15 @@
 
     /// A new connection; none where it does not come up or there are enough.
     async fn connect(&self) -> Option<Connection> {
-        if self.open.get() >= MOST {
+        if self.open.get() >= MAX_CONNECTIONS {
             return None;
         }
-        let (opened, address) = (link::Counter::new(&self.open), self.address.get());
+        let (opened, address) = (connection::OpenConnectionGuard::new(&self.open), self.address.get());
         let stream = TcpStream::connect(address).await.ok()?;
         stream.set_nodelay(true).ok()?;
-        let link = Link::new(stream, opened);
-        let (sender, connection) = http1::handshake(TokioIo::new(LinkIo(link.clone()))).await.ok()?;
+        let link = ServerConnection::new(stream, opened);
+        let (sender, connection) =
+            http1::handshake(TokioIo::new(ServerConnectionIo(link.clone()))).await.ok()?;
         tokio::task::spawn_local(connection);
         Some(Connection { sender, link, address, idle_since: Instant::now() })
     }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/control/discovery.rs
@@ -1,10 +1,10 @@
 //! Discovery: keeps a watch on the list of servers open and hands what it tells to the core.
 
-use crate::core::Core;
-use crate::members::{ListMessage, Listing};
-use crate::names::Names;
-use crate::socket::Socket;
-use crate::system_error::is_local;
+use crate::config::names::WireNames;
+use crate::control::endpoint_list::{EndpointList, EndpointListMessage};
+use crate::driver::decision_driver::DecisionDriver;
+use crate::network::socket::Socket;
+use crate::network::system_error::is_local;
 use bytes::Bytes;
 use grebehook_core::{Settings, WatchEvent};
 use grebehook_simulator_adapter::fields::{self, FieldError};
@@ -51,7 +51,7 @@
 /// one begins so long after it at the latest, and has the rest for its answer.
 const NEXT_CALL: Duration = Duration::from_millis(5_000);
 /// Largest list taken in.
-const LIST_MOST: usize = 4 << 20;
+const MAX_ENDPOINT_LIST_BYTES: usize = 4 << 20;
 
 /// How long calls may take.
 #[derive(Clone, Copy)]
@@ -151,7 +151,7 @@
 
     /// The pause after a call failed so. A silent one was waited for long enough, while the clock of what it
     /// misses runs. Who turns calls away is busy, and a service of many, whatever the settings say.
-    fn after(&mut self, e: &WatchError, asked: bool) -> Duration {
+    fn after_error(&mut self, e: &WatchError, asked: bool) -> Duration {
         match e {
             WatchError::Silent => Duration::ZERO,
             WatchError::AttemptStatus(500..) => self.draw(),
@@ -164,37 +164,46 @@
 }
 
 /// A watch on the list of servers.
-pub struct Watch {
+pub struct EndpointWatch {
     agents: watch::Receiver<SocketAddr>,
     agent: SocketAddr,
-    names: Names,
+    names: WireNames,
     sender: Option<Sender>,
     index: Option<u64>,
     /// The list is asked for, not pushed.
-    asked: bool,
+    polled: bool,
     pauses: Pauses,
     failing: bool,
 }
 
-impl Watch {
+impl EndpointWatch {
     /// A watch that goes on from the list known at the start, at the agent named last.
     pub fn new(
         mut agents: watch::Receiver<SocketAddr>,
-        names: Names,
+        names: WireNames,
         index: u64,
         settings: &Settings,
         seed: u64,
-    ) -> Watch {
+    ) -> EndpointWatch {
         let agent = *agents.borrow_and_update();
         let (pauses, asked) =
             (Pauses::new(settings.gateway_count, seed), settings.capabilities.polls_discovery);
-        Watch { agents, agent, names, sender: None, index: Some(index), asked, pauses, failing: false }
+        EndpointWatch {
+            agents,
+            agent,
+            names,
+            sender: None,
+            index: Some(index),
+            polled: asked,
+            pauses,
+            failing: false,
+        }
     }
 
     /// Watches for ever, at once at another agent when one is named. A failed call leaves the list as it is, and
     /// its version too: the next watch tells all that is newer. The whole list costs discovery far more, and is
     /// asked for only where no version can be told.
-    pub async fn run(mut self, core: Rc<Core>) {
+    pub async fn run(mut self, core: Rc<DecisionDriver>) {
         let mut agents = self.agents.clone();
         loop {
             let begun = Instant::now();
@@ -202,7 +211,7 @@
                 called = self.call() => called,
                 agent = next(&mut agents) => {
                     // The call in progress ended with its future.
-                    self.turn_to(agent);
+                    self.connect_to(agent);
                     continue;
                 }
             };
@@ -210,10 +219,10 @@
                 Ok(listing) => {
                     self.pauses.reset();
                     self.failing = false;
-                    let idle = self.index == Some(listing.index) && listing.members.is_empty();
+                    let idle = self.index == Some(listing.index) && listing.endpoints.is_empty();
                     self.index = Some(listing.index);
-                    let kind = if listing.whole { WatchEvent::Snapshot } else { WatchEvent::Delta };
-                    core.servers(kind, listing.members);
+                    let kind = if listing.is_snapshot { WatchEvent::Snapshot } else { WatchEvent::Delta };
+                    core.endpoints_changed(kind, listing.endpoints);
                     if idle && begun.elapsed() < AGAIN {
                         self.pause(AGAIN, &mut agents).await;
                     }
@@ -226,8 +235,8 @@
                     if e.blames_version() {
                         self.index = None;
                     }
-                    core.servers(WatchEvent::Failed, Vec::new());
-                    let pause = self.pauses.after(&e, self.asked);
+                    core.endpoints_changed(WatchEvent::Failed, Vec::new());
+                    let pause = self.pauses.after_error(&e, self.polled);
                     self.pause(pause.min(NEXT_CALL.saturating_sub(begun.elapsed())), &mut agents).await;
                 }
             }
@@ -238,19 +247,19 @@
     async fn pause(&mut self, pause: Duration, agents: &mut watch::Receiver<SocketAddr>) {
         tokio::select! {
             () = sleep(pause) => {}
-            agent = next(agents) => self.turn_to(agent),
+            agent = next(agents) => self.connect_to(agent),
         }
     }
 
     /// Another agent counts versions of its own.
-    fn turn_to(&mut self, agent: SocketAddr) {
+    fn connect_to(&mut self, agent: SocketAddr) {
         (self.agent, self.sender, self.index) = (agent, None, None);
         self.pauses.reset();
     }
 
-    async fn call(&mut self) -> Result<Listing, WatchError> {
-        let Limits { mut wait, silent, whole } = if self.asked { SERVICE } else { AGENT };
-        if self.failing && !self.asked {
+    async fn call(&mut self) -> Result<EndpointList, WatchError> {
+        let Limits { mut wait, silent, whole } = if self.polled { SERVICE } else { AGENT };
+        if self.failing && !self.polled {
             // Discovery may be down, and back at any time.
             wait = AGAIN;
         }
@@ -262,8 +271,8 @@
         };
         let body = timeout(limit, self.get(&path)).await.map_err(|_| WatchError::Silent)??;
         let list = serde_json::from_slice(&body).map_err(WatchError::NotJson)?;
-        let list: ListMessage = fields::read(&list).map_err(WatchError::Malformed)?;
-        let listing = list.listing(&self.names);
+        let list: EndpointListMessage = fields::read(&list).map_err(WatchError::Malformed)?;
+        let listing = list.into_list(&self.names);
         // Servers that it still names may be gone by the version held.
         if self.index.is_some_and(|held| listing.index < held) {
             return Err(WatchError::Stale);
@@ -282,7 +291,7 @@
         if response.status() != 200 {
             return Err(WatchError::AttemptStatus(response.status().as_u16()));
         }
-        let body = Limited::new(response.into_body(), LIST_MOST).collect().await;
+        let body = Limited::new(response.into_body(), MAX_ENDPOINT_LIST_BYTES).collect().await;
         let body = body.map_err(WatchError::Body)?.to_bytes();
         self.sender = Some(sender);
         Ok(body)
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/control/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The list of servers in the form in which discovery gives it, also in a gateway's configuration.
 
-use crate::names::Names;
+use crate::config::names::WireNames;
 use grebehook_core::{Endpoint, EndpointState, ServerId};
 use grebehook_simulator_adapter::fields;
 use serde::Deserialize;
@@ -8,38 +8,38 @@
 
 /// One server as discovery names it.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct ListedEndpoint {
     /// Where it listens.
     pub address: SocketAddr,
     /// What the module is told.
-    pub entry: Endpoint,
+    pub endpoint: Endpoint,
 }
 
 /// One answer of discovery.
 #[derive(Clone, Debug)]
-pub struct Listing {
+pub struct EndpointList {
     /// Its version.
     pub index: u64,
     /// The whole list, not changes alone.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// The entries.
-    pub members: Vec<Member>,
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// The list as it is written in JSON; it counts as one of changes where it does not say that it is whole.
 #[derive(Debug, Deserialize)]
-pub struct ListMessage {
+pub struct EndpointListMessage {
     index: u64,
     #[serde(default, deserialize_with = "fields::lenient")]
     snapshot: bool,
-    endpoints: Vec<MemberMessage>,
+    endpoints: Vec<EndpointMessage>,
 }
 
 #[derive(Debug, Deserialize)]
-struct MemberMessage {
+struct EndpointMessage {
     name: String,
     address: SocketAddr,
-    status: MemberStatus,
+    status: EndpointStatus,
     #[serde(default, deserialize_with = "fields::lenient")]
     zone: String,
     #[serde(default, deserialize_with = "fields::lenient")]
@@ -52,34 +52,34 @@
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum MemberStatus {
+enum EndpointStatus {
     Ready,
     Draining,
     Gone,
 }
 
-impl ListMessage {
+impl EndpointListMessage {
     /// The list in the decision core's terms. A zone that has no name there gets a number of its own.
-    pub fn listing(self, names: &Names) -> Listing {
-        Listing {
+    pub fn into_list(self, names: &WireNames) -> EndpointList {
+        EndpointList {
             index: self.index,
-            whole: self.snapshot,
-            members: self.endpoints.iter().map(|member| member.member(names)).collect(),
+            is_snapshot: self.snapshot,
+            endpoints: self.endpoints.iter().map(|member| member.into_endpoint(names)).collect(),
         }
     }
 }
 
-impl MemberMessage {
-    fn member(&self, names: &Names) -> Member {
+impl EndpointMessage {
+    fn into_endpoint(&self, names: &WireNames) -> ListedEndpoint {
         let zone = names.zones.iter().position(|zone| *zone == self.zone).unwrap_or(names.zones.len());
-        Member {
+        ListedEndpoint {
             address: self.address,
-            entry: Endpoint {
+            endpoint: Endpoint {
                 server: server_id(&self.name),
                 state: match self.status {
-                    MemberStatus::Ready => EndpointState::Ready,
-                    MemberStatus::Draining => EndpointState::Draining,
-                    MemberStatus::Gone => EndpointState::Gone,
+                    EndpointStatus::Ready => EndpointState::Ready,
+                    EndpointStatus::Draining => EndpointState::Draining,
+                    EndpointStatus::Gone => EndpointState::Gone,
                 },
                 started_at: usable(self.since_ms).map(|ms| (ms * 1_000.0) as u64).filter(|at| *at > 0),
                 relative_size: usable(self.weight).unwrap_or(1.0),
--- /dev/null
+++ b/crates/gateway/src/control/mod.rs
@@ -0,0 +1,6 @@
+//! The control plane: service discovery, the shared counter and the other gateways.
+
+pub mod counter;
+pub mod discovery;
+pub mod endpoint_list;
+pub mod peers;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/control/peers.rs
@@ -5,7 +5,7 @@
 use tokio::net::UdpSocket;
 
 /// The largest message.
-const MOST: usize = 256;
+const MAX_MESSAGE_BYTES: usize = 256;
 
 /// The socket and the other gateways' addresses, by their numbers.
 pub struct Peers {
@@ -22,18 +22,18 @@
     /// Sends a message if it can go at once: like any datagram it may be lost. One that is too long never
     /// goes: it would break the protocol.
     pub fn send(&self, to: usize, data: &[u8]) {
-        if let Some(address) = self.addresses.get(to).filter(|_| data.len() <= MOST) {
+        if let Some(address) = self.addresses.get(to).filter(|_| data.len() <= MAX_MESSAGE_BYTES) {
             let _ = self.socket.try_send_to(data, *address);
         }
     }
 
     /// Hands each message that arrives on with its sender's number, for ever; one from an address that is no
     /// peer's is dropped.
-    pub async fn run(self: Rc<Self>, receive: impl Fn(usize, Vec<u8>)) {
-        let mut data = [0; MOST + 1];
+    pub async fn receive(self: Rc<Self>, receive: impl Fn(usize, Vec<u8>)) {
+        let mut data = [0; MAX_MESSAGE_BYTES + 1];
         loop {
             match self.socket.recv_from(&mut data).await {
-                Ok((length, from)) if length <= MOST => {
+                Ok((length, from)) if length <= MAX_MESSAGE_BYTES => {
                     if let Some(from) = self.addresses.iter().position(|a| *a == from) {
                         receive(from, data[..length].to_vec());
                     }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/driver/decision_driver.rs
@@ -1,17 +1,17 @@
 //! Owns the decision module, the clock, the timers and the table of requests: events in, actions out.
 //! Nothing is decided here.
 
-use crate::attempt::{AttemptTimes, Outgoing, Reply, Slot};
-use crate::clock::Clock;
-use crate::core_log::CoreLog;
-use crate::counter::SharedCounter;
-use crate::counts::{Counts, Taken};
-use crate::members::Member;
-use crate::peers::Peers;
-use crate::request::{Answer, Terms};
-use crate::request_table::{RequestTable, Running};
-use crate::timers::{Due, Timers};
-use crate::upstream::Upstream;
+use crate::control::counter::SharedCounter;
+use crate::control::endpoint_list::ListedEndpoint;
+use crate::control::peers::Peers;
+use crate::driver::clock::Clock;
+use crate::driver::decision_log::DecisionLog;
+use crate::driver::request::{Answer, RequestHead};
+use crate::driver::request_table::{InFlightAttempt, RequestTable};
+use crate::driver::timers::{DueTimer, Timers};
+use crate::operations::request_counts::{RequestCounterGuard, RequestCounters};
+use crate::servers::attempt::{AttemptConnection, AttemptResponse, AttemptTimes, OutgoingRequest};
+use crate::servers::exchange::Upstream;
 use grebehook_core::{
     Action, AttemptStatus, CounterResult, Event, Gateway, Micros, RequestArrival, RequestId, ServerId,
     TimerId, WatchEvent,
@@ -39,19 +39,19 @@
 }
 
 /// The one owner of the decision module. It lives on one thread; handles to it are shared by `Rc`.
-pub struct Core {
+pub struct DecisionDriver {
     inner: RefCell<Inner>,
-    sooner: Notify,
+    earlier_timer: Notify,
     clock: Clock,
     upstream: Rc<Upstream>,
     peers: Option<Rc<Peers>>,
     counter: Option<Rc<SharedCounter>>,
-    probe_path: &'static str,
-    counts: Rc<Counts>,
-    log: CoreLog,
+    health_check_path: &'static str,
+    request_counters: Rc<RequestCounters>,
+    log: DecisionLog,
 }
 
-impl Core {
+impl DecisionDriver {
     /// A core round a module that has seen nothing yet.
     pub fn new(
         gateway: Gateway,
@@ -60,10 +60,10 @@
         peers: Option<Rc<Peers>>,
         counter: Option<Rc<SharedCounter>>,
         reports: bool,
-        counts: Rc<Counts>,
-    ) -> Rc<Core> {
+        counts: Rc<RequestCounters>,
+    ) -> Rc<DecisionDriver> {
         let mut timers = Timers::default();
-        timers.arm(clock.now() + RETIRE_EVERY, Due::Retire);
+        timers.arm(clock.now() + RETIRE_EVERY, DueTimer::RetireIdleConnections);
         let inner = Inner {
             gateway,
             requests: RequestTable::default(),
@@ -72,47 +72,48 @@
             actions: Vec::new(),
         };
         let probe_path = if reports { "/_load" } else { "/ping" };
-        Rc::new(Core {
+        Rc::new(DecisionDriver {
             inner: RefCell::new(inner),
-            sooner: Notify::new(),
+            earlier_timer: Notify::new(),
             clock,
             upstream,
             peers,
             counter,
-            probe_path,
-            counts,
-            log: CoreLog::default(),
+            health_check_path: probe_path,
+            request_counters: counts,
+            log: DecisionLog::default(),
         })
     }
 
     /// News of the list of servers.
-    pub fn servers(self: &Rc<Self>, kind: WatchEvent, members: Vec<Member>) {
+    pub fn endpoints_changed(self: &Rc<Self>, kind: WatchEvent, members: Vec<ListedEndpoint>) {
         if kind != WatchEvent::Failed {
             self.upstream.pool.update(kind != WatchEvent::Delta, &members);
         }
-        let entries = members.into_iter().map(|m| m.entry).collect();
+        let entries = members.into_iter().map(|m| m.endpoint).collect();
         let mut inner = self.inner.borrow_mut();
         inner.events.push_back(Event::EndpointsChanged { watch_event: kind, endpoints: entries });
-        self.recall(&mut inner);
-        self.work(&mut inner);
+        self.cancel_waiting_for_connection(&mut inner);
+        self.process_events(&mut inner);
     }
 
     /// Ends the attempts that still wait for a connection to a server that now drains or is gone: they would
     /// be sent when it comes up, perhaps after the rule's grace.
-    fn recall(&self, inner: &mut Inner) {
-        let waits = |r: &Running| r.slot.connecting() && !self.upstream.pool.ready(r.server);
+    fn cancel_waiting_for_connection(&self, inner: &mut Inner) {
+        let waits =
+            |r: &InFlightAttempt| r.connection.is_connecting() && !self.upstream.pool.is_ready(r.server);
         for id in inner.requests.with_attempt(waits) {
-            self.stop(inner, id, AttemptStatus::ConnectFailed);
+            self.abort_attempt(inner, id, AttemptStatus::ConnectFailed);
         }
     }
 
     /// Every request has its final answer by this time.
-    pub fn stop_by(self: &Rc<Self>, by: Instant) {
+    pub fn shut_down_by(self: &Rc<Self>, by: Instant) {
         self.handle(Event::Shutdown { deadline: self.clock.at(by) });
     }
 
     /// A message from another gateway.
-    pub fn heard(self: &Rc<Self>, from: usize, data: Vec<u8>) {
+    pub fn gossip_received(self: &Rc<Self>, from: usize, data: Vec<u8>) {
         self.handle(Event::GossipReceived { from, message: data });
     }
 
@@ -134,25 +135,35 @@
     }
 
     /// The figures that operators read.
-    pub fn figures(&self) -> String {
-        self.counts.text(self.inner.borrow().gateway.endpoint_counts(self.clock.now()))
+    pub fn metrics_text(&self) -> String {
+        self.request_counters.metrics_text(self.inner.borrow().gateway.endpoint_counts(self.clock.now()))
     }
 
     /// A client's request: its number, where its one answer will arrive, and by what it is counted. `None`
     /// while another with its id is open or may still run.
-    pub fn request(
+    pub fn submit(
         self: &Rc<Self>,
         call: HeaderValue,
-        terms: Terms,
-        outgoing: Outgoing,
-    ) -> Option<(RequestId, oneshot::Receiver<Answer>, Taken)> {
+        terms: RequestHead,
+        outgoing: OutgoingRequest,
+    ) -> Option<(RequestId, oneshot::Receiver<Answer>, RequestCounterGuard)> {
         let mut inner = self.inner.borrow_mut();
         let now = self.clock.now();
-        let limit = now + terms.patience;
-        let (id, receiver) = inner.requests.open(call, outgoing, limit, terms.window)?;
-        self.arm(&mut inner, limit, Due::Limit(id.0));
-        let Terms { class, plan, customer, patience, units, spread, first, repeat, .. } = terms;
-        let coming = self.await_rest(id, patience, &inner.requests);
+        let limit = now + terms.client_timeout;
+        let (id, receiver) = inner.requests.open(call, outgoing, limit, terms.deduplication_window)?;
+        self.arm(&mut inner, limit, DueTimer::RequestLimit(id.0));
+        let RequestHead {
+            class,
+            plan,
+            customer,
+            client_timeout: patience,
+            units,
+            customer_gateway_count: spread,
+            first_gateway: first,
+            is_retry: repeat,
+            ..
+        } = terms;
+        let coming = self.await_rest_of_body(id, patience, &inner.requests);
         let event = Event::RequestArrived(RequestArrival {
             id,
             class,
@@ -168,45 +179,45 @@
         inner.events.push_back(event);
         // The same time for the module's deadline as for the limit: on a busy machine a second look at the
         // clock can be late by more than the module's margin, and the limit would then come first.
-        self.work_from(&mut inner, now);
-        Some((id, receiver, self.counts.taken(class)))
+        self.process_events_from(&mut inner, now);
+        Some((id, receiver, self.request_counters.begin(class)))
     }
 
     /// Whether part of a request's body is still to come. Its time begins once all of it has gone on.
-    fn await_rest(self: &Rc<Self>, id: RequestId, patience: Micros, requests: &RequestTable) -> bool {
+    fn await_rest_of_body(self: &Rc<Self>, id: RequestId, patience: Micros, requests: &RequestTable) -> bool {
         let Some(body) = requests.get(id).map(|held| &held.outgoing.body) else { return false };
         let core = self.clone();
-        body.when_passed(move || core.came(id, patience))
+        body.on_forwarded(move || core.body_complete(id, patience))
     }
 
     /// The last of a long body has gone on.
-    fn came(self: &Rc<Self>, id: RequestId, patience: Micros) {
+    fn body_complete(self: &Rc<Self>, id: RequestId, patience: Micros) {
         let mut inner = self.inner.borrow_mut();
         let now = self.clock.now();
         let limit = now + patience;
         let Some(held) = inner.requests.get_mut(id) else { return };
         if let Some(attempt) = held.restart(now, limit) {
-            self.arm(&mut inner, limit, Due::Attempt(id.0, attempt));
+            self.arm(&mut inner, limit, DueTimer::Attempt(id.0, attempt));
         }
-        self.arm(&mut inner, limit, Due::Limit(id.0));
+        self.arm(&mut inner, limit, DueTimer::RequestLimit(id.0));
         inner.events.push_back(Event::BodyComplete { id });
-        self.work_from(&mut inner, now);
+        self.process_events_from(&mut inner, now);
     }
 
     /// The client of a request left. Whether it cannot have run.
-    pub fn gone(self: &Rc<Self>, id: RequestId) -> bool {
+    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) -> bool {
         let mut inner = self.inner.borrow_mut();
         let Some(held) = inner.requests.get_mut(id) else { return false };
         let never = held.cannot_have_run();
         if held.answer.take().is_some() {
-            let unsent = held.running.as_ref().is_some_and(|r| !r.slot.written());
+            let unsent = held.in_flight.as_ref().is_some_and(|r| !r.connection.request_written());
             inner.events.push_back(Event::ClientDisconnected { id });
             // Nothing is sent for a request that is over: not even what only waits for its connection.
             if unsent {
-                self.stop(&mut inner, id, AttemptStatus::NotSent);
+                self.abort_attempt(&mut inner, id, AttemptStatus::NotSent);
             }
             inner.requests.forget(id);
-            self.work(&mut inner);
+            self.process_events(&mut inner);
         }
         never
     }
@@ -214,15 +225,15 @@
     fn handle(self: &Rc<Self>, event: Event) {
         let mut inner = self.inner.borrow_mut();
         inner.events.push_back(event);
-        self.work(&mut inner);
+        self.process_events(&mut inner);
     }
 
     /// Hands the module what has happened and carries out what it says, until nothing is left.
-    fn work(self: &Rc<Self>, inner: &mut Inner) {
-        self.work_from(inner, self.clock.now());
+    fn process_events(self: &Rc<Self>, inner: &mut Inner) {
+        self.process_events_from(inner, self.clock.now());
     }
 
-    fn work_from(self: &Rc<Self>, inner: &mut Inner, mut now: Micros) {
+    fn process_events_from(self: &Rc<Self>, inner: &mut Inner, mut now: Micros) {
         while let Some(event) = inner.events.pop_front() {
             let mut actions = std::mem::take(&mut inner.actions);
             let gateway = &mut inner.gateway;
@@ -241,18 +252,19 @@
     fn perform(self: &Rc<Self>, inner: &mut Inner, now: Micros, action: Action) {
         match action {
             Action::Send { id, server, timeout } => self.send(inner, now, id, server, timeout),
-            Action::Reject { id, retry_after } => inner.requests.answer(id, Answer::Refused(retry_after)),
+            Action::Reject { id, retry_after } => inner.requests.answer(id, Answer::Rejected(retry_after)),
             Action::Fail { id } => inner.requests.answer(id, Answer::Failed),
             Action::Cancel { id, attempt } => {
                 if inner.requests.is_running(id, attempt) {
-                    self.stop(inner, id, AttemptStatus::Cancelled);
+                    self.abort_attempt(inner, id, AttemptStatus::Cancelled);
                 }
             }
-            Action::Timer { at, timer } => self.arm(inner, at, Due::Module(timer.0)),
+            Action::Timer { at, timer } => self.arm(inner, at, DueTimer::Decision(timer.0)),
             Action::CheckHealth { server } => {
                 let core = self.clone();
                 tokio::task::spawn_local(async move {
-                    let (status, load) = core.upstream.probe(server, core.probe_path, PROBE_LIMIT).await;
+                    let (status, load) =
+                        core.upstream.probe(server, core.health_check_path, PROBE_LIMIT).await;
                     core.handle(Event::HealthCheckCompleted { server, status, load_report: load });
                 });
             }
@@ -293,67 +305,80 @@
         let attempt = held.attempts;
         held.attempts += 1;
         // Never two attempts at once, nor one for a request that is over or past its time.
-        if held.running.is_some() || held.answer.is_none() || now >= held.limit {
-            let event =
-                Reply::bare(AttemptStatus::NotSent).outcome(id, attempt, server, 0, held.answer.is_none());
+        if held.in_flight.is_some() || held.answer.is_none() || now >= held.client_deadline {
+            let event = AttemptResponse::without_response(AttemptStatus::NotSent).into_event(
+                id,
+                attempt,
+                server,
+                0,
+                held.answer.is_none(),
+            );
             return inner.events.push_back(event);
         }
         let until = held.deadline(now, timeout);
-        let slot = Rc::new(Slot::default());
+        let slot = Rc::new(AttemptConnection::default());
         let (core, outgoing, link) = (self.clone(), held.outgoing.clone(), slot.clone());
         let times = AttemptTimes {
             send_by: self.clock.instant(held.send_by(until)),
             answer_by: self.clock.instant(until),
         };
         let task = tokio::task::spawn_local(async move {
-            let reply =
-                core.upstream.exchange(server, &link, &outgoing, times, Some(&core.counts.tries)).await;
-            core.ended(id, attempt, reply);
+            let reply = core
+                .upstream
+                .exchange(server, &link, &outgoing, times, Some(&core.request_counters.attempts))
+                .await;
+            core.attempt_ended(id, attempt, reply);
+        });
+        held.in_flight = Some(InFlightAttempt {
+            attempt,
+            server,
+            sent_at: now,
+            connection: slot,
+            task: task.abort_handle(),
         });
-        held.running = Some(Running { attempt, server, sent: now, slot, task: task.abort_handle() });
-        if !held.outgoing.body.coming() {
-            self.arm(inner, until, Due::Attempt(id.0, attempt));
+        if !held.outgoing.body.is_incomplete() {
+            self.arm(inner, until, DueTimer::Attempt(id.0, attempt));
         }
     }
 
     /// An attempt ended by itself. The first good answer goes to the client at once and ends the request.
-    fn ended(self: &Rc<Self>, id: RequestId, attempt: u32, mut reply: Reply) {
+    fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: u32, mut reply: AttemptResponse) {
         let mut inner = self.inner.borrow_mut();
         let Some(held) = inner.requests.get_mut(id) else { return };
-        let Some(running) = held.running.take_if(|r| r.attempt == attempt) else { return };
+        let Some(running) = held.in_flight.take_if(|r| r.attempt == attempt) else { return };
         if reply.status == AttemptStatus::NotSent {
             held.end_if_client_left();
         }
-        if let Some(served) = reply.answer.take() {
+        if let Some(served) = reply.response.take() {
             inner.requests.answer(id, Answer::Served(served));
         }
         self.record_end(&mut inner, id, running, reply);
-        self.work(&mut inner);
+        self.process_events(&mut inner);
     }
 
     /// Gives up a request's attempt: nothing of it is on the network when this returns.
-    fn stop(&self, inner: &mut Inner, id: RequestId, status: AttemptStatus) {
+    fn abort_attempt(&self, inner: &mut Inner, id: RequestId, status: AttemptStatus) {
         let Some(held) = inner.requests.get_mut(id) else { return };
-        let Some(running) = held.running.take() else { return };
+        let Some(running) = held.in_flight.take() else { return };
         let status = running.abort(status);
-        self.record_end(inner, id, running, Reply::bare(status));
+        self.record_end(inner, id, running, AttemptResponse::without_response(status));
     }
 
     /// Tells the decision core how an attempt ended.
-    fn record_end(&self, inner: &mut Inner, id: RequestId, running: Running, reply: Reply) {
-        let took = self.clock.now().saturating_sub(running.sent);
+    fn record_end(&self, inner: &mut Inner, id: RequestId, running: InFlightAttempt, reply: AttemptResponse) {
+        let took = self.clock.now().saturating_sub(running.sent_at);
         let held = inner.requests.get_mut(id);
         if held.is_some_and(|held| held.record_end(&running, reply.status)) {
             inner.events.push_back(Event::BodyConsumed { id });
         }
         let closed = !inner.requests.is_open(id);
-        inner.events.push_back(reply.outcome(id, running.attempt, running.server, took, closed));
+        inner.events.push_back(reply.into_event(id, running.attempt, running.server, took, closed));
         inner.requests.forget(id);
     }
 
-    fn arm(&self, inner: &mut Inner, at: Micros, due: Due) {
+    fn arm(&self, inner: &mut Inner, at: Micros, due: DueTimer) {
         if inner.timers.arm(at, due) {
-            self.sooner.notify_one();
+            self.earlier_timer.notify_one();
         }
     }
 
@@ -364,7 +389,7 @@
                 let mut inner = self.inner.borrow_mut();
                 while let Some(due) = inner.timers.pop_due(self.clock.now()) {
                     self.fire(&mut inner, due);
-                    self.work(&mut inner);
+                    self.process_events(&mut inner);
                 }
                 let Inner { timers, requests, .. } = &mut *inner;
                 timers.skip(|due| requests.is_spent(due));
@@ -373,42 +398,42 @@
             };
             tokio::select! {
                 () = tokio::time::sleep_until(next.into()) => {}
-                () = self.sooner.notified() => {}
+                () = self.earlier_timer.notified() => {}
             }
         }
     }
 
-    fn fire(&self, inner: &mut Inner, due: Due) {
+    fn fire(&self, inner: &mut Inner, due: DueTimer) {
         match due {
-            Due::Module(timer) => inner.events.push_back(Event::Timer { timer: TimerId(timer) }),
-            Due::Attempt(id, attempt) => {
+            DueTimer::Decision(timer) => inner.events.push_back(Event::Timer { timer: TimerId(timer) }),
+            DueTimer::Attempt(id, attempt) => {
                 if inner.requests.is_running(RequestId(id), attempt) {
-                    self.stop(inner, RequestId(id), AttemptStatus::Timeout);
+                    self.abort_attempt(inner, RequestId(id), AttemptStatus::Timeout);
                 }
             }
-            Due::Limit(id) => self.overdue(inner, RequestId(id)),
-            Due::Retire => {
-                self.upstream.pool.retire();
-                self.arm(inner, self.clock.now() + RETIRE_EVERY, Due::Retire);
+            DueTimer::RequestLimit(id) => self.fail_overdue(inner, RequestId(id)),
+            DueTimer::RetireIdleConnections => {
+                self.upstream.pool.close_expired();
+                self.arm(inner, self.clock.now() + RETIRE_EVERY, DueTimer::RetireIdleConnections);
             }
         }
     }
 
     /// The client's time is up. The decision core is notified of an attempt that is still out, and has the last
     /// word; if it says nothing, the request ends all the same.
-    fn overdue(&self, inner: &mut Inner, id: RequestId) {
+    fn fail_overdue(&self, inner: &mut Inner, id: RequestId) {
         let Some(held) = inner.requests.get(id).filter(|h| h.answer.is_some()) else { return };
         // Of a body that is still coming the limit is set anew once it has come.
-        if held.outgoing.body.coming() || self.clock.now() < held.limit {
+        if held.outgoing.body.is_incomplete() || self.clock.now() < held.client_deadline {
             return;
         }
-        if held.running.is_some() {
-            let limit = held.limit;
-            self.stop(inner, id, AttemptStatus::Timeout);
-            return self.arm(inner, limit, Due::Limit(id.0));
+        if held.in_flight.is_some() {
+            let limit = held.client_deadline;
+            self.abort_attempt(inner, id, AttemptStatus::Timeout);
+            return self.arm(inner, limit, DueTimer::RequestLimit(id.0));
         }
         self.log.left_open();
-        inner.requests.answer(id, Answer::Overdue);
+        inner.requests.answer(id, Answer::TimedOut);
         inner.events.push_back(Event::ClientDisconnected { id });
     }
 }
--- a/crates/gateway/src/core_log.rs
+++ b/crates/gateway/src/driver/decision_log.rs
@@ -1,18 +1,18 @@
 //! What the log says of the decision core.
 
-use crate::repeat_limiter::RepeatLimiter;
+use crate::network::repeat_limiter::RepeatLimiter;
 use std::time::Instant;
 use tracing::{error, info, warn};
 
 /// Lines about the decision core, each kind limited by itself.
 #[derive(Default)]
-pub struct CoreLog {
+pub struct DecisionLog {
     panics: RepeatLimiter,
     left_open: RepeatLimiter,
     messages: RepeatLimiter,
 }
 
-impl CoreLog {
+impl DecisionLog {
     /// It panicked on an event.
     pub fn panicked(&self) {
         if let Some(suppressed) = self.panics.admit(Instant::now()) {
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/driver/request.rs
@@ -1,23 +1,23 @@
 //! A client's request as the decision core needs it, and its final answer.
 
-use crate::stream::Answered;
+use crate::bodies::forwarding::ResponseContent;
 use grebehook_core::{CustomerId, Micros};
 use hyper::Response;
 
 /// The final answer of a request.
 pub enum Answer {
     /// A server's answer, passed on.
-    Served(Response<Answered>),
+    Served(Response<ResponseContent>),
     /// Refused: trying again is harmless, after a time if one is advised.
-    Refused(Option<Micros>),
+    Rejected(Option<Micros>),
     /// Failed: nothing is promised.
     Failed,
     /// The client's time ran out before the module answered.
-    Overdue,
+    TimedOut,
 }
 
 /// What a client asks for, as the module needs it.
-pub struct Terms {
+pub struct RequestHead {
     /// Index of the class.
     pub class: usize,
     /// Index of the plan.
@@ -25,15 +25,15 @@
     /// The customer.
     pub customer: CustomerId,
     /// How long the client waits.
-    pub patience: Micros,
+    pub client_timeout: Micros,
     /// Units that the request takes.
     pub units: f64,
     /// How many gateways the customer comes through.
-    pub spread: usize,
+    pub customer_gateway_count: usize,
     /// The first of them.
-    pub first: usize,
+    pub first_gateway: usize,
     /// The client marked it as a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// How long servers drop its repeats, if it is keyed.
-    pub window: Option<Micros>,
+    pub deduplication_window: Option<Micros>,
 }
--- a/crates/gateway/src/request_table.rs
+++ b/crates/gateway/src/driver/request_table.rs
@@ -1,8 +1,8 @@
 //! The requests that are open, or of which an attempt is out.
 
-use crate::attempt::{Outgoing, Slot};
-use crate::request::Answer;
-use crate::timers::Due;
+use crate::driver::request::Answer;
+use crate::driver::timers::DueTimer;
+use crate::servers::attempt::{AttemptConnection, OutgoingRequest};
 use grebehook_core::{AttemptStatus, Micros, RequestId, ServerId};
 use hyper::header::HeaderValue;
 use std::collections::{HashMap, HashSet};
@@ -11,47 +11,47 @@
 use tokio::task::AbortHandle;
 
 /// An attempt that is out.
-pub struct Running {
+pub struct InFlightAttempt {
     /// Its number among those of its request.
     pub attempt: u32,
     /// Where it went.
     pub server: ServerId,
     /// When.
-    pub sent: Micros,
+    pub sent_at: Micros,
     /// Its connection.
-    pub slot: Rc<Slot>,
+    pub connection: Rc<AttemptConnection>,
     /// Its task.
     pub task: AbortHandle,
 }
 
 /// A request in the table. Its final answer goes through a sender that is used up by the first, so that a
 /// second cannot be given.
-pub struct Held {
+pub struct PendingRequest {
     /// The client's id for it, among those that are open.
     call: HeaderValue,
     /// Where its one answer goes, until it is given.
     pub answer: Option<oneshot::Sender<Answer>>,
     /// What goes out.
-    pub outgoing: Rc<Outgoing>,
+    pub outgoing: Rc<OutgoingRequest>,
     /// When its client waits no longer.
-    pub limit: Micros,
+    pub client_deadline: Micros,
     /// Attempts so far.
     pub attempts: u32,
     /// The module knows that its body cannot be sent again.
-    spent: bool,
+    body_consumed: bool,
     /// The attempt that is out.
-    pub running: Option<Running>,
+    pub in_flight: Option<InFlightAttempt>,
     /// How long servers drop repeats, for a keyed class.
-    window: Option<Micros>,
+    deduplication_window: Option<Micros>,
     /// When the first attempt that may have run was sent.
-    pub ran: Option<Micros>,
+    pub may_have_run_at: Option<Micros>,
 }
 
-impl Running {
+impl InFlightAttempt {
     /// Gives the attempt up: nothing of it is on the network when this returns. How it ended thereby.
     pub fn abort(&self, status: AttemptStatus) -> AttemptStatus {
-        let unsent = !self.slot.written();
-        self.slot.close();
+        let unsent = !self.connection.request_written();
+        self.connection.close();
         self.task.abort();
         match status {
             // What was not written whole cannot have run, whatever it was given up for.
@@ -61,13 +61,13 @@
     }
 }
 
-impl Held {
+impl PendingRequest {
     /// Ends a request whose client has gone away. One that ended only its own side can still read the answer.
     pub fn end_if_client_left(&mut self) {
         if self.answer.is_none() || !(self.outgoing.client_has_left)() {
             return;
         }
-        let answer = if self.cannot_have_run() { Answer::Refused(None) } else { Answer::Failed };
+        let answer = if self.cannot_have_run() { Answer::Rejected(None) } else { Answer::Failed };
         if let Some(sender) = self.answer.take() {
             let _ = sender.send(answer);
         }
@@ -75,47 +75,49 @@
 
     /// Whether no server can have run it: no attempt that may have, and none written whole that is still out.
     pub fn cannot_have_run(&self) -> bool {
-        self.ran.is_none() && self.running.as_ref().is_none_or(|running| !running.slot.written())
+        self.may_have_run_at.is_none()
+            && self.in_flight.as_ref().is_none_or(|running| !running.connection.request_written())
     }
 
     /// When an attempt that is sent now ends; a time-out of 0 leaves it the whole limit.
     pub fn deadline(&self, now: Micros, timeout: Micros) -> Micros {
         match timeout {
-            0 => self.limit,
-            _ => now.saturating_add(timeout).min(self.limit),
+            0 => self.client_deadline,
+            _ => now.saturating_add(timeout).min(self.client_deadline),
         }
     }
 
     /// Until when an attempt may go out. The decision core holds a repeat to the window as it decides; one whose
     /// connection comes up later than that must not go out, or its effect could happen twice.
     pub fn send_by(&self, deadline: Micros) -> Micros {
-        let window_end = self.ran.zip(self.window).map(|(ran, window)| ran + window);
+        let window_end =
+            self.may_have_run_at.zip(self.deduplication_window).map(|(ran, window)| ran + window);
         window_end.map_or(deadline, |end| deadline.min(end))
     }
 
     /// The last of a long body has gone on: its time begins now. The attempt that is out.
     pub fn restart(&mut self, now: Micros, limit: Micros) -> Option<u32> {
-        self.limit = limit;
-        let running = self.running.as_mut()?;
-        running.sent = now;
+        self.client_deadline = limit;
+        let running = self.in_flight.as_mut()?;
+        running.sent_at = now;
         Some(running.attempt)
     }
 
     /// Notes how an attempt ended. Whether the module is to learn that the body cannot be sent again.
-    pub fn record_end(&mut self, ended: &Running, status: AttemptStatus) -> bool {
+    pub fn record_end(&mut self, ended: &InFlightAttempt, status: AttemptStatus) -> bool {
         let never_ran =
             matches!(status, AttemptStatus::Rejected | AttemptStatus::ConnectFailed | AttemptStatus::NotSent);
         if !never_ran {
-            self.ran.get_or_insert(ended.sent);
+            self.may_have_run_at.get_or_insert(ended.sent_at);
         }
-        self.outgoing.body.spent() && !std::mem::replace(&mut self.spent, true)
+        self.outgoing.body.is_consumed() && !std::mem::replace(&mut self.body_consumed, true)
     }
 }
 
 /// The table. The clients' ids of its requests are all different.
 #[derive(Default)]
 pub struct RequestTable {
-    requests: HashMap<RequestId, Held>,
+    requests: HashMap<RequestId, PendingRequest>,
     calls: HashSet<HeaderValue>,
     last: u64,
 }
@@ -126,7 +128,7 @@
     pub fn open(
         &mut self,
         call: HeaderValue,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         limit: Micros,
         window: Option<Micros>,
     ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
@@ -136,34 +138,34 @@
         self.last += 1;
         let id = RequestId(self.last);
         let (sender, receiver) = oneshot::channel();
-        let held = Held {
+        let held = PendingRequest {
             call,
             answer: Some(sender),
             outgoing: Rc::new(outgoing),
-            limit,
+            client_deadline: limit,
             attempts: 0,
-            spent: false,
-            running: None,
-            window,
-            ran: None,
+            body_consumed: false,
+            in_flight: None,
+            deduplication_window: window,
+            may_have_run_at: None,
         };
         self.requests.insert(id, held);
         Some((id, receiver))
     }
 
     /// A request.
-    pub fn get(&self, id: RequestId) -> Option<&Held> {
+    pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
     /// A request, to be changed.
-    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Held> {
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
 
     /// Whether this attempt of a request is out.
     pub fn is_running(&self, id: RequestId, attempt: u32) -> bool {
-        let running = self.get(id).and_then(|held| held.running.as_ref());
+        let running = self.get(id).and_then(|held| held.in_flight.as_ref());
         running.is_some_and(|running| running.attempt == attempt)
     }
 
@@ -173,8 +175,8 @@
     }
 
     /// The requests whose attempt answers to this, in their order.
-    pub fn with_attempt(&self, select: impl Fn(&Running) -> bool) -> Vec<RequestId> {
-        let selected = |held: &Held| held.running.as_ref().is_some_and(&select);
+    pub fn with_attempt(&self, select: impl Fn(&InFlightAttempt) -> bool) -> Vec<RequestId> {
+        let selected = |held: &PendingRequest| held.in_flight.as_ref().is_some_and(&select);
         let selected = self.requests.iter().filter(|(_, held)| selected(held));
         let mut ids: Vec<RequestId> = selected.map(|(id, _)| *id).collect();
         ids.sort_unstable();
@@ -192,7 +194,7 @@
 
     /// Drops a request once it is over and no attempt is out.
     pub fn forget(&mut self, id: RequestId) {
-        let over = |held: &Held| held.answer.is_none() && held.running.is_none();
+        let over = |held: &PendingRequest| held.answer.is_none() && held.in_flight.is_none();
         if self.get(id).is_some_and(over) {
             if let Some(held) = self.requests.remove(&id) {
                 self.calls.remove(&held.call);
@@ -201,11 +203,11 @@
     }
 
     /// Whether nothing is left to do when this falls due, since the request or its attempt has ended.
-    pub fn is_spent(&self, due: Due) -> bool {
+    pub fn is_spent(&self, due: DueTimer) -> bool {
         match due {
-            Due::Module(_) | Due::Retire => false,
-            Due::Attempt(id, attempt) => !self.is_running(RequestId(id), attempt),
-            Due::Limit(id) => !self.is_open(RequestId(id)),
+            DueTimer::Decision(_) | DueTimer::RetireIdleConnections => false,
+            DueTimer::Attempt(id, attempt) => !self.is_running(RequestId(id), attempt),
+            DueTimer::RequestLimit(id) => !self.is_open(RequestId(id)),
         }
     }
 }
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -1,8 +1,8 @@
 //! Reads the configuration again at SIGHUP. Another discovery agent and another address of the counter are taken up;
 //! the rest of the file holds from the next start on.
 
-use crate::config::Config;
-use crate::counter::SharedCounter;
+use crate::config::document::Config;
+use crate::control::counter::SharedCounter;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -1,7 +1,7 @@
 //! The end of a process that was told to stop: until when it takes clients in, by when every request has its answer
 //! and when the process ends by itself, all before SIGKILL may come.
 
-use crate::front::Front;
+use crate::clients::server::ClientServer;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
@@ -64,7 +64,7 @@
     }
 
     /// Takes in the clients that still come, and closes the listener.
-    pub async fn accept_late(&self, front: &Rc<Front>, listener: TcpListener) {
+    pub async fn accept_late(&self, front: &Rc<ClientServer>, listener: TcpListener) {
         loop {
             let until = self.accepts_until(front.last_accepted());
             let left = until.saturating_duration_since(Instant::now());
@@ -77,7 +77,7 @@
     }
 
     /// Waits until no client is left, and closes those who have nothing open.
-    pub async fn see_out(&self, front: &Rc<Front>) {
+    pub async fn drain_clients(&self, front: &Rc<ClientServer>) {
         // What came last may have its request on the way; give it a moment before idle connections close.
         let first_close = (Instant::now() + QUIET).min(self.closes_idle_by());
         let late = async {
@@ -88,7 +88,7 @@
             }
         };
         tokio::select! {
-            () = front.emptied() => {}
+            () = front.wait_until_empty() => {}
             () = late => {}
             () = sleep_until(self.ends_by().into()) => warn!("stopped with requests still open"),
         }
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/lifecycle/startup.rs
@@ -1,10 +1,10 @@
 //! What a start needs of the system: the runtime, listeners and the configuration. A call that fails for a reason that
 //! may pass is made again, since a gateway that ends at its start serves nobody.
 
-use crate::config::{Config, ConfigError};
-use crate::core::Core;
-use crate::system_error::may_pass;
-use crate::takeover::{self, ControlConnection, Predecessor};
+use crate::config::document::{Config, ConfigError};
+use crate::driver::decision_driver::DecisionDriver;
+use crate::lifecycle::takeover::{self, ControlConnection, Predecessor};
+use crate::network::system_error::may_pass;
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -73,7 +73,7 @@
 /// A listener for clients: that of the process which serves, with what it knows, where there is one. The connection to
 /// that process is to be held for as long as this one lives.
 pub async fn client_listener(
-    core: &Rc<Core>,
+    core: &Rc<DecisionDriver>,
     at: SocketAddr,
 ) -> io::Result<(TcpListener, Option<ControlConnection>)> {
     let predecessor = match takeover::control_socket_path(at) {
@@ -81,7 +81,7 @@
         None => None,
     };
     match predecessor {
-        Some(Predecessor { listener, state, held }) => {
+        Some(Predecessor { listener, state, control_connection: held }) => {
             core.take_over(&state);
             Ok((listener, Some(held)))
         }
--- a/crates/gateway/src/takeover.rs
+++ b/crates/gateway/src/lifecycle/takeover.rs
@@ -1,8 +1,8 @@
 //! Taking over from the process that served before, and handing over to the successor: over a control socket, a
 //! Unix socket in `$TMPDIR`, go the listener, with all that waits there, and what the decision core knows.
 
-use crate::core::Core;
-use crate::socket::Socket;
+use crate::driver::decision_driver::DecisionDriver;
+use crate::network::socket::Socket;
 use rustix::io::retry_on_intr;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -46,14 +46,14 @@
     /// What its decision core knows.
     pub state: String,
     /// As long as this is open the old process leaves it all to this one.
-    pub held: ControlConnection,
+    pub control_connection: ControlConnection,
 }
 
 /// Asks the process that serves to hand over. `None` if there is none, as after a kill, or it does not answer.
 pub async fn take_over(path: &PathBuf) -> Option<Predecessor> {
     let mut held = Socket::new(UnixStream::connect(path).await.ok()?);
     match timeout(ANSWER_MOST, receive_all(&mut held)).await {
-        Ok(Ok((listener, state))) => Some(Predecessor { listener, state, held }),
+        Ok(Ok((listener, state))) => Some(Predecessor { listener, state, control_connection: held }),
         Ok(Err(e)) => {
             warn!(error = %e, "nothing is taken over");
             None
@@ -102,7 +102,11 @@
 }
 
 /// Hands over the listener and what the decision core knows, and waits for the end of the successor.
-pub async fn hand_over(to: &mut ControlConnection, listener: &TcpListener, core: &Rc<Core>) -> io::Error {
+pub async fn hand_over(
+    to: &mut ControlConnection,
+    listener: &TcpListener,
+    core: &Rc<DecisionDriver>,
+) -> io::Error {
     match send_all(to, listener, core).await {
         // Nothing comes from there but the end.
         Ok(()) => to.read_u8().await.err().unwrap_or(io::ErrorKind::InvalidData.into()),
@@ -110,7 +114,11 @@
     }
 }
 
-async fn send_all(to: &mut ControlConnection, listener: &TcpListener, core: &Rc<Core>) -> io::Result<()> {
+async fn send_all(
+    to: &mut ControlConnection,
+    listener: &TcpListener,
+    core: &Rc<DecisionDriver>,
+) -> io::Result<()> {
     send_descriptor(to.get_ref(), listener.as_fd()).await?;
     core.close_idle();
     let state = core.hand_over();
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,59 +1,31 @@
 //! grebehook: a quota gateway. This file starts it, waits for the signal to stop and sees it out.
 
-mod attempt;
-mod body_size;
-mod client_connection;
-mod clock;
-mod command_line;
+mod bodies;
+mod clients;
 mod config;
-mod config_check;
-mod config_file;
-mod core;
-mod core_log;
-mod counter;
-mod counts;
-mod discovery;
-mod eviction;
-mod front;
-mod headers;
-mod link;
+mod control;
+mod driver;
+mod lifecycle;
 mod logging;
-mod members;
-mod names;
-mod ops;
-mod peers;
-mod pool;
-mod reload;
-mod repeat_limiter;
-mod request;
-mod request_table;
-mod request_terms;
-mod response;
-mod shutdown;
-mod socket;
-mod startup;
-mod stream;
-mod system_error;
-mod takeover;
-mod timers;
-mod upstream;
-mod wire;
+mod network;
+mod operations;
+mod servers;
 
-use crate::clock::Clock;
-use crate::command_line::CommandLine;
-use crate::config::Config;
-use crate::core::Core;
-use crate::counter::SharedCounter;
-use crate::counts::Counts;
-use crate::discovery::Watch;
-use crate::front::Front;
-use crate::ops::Ops;
-use crate::peers::Peers;
-use crate::pool::Pool;
-use crate::reload::Reload;
-use crate::request_terms::TermsReader;
-use crate::shutdown::Shutdown;
-use crate::upstream::Upstream;
+use crate::clients::request_head::RequestHeadReader;
+use crate::clients::server::ClientServer;
+use crate::config::command_line::CommandLine;
+use crate::config::document::Config;
+use crate::control::counter::SharedCounter;
+use crate::control::discovery::EndpointWatch;
+use crate::control::peers::Peers;
+use crate::driver::clock::Clock;
+use crate::driver::decision_driver::DecisionDriver;
+use crate::lifecycle::reload::Reload;
+use crate::lifecycle::shutdown::Shutdown;
+use crate::operations::request_counts::RequestCounters;
+use crate::operations::server::OperationsServer;
+use crate::servers::exchange::Upstream;
+use crate::servers::pool::Pool;
 use clap::Parser;
 use grebehook_core::{Gateway, LoadReports, WatchEvent};
 use std::error::Error;
@@ -69,7 +41,7 @@
 
 /// Descriptors that are neither clients' nor servers': standard streams, event queues, discovery, the counter,
 /// peers, operators.
-const SPARE_SOCKETS: usize = 40 + ops::MOST;
+const SPARE_SOCKETS: usize = 40 + operations::server::MAX_CONNECTIONS;
 /// The part of the memory that large answers may take on their way through...
 const LARGE_PART: usize = 4;
 /// ...and what is held of clients' bodies.
@@ -91,7 +63,7 @@
         error!("configuration: {CONFIG_VARIABLE} is not set, and there is no --config");
         return ExitCode::from(BAD_CONFIG);
     };
-    match startup::load(&path) {
+    match lifecycle::startup::load(&path) {
         Ok(config) => serve(config, path),
         Err(e) => {
             error!("configuration: {e}");
@@ -102,7 +74,7 @@
 
 /// Says what is wrong with a configuration.
 fn check(path: &Path) -> ExitCode {
-    let faults = config_check::faults_of_file(path);
+    let faults = config::check::faults_of_file(path);
     let mut output = std::io::stdout().lock();
     for fault in &faults {
         // Whoever closed the pipe wants no more lines; the code still tells.
@@ -117,7 +89,7 @@
 
 /// Serves until a signal ends it. The file is read again at SIGHUP.
 fn serve(config: Config, path: PathBuf) -> ExitCode {
-    let runtime = match startup::runtime() {
+    let runtime = match lifecycle::startup::runtime() {
         Ok(runtime) => runtime,
         Err(e) => {
             error!(error = %e, "the runtime cannot be started");
@@ -163,7 +135,7 @@
     let upstream = Upstream::new(pool, large, config.most_units);
     let peers = match config.peer_listen {
         Some(at) => {
-            let socket = startup::retry("peers", || Peers::bind(at, config.peers.clone())).await?;
+            let socket = lifecycle::startup::retry("peers", || Peers::bind(at, config.peers.clone())).await?;
             Some(Rc::new(socket))
         }
         None => None,
@@ -175,28 +147,37 @@
         Some(limit) => Duration::from_micros(limit),
     };
     let counter = config.counter.map(|at| Rc::new(SharedCounter::new(at, limit)));
-    let counts = Counts::new(config.names.classes.clone());
-    let core = Core::new(gateway, clock, Rc::new(upstream), peers.clone(), counter.clone(), reports, counts);
-    core.servers(WatchEvent::CachedSnapshot, config.known.members);
+    let counts = RequestCounters::new(config.names.classes.clone());
+    let core = DecisionDriver::new(
+        gateway,
+        clock,
+        Rc::new(upstream),
+        peers.clone(),
+        counter.clone(),
+        reports,
+        counts,
+    );
+    core.endpoints_changed(WatchEvent::CachedSnapshot, config.known.endpoints);
     tokio::task::spawn_local(core.clone().run_timers());
     if let Some(peers) = peers {
         let core = core.clone();
-        tokio::task::spawn_local(peers.run(move |from, data| core.heard(from, data)));
+        tokio::task::spawn_local(peers.receive(move |from, data| core.gossip_received(from, data)));
     }
     let (agent, agents) = watch::channel(config.discovery);
-    let watch = Watch::new(agents, config.names.clone(), config.known.index, &config.settings, config.seed);
+    let watch =
+        EndpointWatch::new(agents, config.names.clone(), config.known.index, &config.settings, config.seed);
     tokio::task::spawn_local(watch.run(core.clone()));
 
-    // Held for as long as this process lives.
+    // PendingRequest for as long as this process lives.
     let (listener, _held) = tokio::select! {
         // Who listens may have been asked already, and sees its clients out like any other.
         biased;
-        listening = startup::client_listener(&core, config.listen) => listening?,
+        listening = lifecycle::startup::client_listener(&core, config.listen) => listening?,
         // Nobody was taken in yet, and a process that was to hand over goes on.
         _ = &mut stop_signal => return Ok(()),
     };
-    let socket_path = takeover::control_socket_path(listener.local_addr()?);
-    let control_socket = socket_path.and_then(|path| match takeover::control_socket(&path) {
+    let socket_path = lifecycle::takeover::control_socket_path(listener.local_addr()?);
+    let control_socket = socket_path.and_then(|path| match lifecycle::takeover::control_socket(&path) {
         Ok(socket) => Some(socket),
         Err(e) => {
             warn!(error = %e, "no process can take over but by listening beside this one");
@@ -205,37 +186,38 @@
     });
     tokio::task::spawn_local(Reload { path, agent, counter }.run(hangup));
     let held = config.memory / HELD_PART;
-    let terms = TermsReader { settings: config.settings, names: config.names, max_units: config.most_units };
-    let front = Front::new(core.clone(), terms, clients, held);
-    tokio::task::spawn_local(front.clone().look_over());
+    let terms =
+        RequestHeadReader { settings: config.settings, names: config.names, max_units: config.most_units };
+    let front = ClientServer::new(core.clone(), terms, clients, held);
+    tokio::task::spawn_local(front.clone().close_expired_connections());
     info!("{} listens on {}", config.name, listener.local_addr()?);
     if let Some(at) = config.ops {
-        let listener = startup::retry("ops", || TcpListener::bind(at)).await?;
+        let listener = lifecycle::startup::retry("ops", || TcpListener::bind(at)).await?;
         info!("{} answers operators on {}", config.name, listener.local_addr()?);
-        tokio::task::spawn_local(Ops::new(front.clone(), core.clone()).run(listener));
+        tokio::task::spawn_local(OperationsServer::new(front.clone(), core.clone()).run(listener));
     }
     let (handed_over, stopped) = loop {
         let mut successor = tokio::select! {
             () = front.accept(&listener) => break (false, Ok(Instant::now())),
             stopped = &mut stop_signal => break (false, stopped),
-            successor = takeover::successor(control_socket.as_ref()) => successor,
+            successor = lifecycle::takeover::successor(control_socket.as_ref()) => successor,
         };
         front.hand_over(true);
         let lost = tokio::select! {
-            lost = takeover::hand_over(&mut successor, &listener, &core) => lost,
+            lost = lifecycle::takeover::hand_over(&mut successor, &listener, &core) => lost,
             stopped = &mut stop_signal => break (true, stopped),
         };
         warn!(error = %lost, "the process that was to follow is gone, this one goes on");
         front.hand_over(false);
     };
     let shutdown = Shutdown::new(stopped?, longest_deadline.unwrap_or_default());
-    core.stop_by(shutdown.answers_by());
+    core.shut_down_by(shutdown.answers_by());
     front.stop();
     if !handed_over {
         shutdown.accept_late(&front, listener).await;
     }
     // Otherwise whoever comes is the other process's, at the same listener.
-    shutdown.see_out(&front).await;
+    shutdown.drain_clients(&front).await;
     info!("{} stopped", config.name);
     Ok(())
 }
--- /dev/null
+++ b/crates/gateway/src/operations/mod.rs
@@ -0,0 +1,4 @@
+//! What operators see: health, metrics, request counts.
+
+pub mod request_counts;
+pub mod server;
--- a/crates/gateway/src/counts.rs
+++ b/crates/gateway/src/operations/request_counts.rs
@@ -6,52 +6,53 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// Served.
-    Ok,
+    Served,
     /// Refused.
-    Shed,
+    Rejected,
     /// Failed.
-    Errors,
+    Failed,
 }
 
 /// The endings by the names that operators know, in the order of the counts.
-const ENDINGS: [(Ending, &str); 3] = [(Ending::Ok, "ok"), (Ending::Shed, "shed"), (Ending::Errors, "errors")];
+const OUTCOMES: [(RequestOutcome, &str); 3] =
+    [(RequestOutcome::Served, "ok"), (RequestOutcome::Rejected, "shed"), (RequestOutcome::Failed, "errors")];
 
 /// All counts of one process.
-pub struct Counts {
-    /// Names of the classes, by their place in the settings.
+pub struct RequestCounters {
+    /// WireNames of the classes, by their place in the settings.
     classes: Vec<String>,
-    ended: RefCell<Vec<[u64; ENDINGS.len()]>>,
+    ended: RefCell<Vec<[u64; OUTCOMES.len()]>>,
     active: Cell<u64>,
     /// Attempts written whole to servers.
-    pub tries: Rc<Cell<u64>>,
+    pub attempts: Rc<Cell<u64>>,
 }
 
-impl Counts {
+impl RequestCounters {
     /// Nothing has happened yet.
-    pub fn new(classes: Vec<String>) -> Rc<Counts> {
+    pub fn new(classes: Vec<String>) -> Rc<RequestCounters> {
         let ended = RefCell::new(vec![Default::default(); classes.len()]);
-        Rc::new(Counts { classes, ended, active: Cell::new(0), tries: Rc::default() })
+        Rc::new(RequestCounters { classes, ended, active: Cell::new(0), attempts: Rc::default() })
     }
 
     /// A request of a class was taken; it is active until its token is dropped.
-    pub fn taken(self: &Rc<Self>, class: usize) -> Taken {
+    pub fn begin(self: &Rc<Self>, class: usize) -> RequestCounterGuard {
         self.active.set(self.active.get() + 1);
-        Taken { counts: self.clone(), class, ending: Cell::new(Ending::Errors) }
+        RequestCounterGuard { counters: self.clone(), class, outcome: Cell::new(RequestOutcome::Failed) }
     }
 
     /// The figures as operators read them, with those of the list of servers.
-    pub fn text(&self, (size, ejected): (usize, usize)) -> String {
+    pub fn metrics_text(&self, (size, ejected): (usize, usize)) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
         for (class, ended) in self.classes.iter().zip(self.ended.borrow().iter()) {
-            for ((_, name), count) in ENDINGS.iter().zip(ended) {
+            for ((_, name), count) in OUTCOMES.iter().zip(ended) {
                 let _ = writeln!(text, "gateway_responses{{kind=\"{class}\",result=\"{name}\"}} {count}");
             }
         }
         let figures = [
-            ("tries", self.tries.get()),
+            ("tries", self.attempts.get()),
             ("active", self.active.get()),
             ("pool_size", size as u64),
             ("pool_ejected", ejected as u64),
@@ -64,24 +65,24 @@
 }
 
 /// A request that was taken. It counts once, when this is dropped: as failed, unless another ending was told.
-pub struct Taken {
-    counts: Rc<Counts>,
+pub struct RequestCounterGuard {
+    counters: Rc<RequestCounters>,
     class: usize,
-    ending: Cell<Ending>,
+    outcome: Cell<RequestOutcome>,
 }
 
-impl Taken {
+impl RequestCounterGuard {
     /// Tells how it ends.
-    pub fn ends(&self, ending: Ending) {
-        self.ending.set(ending);
+    pub fn set_outcome(&self, ending: RequestOutcome) {
+        self.outcome.set(ending);
     }
 }
 
-impl Drop for Taken {
+impl Drop for RequestCounterGuard {
     fn drop(&mut self) {
-        self.counts.active.set(self.counts.active.get() - 1);
-        let ending = ENDINGS.iter().position(|(e, _)| *e == self.ending.get());
-        let mut ended = self.counts.ended.borrow_mut();
+        self.counters.active.set(self.counters.active.get() - 1);
+        let ending = OUTCOMES.iter().position(|(e, _)| *e == self.outcome.get());
+        let mut ended = self.counters.ended.borrow_mut();
         if let Some(count) = ending.and_then(|k| ended.get_mut(self.class)?.get_mut(k)) {
             *count += 1;
         }
--- a/crates/gateway/src/counts/tests.rs
+++ b/crates/gateway/src/operations/request_counts/tests.rs
@@ -1,15 +1,15 @@
-use super::{Counts, Ending};
+use super::{RequestCounters, RequestOutcome};
 
 /// A request counts where it ends and only there; one whose end nobody told has failed.
 #[test]
 fn a_request_counts_once_where_it_ends() {
-    let counts = Counts::new(vec!["a".into(), "b".into()]);
-    let (served, dropped) = (counts.taken(1), counts.taken(0));
-    served.ends(Ending::Ok);
-    let text = counts.text((3, 1));
+    let counts = RequestCounters::new(vec!["a".into(), "b".into()]);
+    let (served, dropped) = (counts.begin(1), counts.begin(0));
+    served.set_outcome(RequestOutcome::Served);
+    let text = counts.metrics_text((3, 1));
     assert!(text.contains("gateway_active 2\n") && text.contains("{kind=\"b\",result=\"ok\"} 0\n"));
     drop((served, dropped));
-    let text = counts.text((3, 1));
+    let text = counts.metrics_text((3, 1));
     for line in [
         "gateway_responses{kind=\"b\",result=\"ok\"} 1",
         "gateway_responses{kind=\"a\",result=\"errors\"} 1",
--- a/crates/gateway/src/ops.rs
+++ b/crates/gateway/src/operations/server.rs
@@ -1,8 +1,8 @@
 //! Where operators call: whether this process takes clients, and its figures. One call a connection.
 
-use crate::core::Core;
-use crate::front::Front;
-use crate::socket::Socket;
+use crate::clients::server::ClientServer;
+use crate::driver::decision_driver::DecisionDriver;
+use crate::network::socket::Socket;
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
@@ -19,7 +19,7 @@
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
 /// Connections at once. One more closes the oldest...
-pub const MOST: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// ...which has had this long by then: a true call is over sooner, so that one waits idly.
 const SETTLED: Duration = Duration::from_millis(100);
 /// How long a connection may take over its call.
@@ -30,15 +30,15 @@
 const BUFFER: usize = 8 << 10;
 
 /// Answers operators.
-pub struct Ops {
-    front: Rc<Front>,
-    core: Rc<Core>,
+pub struct OperationsServer {
+    front: Rc<ClientServer>,
+    core: Rc<DecisionDriver>,
 }
 
-impl Ops {
+impl OperationsServer {
     /// Answers for this front and this core.
-    pub fn new(front: Rc<Front>, core: Rc<Core>) -> Rc<Ops> {
-        Rc::new(Ops { front, core })
+    pub fn new(front: Rc<ClientServer>, core: Rc<DecisionDriver>) -> Rc<OperationsServer> {
+        Rc::new(OperationsServer { front, core })
     }
 
     /// Takes calls for ever.
@@ -50,7 +50,7 @@
                 continue;
             };
             callers.retain(|(_, c)| !c.is_finished());
-            if callers.len() >= MOST {
+            if callers.len() >= MAX_CONNECTIONS {
                 if let Some((since, oldest)) = callers.pop_front() {
                     sleep_until(since + SETTLED).await;
                     oldest.abort();
@@ -91,7 +91,7 @@
             }
             "/admin/health" if self.front.accepting() => plain(StatusCode::OK, "takes clients\n".to_owned()),
             "/admin/health" => plain(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n".to_owned()),
-            "/admin/stats" => plain(StatusCode::OK, self.core.figures()),
+            "/admin/stats" => plain(StatusCode::OK, self.core.metrics_text()),
             _ => plain(StatusCode::NOT_FOUND, "/admin/health or /admin/stats\n".to_owned()),
         }
     }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/servers/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt at a request: what goes out, what its owner can see of it meanwhile, and how it ended.
 
-use crate::link::Link;
-use crate::stream::{Answered, Upload};
+use crate::bodies::forwarding::{ResponseContent, Upload};
+use crate::servers::connection::ServerConnection;
 use grebehook_core::{AttemptReport, AttemptStatus, Event, LoadReport, Micros, RequestId, ServerId};
 use hyper::{HeaderMap, Method, Response, Uri};
 use std::cell::RefCell;
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 /// A client's request as it goes on to servers.
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// Its method, unchanged.
     pub method: Method,
     /// Its path and query, unchanged.
@@ -32,28 +32,43 @@
 }
 
 /// How an attempt ended.
-pub struct Reply {
+pub struct AttemptResponse {
     /// By the protocol's table.
     pub status: AttemptStatus,
     /// The customer's use, where the answer told it.
-    pub used: Option<f64>,
+    pub reported_usage: Option<f64>,
     /// The request's true units, where a good answer told them.
-    pub settled: Option<f64>,
+    pub settled_units: Option<f64>,
     /// The server's load, where the answer told it.
-    pub load: Option<LoadReport>,
+    pub load_report: Option<LoadReport>,
     /// The answer to pass on, if it was served.
-    pub answer: Option<Response<Answered>>,
+    pub response: Option<Response<ResponseContent>>,
 }
 
-impl Reply {
+impl AttemptResponse {
     /// An end without an answer.
-    pub fn bare(status: AttemptStatus) -> Reply {
-        Reply { status, used: None, settled: None, load: None, answer: None }
+    pub fn without_response(status: AttemptStatus) -> AttemptResponse {
+        AttemptResponse {
+            status,
+            reported_usage: None,
+            settled_units: None,
+            load_report: None,
+            response: None,
+        }
     }
 
     /// What the decision core is told of the attempt; `closed` where its request is over.
-    pub fn outcome(self, id: RequestId, attempt: u32, server: ServerId, took: Micros, closed: bool) -> Event {
-        let Reply { status, used, settled, load, .. } = self;
+    pub fn into_event(
+        self,
+        id: RequestId,
+        attempt: u32,
+        server: ServerId,
+        took: Micros,
+        closed: bool,
+    ) -> Event {
+        let AttemptResponse {
+            status, reported_usage: used, settled_units: settled, load_report: load, ..
+        } = self;
         Event::AttemptCompleted(AttemptReport {
             id,
             attempt,
@@ -70,22 +85,22 @@
 
 /// What the owner of an attempt can see of its connection: none while it is being established.
 #[derive(Default)]
-pub struct Slot(RefCell<Option<Rc<Link>>>);
+pub struct AttemptConnection(RefCell<Option<Rc<ServerConnection>>>);
 
-impl Slot {
+impl AttemptConnection {
     /// Whether no connection has been given to the attempt yet.
-    pub fn connecting(&self) -> bool {
+    pub fn is_connecting(&self) -> bool {
         self.0.borrow().is_none()
     }
 
     /// Gives the attempt its connection, or takes it away again.
-    pub fn set(&self, link: Option<Rc<Link>>) {
+    pub fn set(&self, link: Option<Rc<ServerConnection>>) {
         self.0.replace(link);
     }
 
     /// Whether the attempt's request has been written whole.
-    pub fn written(&self) -> bool {
-        self.0.borrow().as_ref().is_some_and(|link| link.whole())
+    pub fn request_written(&self) -> bool {
+        self.0.borrow().as_ref().is_some_and(|link| link.request_written())
     }
 
     /// Closes the attempt's connection, if it has one.
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/servers/connection.rs
@@ -1,8 +1,8 @@
 //! One TCP connection to a server, closable at once by whoever gives up on it, that knows whether a request
 //! has been written whole.
 
-use crate::body_size::HELD_MOST;
-use crate::socket::Socket;
+use crate::bodies::size::MAX_BUFFERED_BODY_BYTES;
+use crate::network::socket::Socket;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::pin::Pin;
@@ -88,43 +88,43 @@
     /// has gone.
     fn due(&self) -> bool {
         match self.body {
-            BodyLeft::Known(left) if left <= HELD_MOST as u64 => self.whole(),
+            BodyLeft::Known(left) if left <= MAX_BUFFERED_BODY_BYTES as u64 => self.whole(),
             _ => self.head_done,
         }
     }
 }
 
-/// Counts open connections to servers.
-pub struct Counter(Rc<Cell<usize>>);
+/// RequestCounters open connections to servers.
+pub struct OpenConnectionGuard(Rc<Cell<usize>>);
 
-impl Counter {
+impl OpenConnectionGuard {
     /// One more connection.
-    pub fn new(open: &Rc<Cell<usize>>) -> Counter {
+    pub fn new(open: &Rc<Cell<usize>>) -> OpenConnectionGuard {
         open.set(open.get() + 1);
-        Counter(open.clone())
+        OpenConnectionGuard(open.clone())
     }
 }
 
-impl Drop for Counter {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
 /// A connection; all its holders share the one socket, and any may close it.
-pub struct Link {
-    socket: RefCell<Option<(Socket<TcpStream>, Counter)>>,
+pub struct ServerConnection {
+    socket: RefCell<Option<(Socket<TcpStream>, OpenConnectionGuard)>>,
     progress: Cell<Progress>,
-    /// Counts what is written whole on it, where that is wanted.
+    /// RequestCounters what is written whole on it, where that is wanted.
     written: RefCell<Option<Rc<Cell<u64>>>>,
     /// Requests begun on it. What comes before the second has been written whole is not its answer.
     requests: Cell<u32>,
 }
 
-impl Link {
+impl ServerConnection {
     /// A link over an established connection.
-    pub fn new(stream: TcpStream, counter: Counter) -> Rc<Link> {
-        Rc::new(Link {
+    pub fn new(stream: TcpStream, counter: OpenConnectionGuard) -> Rc<ServerConnection> {
+        Rc::new(ServerConnection {
             socket: RefCell::new(Some((Socket::new(stream), counter))),
             progress: Cell::default(),
             written: RefCell::default(),
@@ -133,7 +133,7 @@
     }
 
     /// A request with a body of so many bytes, if that is known, is about to be written.
-    pub fn begin(&self, body: Option<u64>) {
+    pub fn begin_request(&self, body: Option<u64>) {
         self.requests.set(self.requests.get() + 1);
         let body = body.map_or(BodyLeft::Chunks { ended: false }, BodyLeft::Known);
         self.progress.set(Progress { body, ..Progress::default() });
@@ -149,7 +149,7 @@
     }
 
     /// The head of the answer was read; its body may be as long as it likes.
-    pub fn heard(&self) {
+    pub fn response_received(&self) {
         self.change(|progress| progress.heard = true);
     }
 
@@ -160,30 +160,30 @@
     }
 
     /// Where the request that begins is counted once its last byte is written, if it is.
-    pub fn count(&self, written: Option<&Rc<Cell<u64>>>) {
+    pub fn count_written(&self, written: Option<&Rc<Cell<u64>>>) {
         self.written.replace(written.cloned());
     }
 
     /// Whether any byte of the request has been written.
-    pub fn begun(&self) -> bool {
+    pub fn has_begun_writing(&self) -> bool {
         self.progress.get().begun
     }
 
     /// Whether the request's last byte has been written.
-    pub fn whole(&self) -> bool {
+    pub fn request_written(&self) -> bool {
         self.progress.get().whole()
     }
 
     /// Whether the connection is open and nothing waits on it to be read. This asks the system: what the
     /// runtime knows of a socket is as old as its last look at its events.
-    pub fn quiet(&self) -> bool {
+    pub fn has_no_unread_input(&self) -> bool {
         let socket = self.socket.borrow();
         let Some((stream, _)) = &*socket else { return false };
         let peeked = socket2::SockRef::from(stream.get_ref()).peek(&mut [std::mem::MaybeUninit::uninit()]);
         peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    fn spoilt<T>(&self) -> Poll<io::Result<T>> {
+    fn unexpected_input<T>(&self) -> Poll<io::Result<T>> {
         self.close();
         Poll::Ready(Err(io::ErrorKind::InvalidData.into()))
     }
@@ -194,7 +194,7 @@
         self.socket.borrow_mut().take();
     }
 
-    fn poll<T>(
+    fn poll_socket<T>(
         &self,
         act: impl FnOnce(Pin<&mut Socket<TcpStream>>) -> Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
@@ -206,37 +206,37 @@
 }
 
 /// A link as hyper reads and writes it; the connection closes with it.
-pub struct LinkIo(pub Rc<Link>);
+pub struct ServerConnectionIo(pub Rc<ServerConnection>);
 
-impl Drop for LinkIo {
+impl Drop for ServerConnectionIo {
     fn drop(&mut self) {
         self.0.close();
     }
 }
 
-impl AsyncRead for LinkIo {
+impl AsyncRead for ServerConnectionIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let read = self.0.poll(|stream| stream.poll_read(cx, buf));
+        let read = self.0.poll_socket(|stream| stream.poll_read(cx, buf));
         self.0.change(|progress| progress.read += buf.filled().len() - before);
         let progress = self.0.progress.get();
         let early = progress.read > 0 && !progress.due() && self.0.requests.get() > 1;
         if early || progress.read > HEAD_MOST && !progress.heard {
-            return self.0.spoilt();
+            return self.0.unexpected_input();
         }
         read
     }
 }
 
-impl AsyncWrite for LinkIo {
+impl AsyncWrite for ServerConnectionIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         let mut progress = self.0.progress.get();
         let again = self.0.requests.get() > 1;
         // The last moment to see that the connection carries something that belongs to no request.
-        if again && !progress.begun && !self.0.quiet() {
-            return self.0.spoilt();
+        if again && !progress.begun && !self.0.has_no_unread_input() {
+            return self.0.unexpected_input();
         }
-        let wrote = self.0.poll(|stream| stream.poll_write(cx, data));
+        let wrote = self.0.poll_socket(|stream| stream.poll_write(cx, data));
         if let Poll::Ready(Ok(n)) = &wrote {
             progress.wrote(&data[..*n]);
             self.0.progress.set(progress);
@@ -248,11 +248,11 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.0.poll(|stream| stream.poll_flush(cx))
+        self.0.poll_socket(|stream| stream.poll_flush(cx))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.0.poll(|stream| stream.poll_shutdown(cx))
+        self.0.poll_socket(|stream| stream.poll_shutdown(cx))
     }
 }
 
--- a/crates/gateway/src/link/tests.rs
+++ b/crates/gateway/src/servers/connection/tests.rs
@@ -1,4 +1,4 @@
-use super::{BodyLeft, Counter, Link, LinkIo, Progress};
+use super::{BodyLeft, OpenConnectionGuard, Progress, ServerConnection, ServerConnectionIo};
 use std::io::Write;
 use std::rc::Rc;
 use tokio::io::AsyncWriteExt;
@@ -37,8 +37,8 @@
     (near, listener.accept().await.unwrap().0)
 }
 
-async fn ask(io: &mut LinkIo) -> std::io::Result<usize> {
-    io.0.begin(Some(0));
+async fn ask(io: &mut ServerConnectionIo) -> std::io::Result<usize> {
+    io.0.begin_request(Some(0));
     io.write(b"GET / HTTP/1.1\r\n\r\n").await
 }
 
@@ -48,12 +48,13 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().unwrap();
     runtime.block_on(async {
         let (near, far) = pair().await;
-        let mut io = LinkIo(Link::new(near, Counter::new(&Rc::default())));
+        let mut io =
+            ServerConnectionIo(ServerConnection::new(near, OpenConnectionGuard::new(&Rc::default())));
         assert!(ask(&mut io).await.is_ok());
         assert!(ask(&mut io).await.is_ok());
         // Written and looked for with no turn of the runtime between.
         far.into_std().unwrap().write_all(b"noise").unwrap();
         assert!(ask(&mut io).await.is_err());
-        assert!(!io.0.begun(), "something was written");
+        assert!(!io.0.has_begun_writing(), "something was written");
     });
 }
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/servers/exchange/tests.rs
@@ -1,5 +1,5 @@
-use super::{AttemptTimes, Outgoing, Pool, Slot, Upload, Upstream};
-use crate::members::Member;
+use super::{AttemptConnection, AttemptTimes, OutgoingRequest, Pool, Upload, Upstream};
+use crate::control::endpoint_list::ListedEndpoint;
 use grebehook_core::{AttemptStatus, Endpoint, EndpointState, ServerId};
 use std::time::{Duration, Instant};
 
@@ -11,15 +11,15 @@
     let pool = Pool::new(0, second, second);
     let upstream = std::rc::Rc::new(Upstream::new(pool, 0, 1.0));
     let entry = Endpoint { server: ServerId(1), state: EndpointState::Ready, ..Endpoint::default() };
-    upstream.pool.update(true, &[Member { address: ([127, 0, 0, 1], 1).into(), entry }]);
-    let out = Outgoing {
+    upstream.pool.update(true, &[ListedEndpoint { address: ([127, 0, 0, 1], 1).into(), endpoint: entry }]);
+    let out = OutgoingRequest {
         method: hyper::Method::GET,
         uri: hyper::Uri::from_static("/"),
         headers: hyper::HeaderMap::new(),
         body: std::rc::Rc::new(Upload::none()),
         client_has_left: Box::new(|| false),
     };
-    let slot = Slot::default();
+    let slot = AttemptConnection::default();
     let end = Instant::now() + second;
     let times = AttemptTimes { send_by: end, answer_by: end };
     let sent = upstream.exchange(ServerId(1), &slot, &out, times, None);
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/servers/pool.rs
@@ -1,9 +1,9 @@
 //! The servers of the list and the idle connections to them.
 
-use crate::link::{Counter, Link, LinkIo};
-use crate::members::Member;
-use crate::stream::Sending;
-use crate::system_error::is_local;
+use crate::bodies::forwarding::RequestBody;
+use crate::control::endpoint_list::ListedEndpoint;
+use crate::network::system_error::is_local;
+use crate::servers::connection::{OpenConnectionGuard, ServerConnection, ServerConnectionIo};
 use grebehook_core::{AttemptStatus, EndpointState, Micros, ServerId};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
@@ -33,9 +33,9 @@
 /// A connection to a server. No other request uses it meanwhile.
 pub struct Connection {
     /// Sends requests over it.
-    pub sender: SendRequest<Sending>,
+    pub sender: SendRequest<RequestBody>,
     /// Its socket.
-    pub link: Rc<Link>,
+    pub link: Rc<ServerConnection>,
     address: SocketAddr,
     /// The start, as it was told, of the process that it was opened to.
     server_start: Option<Micros>,
@@ -64,7 +64,7 @@
     open: Rc<Cell<usize>>,
     max_open: usize,
     connect_timeout: Duration,
-    idle_most: Duration,
+    max_idle: Duration,
 }
 
 impl Pool {
@@ -75,17 +75,17 @@
             open: Rc::default(),
             max_open,
             connect_timeout,
-            idle_most: server_idle.mul_f64(IDLE_PART),
+            max_idle: server_idle.mul_f64(IDLE_PART),
         }
     }
 
     /// Takes news of the list. Idle connections that no longer lead to the listed process are closed.
-    pub fn update(&self, whole: bool, members: &[Member]) {
+    pub fn update(&self, whole: bool, members: &[ListedEndpoint]) {
         let mut servers = self.servers.borrow_mut();
         if whole {
-            servers.retain(|id, _| members.iter().any(|m| m.entry.server == *id));
+            servers.retain(|id, _| members.iter().any(|m| m.endpoint.server == *id));
         }
-        for Member { address, entry } in members {
+        for ListedEndpoint { address, endpoint: entry } in members {
             if entry.state == EndpointState::Gone {
                 servers.remove(&entry.server);
                 continue;
@@ -108,7 +108,7 @@
     }
 
     /// Whether something new may be sent to a server.
-    pub fn ready(&self, server: ServerId) -> bool {
+    pub fn is_ready(&self, server: ServerId) -> bool {
         self.servers.borrow().get(&server).is_some_and(|s| s.state == EndpointState::Ready)
     }
 
@@ -118,20 +118,20 @@
     }
 
     /// Closes connections that have been idle too long.
-    pub fn retire(&self) {
+    pub fn close_expired(&self) {
         for server in self.servers.borrow_mut().values_mut() {
-            server.idle.retain(|c| !c.sender.is_closed() && c.idle_since.elapsed() < self.idle_most);
+            server.idle.retain(|c| !c.sender.is_closed() && c.idle_since.elapsed() < self.max_idle);
         }
     }
 
     /// The connection used last of those that have rested, or else of all, as long as it is known to be open.
-    pub fn idle(&self, server: ServerId) -> Option<Connection> {
+    pub fn take_idle(&self, server: ServerId) -> Option<Connection> {
         let mut servers = self.servers.borrow_mut();
         let idle = &mut servers.get_mut(&server)?.idle;
         while let Some(last) = idle.len().checked_sub(1) {
             let rested = idle.iter().rposition(|c| c.idle_since.elapsed() >= REST);
             let connection = idle.remove(rested.unwrap_or(last));
-            if connection.sender.is_ready() && connection.idle_since.elapsed() < self.idle_most {
+            if connection.sender.is_ready() && connection.idle_since.elapsed() < self.max_idle {
                 return Some(connection);
             }
         }
@@ -139,7 +139,7 @@
     }
 
     /// Takes a connection back whose answer was read whole, unless it leads to a process no longer listed.
-    pub fn park(&self, server: ServerId, mut connection: Connection) {
+    pub fn keep_idle(&self, server: ServerId, mut connection: Connection) {
         connection.idle_since = Instant::now();
         self.restore(server, connection);
     }
@@ -155,7 +155,7 @@
     }
 
     /// Makes room for one more connection by closing the one that has been idle longest.
-    fn shed(&self) -> bool {
+    fn close_oldest_idle(&self) -> bool {
         let mut servers = self.servers.borrow_mut();
         let oldest = servers.values_mut().filter(|s| !s.idle.is_empty()).min_by_key(|s| s.idle[0].idle_since);
         oldest.map(|s| s.idle.remove(0).link.close()).is_some()
@@ -166,10 +166,10 @@
         let ready = |s: &&Server| s.state == EndpointState::Ready;
         let listed = self.servers.borrow().get(&server).filter(ready).map(|s| (s.address, s.start));
         let (address, server_start) = listed.ok_or(AttemptStatus::ConnectFailed)?;
-        if self.open.get() >= self.max_open && !self.shed() {
+        if self.open.get() >= self.max_open && !self.close_oldest_idle() {
             return Err(AttemptStatus::NotSent);
         }
-        let counter = Counter::new(&self.open);
+        let counter = OpenConnectionGuard::new(&self.open);
         let connected = timeout(self.connect_timeout, dial(address)).await;
         let stream = connected.map_err(|_| AttemptStatus::ConnectFailed)?.map_err(|e| match e.kind() {
             io::ErrorKind::ConnectionRefused
@@ -181,11 +181,11 @@
             _ => AttemptStatus::NotSent,
         })?;
         stream.set_nodelay(true).map_err(|_| AttemptStatus::ConnectFailed)?;
-        let link = Link::new(stream, counter);
+        let link = ServerConnection::new(stream, counter);
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(BUFFER_MOST)
             .writev(false)
-            .handshake(TokioIo::new(LinkIo(link.clone())))
+            .handshake(TokioIo::new(ServerConnectionIo(link.clone())))
             .await
             .map_err(|_| AttemptStatus::ConnectFailed)?;
         tokio::task::spawn_local(connection);
--- a/crates/gateway/tests/command_line.rs
+++ b/crates/gateway/tests/command_line.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-const EXAMPLE: &str = include_str!("../src/config_example.json");
+const EXAMPLE: &str = include_str!("../src/config/example.json");
 
 static FILES: AtomicUsize = AtomicUsize::new(0);
 
--- a/crates/gateway/tests/logging.rs
+++ b/crates/gateway/tests/logging.rs
@@ -1,6 +1,6 @@
 //! The log: its two forms, and how often a fault that repeats is written.
 
-#[path = "../src/repeat_limiter.rs"]
+#[path = "../src/network/repeat_limiter.rs"]
 mod repeat_limiter;
 
 use repeat_limiter::{RepeatLimiter, REPEAT_INTERVAL};
