--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -330,10 +330,14 @@
             }
             Event::BodyComplete { id } => self.body_completed(now, id, out),
             Event::BodyConsumed { id } => {
-                drop(self.requests.entry(id).and_modify(|r| r.body_consumed = true))
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.body_consumed = true;
+                }
             }
             Event::ResponseStarted { id } => {
-                drop(self.requests.entry(id).and_modify(|r| r.response_started = true))
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.response_started = true;
+                }
             }
             Event::AttemptCompleted(AttemptReport {
                 id,
--- a/crates/gateway/src/control/endpoint_list.rs
+++ b/crates/gateway/src/control/endpoint_list.rs
@@ -64,13 +64,13 @@
         EndpointList {
             index: self.index,
             is_snapshot: self.snapshot,
-            endpoints: self.endpoints.iter().map(|member| member.into_endpoint(names)).collect(),
+            endpoints: self.endpoints.iter().map(|member| member.to_endpoint(names)).collect(),
         }
     }
 }
 
 impl EndpointMessage {
-    fn into_endpoint(&self, names: &WireNames) -> ListedEndpoint {
+    fn to_endpoint(&self, names: &WireNames) -> ListedEndpoint {
         let zone = names.zones.iter().position(|zone| *zone == self.zone).unwrap_or(names.zones.len());
         ListedEndpoint {
             address: self.address,
