--- a/crates/core/tests/handover.rs
+++ b/crates/core/tests/handover.rs
@@ -53,3 +53,32 @@
         assert!(sent(&new.request(0, 5, 2 * S).1).is_some());
     }
 }
+
+/// The settings and servers of the gateway of commit 222f98f that wrote `data/handover_222f98f.txt` at 8 s.
+fn gateway_of_222f98f() -> Rig {
+    let mut settings = settings();
+    settings.gateway_count = 20;
+    settings.capabilities.shared_counter = true;
+    settings.capabilities.counter_timeout = Some(80 * MS);
+    settings.capabilities.usage_report_period = Some(500 * MS);
+    settings.plans.push(Plan {
+        rate: 5.0,
+        burst: 12.5,
+        hard_limit_rate: 30.0,
+        hard_limit_burst: 60.0,
+        hard_limit_overdraft: 5.0,
+        ..plan()
+    });
+    let started_at = |server| (server == 6).then_some(S / 2);
+    let server = |number| Endpoint { started_at: started_at(number), ..entry(number, number as u32 % 2) };
+    Rig::new(settings, &(1..=6).map(server).collect::<Vec<_>>())
+}
+
+/// Customers of few and of many gateways, with and without a total of the shared counter, servers that fail,
+/// reject and warm up: read, and written again, byte for byte as the version that wrote it does.
+#[test]
+fn a_text_of_the_version_before_is_read_in_full() {
+    let mut gateway = gateway_of_222f98f().gateway;
+    gateway.take_over(9 * S, include_str!("data/handover_222f98f.txt")).expect("its own format");
+    assert_eq!(gateway.hand_over(9 * S), include_str!("data/handover_222f98f_read_again.txt"));
+}
