--- /dev/null
+++ b/crates/core/src/admission/mod.rs
@@ -0,0 +1,194 @@
+//! Admission of requests: a request arrives, may be queued for its pacing delay or for the shared counter,
+//! and is then forwarded or rejected by the customer's quota.
+
+pub(crate) mod client_timeouts;
+mod final_answer;
+
+use crate::api::{Action, CustomerId, Micros, RequestArrival, RequestId};
+use crate::customer::{Customer, UsageSource};
+use crate::gateway::Gateway;
+use crate::requests::Request;
+use crate::timer::Timer;
+
+/// Most of the latency objective that queueing may use: the response needs the rest.
+const MAX_QUEUEING_OF_OBJECTIVE: f64 = 0.15;
+/// Most of the client's remaining time that queueing may use; it may be far shorter than the objective.
+const MAX_QUEUEING_OF_CLIENT_TIME: f64 = 0.25;
+/// Batches of events between an answer and its delivery, which a request's deadline leaves room for.
+const MARGIN_BATCHES: Micros = 2;
+/// Units of a request above this make no sense.
+const MAX_UNITS: f64 = 1e9;
+
+impl Gateway {
+    /// Takes a client's request.
+    pub(crate) fn receive_request(
+        &mut self,
+        now: Micros,
+        arrival: &RequestArrival,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.requests.contains_key(&arrival.id) {
+            return;
+        }
+        let margin = MARGIN_BATCHES * self.settings.batch_interval;
+        if !self.is_valid(arrival) || arrival.client_timeout <= margin {
+            return actions.push(Action::Reject { id: arrival.id, retry_after: None });
+        }
+        let gateway_count = arrival.customer_gateway_count;
+        self.ensure_customer(now, arrival.customer, arrival.plan, gateway_count, arrival.first_gateway);
+        let latest = now.saturating_add(arrival.client_timeout - margin);
+        let request = Request {
+            class: arrival.class,
+            plan: arrival.plan,
+            customer: arrival.customer,
+            units: arrival.units,
+            arrived_at: now,
+            elapsed_before_arrival: self.elapsed_before_arrival(arrival),
+            deadline: latest.min(self.shutdown_deadline),
+            body_incomplete: arrival.body_incomplete,
+            ..Request::default()
+        };
+        self.admit(now, arrival.id, request, actions);
+    }
+
+    /// Whether a request names a class, a plan and a sensible number of units.
+    fn is_valid(&self, arrival: &RequestArrival) -> bool {
+        let settings = &self.settings;
+        arrival.class < settings.classes.len()
+            && arrival.plan < settings.plans.len()
+            && (0.0..MAX_UNITS).contains(&arrival.units)
+    }
+
+    /// How much of the client's time earlier tries of the same request have used.
+    fn elapsed_before_arrival(&mut self, arrival: &RequestArrival) -> Micros {
+        let class_deadline = self.settings.classes[arrival.class].deadline;
+        self.client_timeouts.record(arrival.class, arrival.client_timeout, class_deadline);
+        let is_retry = if self.settings.capabilities.marks_retries {
+            arrival.is_retry
+        } else {
+            self.client_timeouts.is_short(arrival.class, arrival.client_timeout)
+        };
+        if is_retry {
+            class_deadline.saturating_sub(arrival.client_timeout)
+        } else {
+            0
+        }
+    }
+
+    /// Makes sure that a customer has a record.
+    pub(crate) fn ensure_customer(
+        &mut self,
+        now: Micros,
+        id: CustomerId,
+        plan_index: usize,
+        gateway_count: usize,
+        first_gateway: usize,
+    ) {
+        let Some(plan) = self.settings.plans.get(plan_index) else { return };
+        let gateway_count = gateway_count.clamp(1, self.settings.gateway_count);
+        if let Some(customer) = self.customers.get_mut(id) {
+            customer.gateway_count = customer.gateway_count.max(gateway_count);
+            customer.first_gateway = first_gateway;
+            return;
+        }
+        let process_age = now - self.started_at;
+        let customer = Customer::new(now, plan_index, plan, gateway_count, process_age);
+        self.customers.insert(id, Customer { first_gateway, ..customer });
+    }
+
+    /// Forwards a request within the quota at once, and queues others for their pacing delay. Where the
+    /// counter is called first, the request waits for its reply, no longer than for any other queueing.
+    fn admit(&mut self, now: Micros, id: RequestId, request: Request, actions: &mut Vec<Action>) {
+        let customer_id = request.customer;
+        let max_queueing_us = self.max_queueing_us(now, &request);
+        let Some(customer) = self.customers.get(customer_id) else { return };
+        let source = self.usage_source(now, customer);
+        self.gossip.earn();
+        self.counter_calls.earn();
+        let weight = self.settings.classes[request.class].priority_weight
+            * self.settings.plans[request.plan].weight_multiplier;
+        let quota_is_irrelevant = self.overage_is_acceptable(request.plan) || self.is_overloaded(now, weight);
+        let Some(customer) = self.customers.get_mut(customer_id) else { return };
+        customer.record_arrival(now, request.units, source, max_queueing_us / 1e3);
+        let is_covered = customer.covers(now, request.units, source);
+        let dequeue_at = customer.pacer.dequeue_at(now, max_queueing_us as Micros);
+        actions.push(Action::Timer { at: request.deadline, timer: Timer::RequestDeadline(id).into() });
+        let waits_for_counter = !quota_is_irrelevant
+            && self.call_counter_for_request(now, customer_id, request.units, source, actions);
+        let queued = waits_for_counter || !is_covered && dequeue_at > now;
+        let deadline = request.deadline;
+        self.requests.insert(id, Request { queued, ..request });
+        if !queued {
+            return self.dequeue(now, id, actions);
+        }
+        let Some(customer) = self.customers.get_mut(customer_id) else { return };
+        let dequeue_at = if waits_for_counter {
+            customer.counter.queue(id);
+            now + max_queueing_us as Micros
+        } else {
+            customer.pacer.set_last_dequeue_at(dequeue_at);
+            dequeue_at
+        };
+        actions.push(Action::Timer { at: dequeue_at.min(deadline), timer: Timer::QueueTimeout(id).into() });
+    }
+
+    /// The longest time that a request may be queued, in microseconds.
+    fn max_queueing_us(&self, now: Micros, request: &Request) -> f64 {
+        let objective = self.settings.classes[request.class].latency_objective as f64;
+        let client_time = request.deadline.saturating_sub(now) as f64;
+        (objective * MAX_QUEUEING_OF_OBJECTIVE).min(client_time * MAX_QUEUEING_OF_CLIENT_TIME)
+    }
+
+    /// Calls the counter for a request that should wait for it; whether a call is in flight then.
+    fn call_counter_for_request(
+        &mut self,
+        now: Micros,
+        id: CustomerId,
+        units: f64,
+        source: UsageSource,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let Some(customer) = self.customers.get(id) else { return false };
+        if !self.needs_counter(now, customer, units, source) {
+            return false;
+        }
+        // A request over the quota may not be forwarded at all.
+        let reserve = if customer.demand.at(now) > 1.0 { 0.0 } else { units };
+        self.call_counter(now, id, reserve, actions)
+    }
+
+    /// Ends a request's queueing: it is forwarded if its units are within the quota, else rejected.
+    pub(crate) fn dequeue(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id).filter(|request| !request.finished) else { return };
+        request.queued = false;
+        let (units, customer_id, class, plan_index) =
+            (request.units, request.customer, request.class, request.plan);
+        let overage_is_acceptable = self.overage_is_acceptable(plan_index);
+        let Some(customer) = self.customers.get(customer_id) else { return };
+        let source = self.usage_source(now, customer);
+        let Some(customer) = self.customers.get_mut(customer_id) else { return };
+        customer.refill(now, units, source);
+        grant_share_of_demand(customer, now, units, source);
+        let within_quota = customer.covers(now, units, source);
+        if !within_quota && !overage_is_acceptable {
+            let retry_after = (customer.seconds_until_covered(now, units, source) * 1e6) as Micros;
+            return self.reject_or_fail(id, retry_after, actions);
+        }
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.within_quota = within_quota;
+        }
+        if !self.try_attempt(now, id, actions) {
+            let retry_after = self.settings.classes[class].latency_objective / 2;
+            self.reject_or_fail(id, retry_after, actions);
+        }
+    }
+}
+
+/// Grants a request over the quota this gateway's part of it: of a demand of three quotas, a third of each
+/// request.
+fn grant_share_of_demand(customer: &mut Customer, now: Micros, units: f64, source: UsageSource) {
+    let demand = customer.demand.at(now);
+    if source == UsageSource::Metered && demand > 1.0 {
+        customer.bucket.grant_allowance(units / demand, units);
+    }
+}
--- a/crates/core/src/api/events.rs
+++ b/crates/core/src/api/events.rs
@@ -112,7 +112,8 @@
         /// The request.
         id: RequestId,
     },
-    /// The rest of the request's body came and was forwarded to the attempt in flight; its time counts from now.
+    /// The rest of the request's body came and was forwarded to the attempt in flight; its time counts from
+    /// now.
     BodyComplete {
         /// The request.
         id: RequestId,
--- a/crates/core/src/api/ids.rs
+++ b/crates/core/src/api/ids.rs
@@ -3,6 +3,7 @@
 /// A time or a span, in microseconds on the clock of whoever drives the gateway.
 pub type Micros = u64;
 
+/// Defines a number that names something.
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
         $(#[$doc])*
@@ -11,8 +12,13 @@
     };
 }
 
-id!(/** A client's request, as this gateway's host numbers them, below 2^63. Never used twice. */ RequestId(u64));
-id!(/** A server; every gateway must use the same number for the same server. */ ServerId(u64));
-id!(/** A customer; every gateway must use the same number for the same customer. */ CustomerId(u64));
-id!(/** A timer, opaque to the host, which hands it back as it was set. */ TimerId(u64));
-id!(/** A key of the shared counter; the same number means the same key at every gateway. */ CounterId(u64));
+id!(/** A client's request, as this gateway's host numbers them, below 2^63. Never used twice. */
+RequestId(u64));
+id!(/** A server; every gateway must use the same number for the same server. */
+ServerId(u64));
+id!(/** A customer; every gateway must use the same number for the same customer. */
+CustomerId(u64));
+id!(/** A timer, opaque to the host, which hands it back as it was set. */
+TimerId(u64));
+id!(/** A key of the shared counter; the same number means the same key at every gateway. */
+CounterId(u64));
--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -1,4 +1,5 @@
-//! The interface of the decision core: settings in, events in, actions out. Types only; nothing is decided here.
+//! The interface of the decision core: settings in, events in, actions out. Types only; nothing is decided
+//! here.
 
 mod actions;
 mod endpoints;
--- /dev/null
+++ b/crates/core/src/attempts/dispatch.rs
@@ -0,0 +1,198 @@
+//! Whether an attempt of a request may be sent now, and its dispatch. Calls follow when a request leaves the
+//! queue and when an attempt of it has ended.
+
+use super::retry_budget::retry_cost;
+use crate::api::{Action, Idempotency, Micros, RequestId, ServerId};
+use crate::gateway::Gateway;
+use crate::requests::{Attempt, Request};
+use crate::timer::Timer;
+
+/// An attempt that may be sent.
+struct PlannedAttempt {
+    /// Where to.
+    server: ServerId,
+    /// How long an answer should take, microseconds.
+    expected_latency_us: f64,
+    /// What it takes from the retry budget; `None` for the first attempt.
+    retry_cost: Option<f64>,
+}
+
+impl Gateway {
+    /// The only place that sends. False if no attempt may be sent now.
+    pub(crate) fn try_attempt(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let Some(planned) = self.plan_attempt(now, id) else { return false };
+        let is_paid = match planned.retry_cost {
+            None => self.charge_customer(id),
+            Some(cost) => {
+                self.retry_budget.pay(cost);
+                true
+            }
+        };
+        if is_paid {
+            self.send_attempt(now, id, &planned, actions);
+        }
+        is_paid
+    }
+
+    /// The next attempt of a request, unless the rules, the budgets or the load of the back end forbid it.
+    fn plan_attempt(&mut self, now: Micros, id: RequestId) -> Option<PlannedAttempt> {
+        let request = self.requests.get(&id)?;
+        if !self.is_attempt_allowed(now, request) {
+            return None;
+        }
+        let is_first = request.attempts.is_empty();
+        let cost = retry_cost(request.first_that_may_have_run().is_some());
+        if !is_first && !self.retry_budget.allows(cost) {
+            return None;
+        }
+        let class = &self.settings.classes[request.class];
+        let objective_us = class.latency_objective as f64;
+        let objective_left_us = request.objective_left(now, class.latency_objective) as f64;
+        let max_latency_us = if is_first { objective_us } else { objective_left_us };
+        let weight = self.weight(request);
+        let late_weight = weight * class.late_priority_weight;
+        let choice = self.select_server(now, id, !is_first)?;
+        if choice.expected_latency_us > max_latency_us {
+            return None;
+        }
+        let is_expected_late = objective_left_us < choice.expected_latency_us;
+        if self.is_overloaded(now, if is_expected_late { late_weight } else { weight }) {
+            return None;
+        }
+        Some(PlannedAttempt {
+            server: choice.server,
+            expected_latency_us: choice.expected_latency_us,
+            retry_cost: (!is_first).then_some(cost),
+        })
+    }
+
+    /// Whether the rules allow another attempt of a request.
+    fn is_attempt_allowed(&self, now: Micros, request: &Request) -> bool {
+        let first = request.first_that_may_have_run();
+        let may_repeat = match self.settings.classes[request.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotencyKey { window, .. } => {
+                first.is_none_or(|attempt| now < attempt.sent_at + window)
+            }
+            Idempotency::NonIdempotent => first.is_none(),
+        };
+        let is_open = !request.finished && !request.response_started && now < request.deadline;
+        may_repeat
+            && is_open
+            && !request.body_consumed
+            && !request.has_attempt_in_flight()
+            && request.attempts.len() < self.max_attempts()
+    }
+
+    /// Most attempts of one request.
+    fn max_attempts(&self) -> usize {
+        self.settings.capabilities.max_attempts as usize
+    }
+
+    /// The priority weight of a request, less beyond its customer's quota.
+    fn weight(&self, request: &Request) -> f64 {
+        let class = &self.settings.classes[request.class];
+        let plan = &self.settings.plans[request.plan];
+        let quota_factor = if request.within_quota { 1.0 } else { plan.overage_weight };
+        class.priority_weight * plan.weight_multiplier * quota_factor
+    }
+
+    /// Takes the units of a request that is forwarded for the first time; false if the hard limit forbids it.
+    fn charge_customer(&mut self, id: RequestId) -> bool {
+        let Some(request) = self.requests.get(&id) else { return false };
+        let Some(customer) = self.customers.get_mut(request.customer) else { return false };
+        if customer.hard_limit.is_exceeded_by(request.units, &customer.plan) {
+            return false;
+        }
+        customer.hard_limit.take(request.units);
+        if request.within_quota {
+            customer.use_units(request.units);
+            self.changed_customers.insert(request.customer);
+        }
+        self.retry_budget.earn();
+        true
+    }
+
+    /// Sends an attempt and books it.
+    fn send_attempt(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        planned: &PlannedAttempt,
+        actions: &mut Vec<Action>,
+    ) {
+        let early_timeout = self.early_timeout(now, id, planned);
+        self.load.record_send(now);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let server = planned.server;
+        let fully_sent = !request.body_incomplete;
+        let (rules, virtual_time) = (&self.settings.rules, &mut self.virtual_time);
+        let expected_in_flight = self.servers.update(now, server, |server| {
+            let expected_in_flight = server.expected_in_flight(now);
+            server.slow_start_budget -= 1.0;
+            *virtual_time = virtual_time.max(server.virtual_time);
+            server.virtual_time = *virtual_time + server.busy_time_us(now, rules);
+            server.attempts_in_flight += u32::from(fully_sent);
+            expected_in_flight
+        });
+        let Some(expected_in_flight) = expected_in_flight else { return };
+        request.attempts.push(Attempt {
+            server,
+            sent_at: now,
+            in_flight: true,
+            may_have_run: false,
+            expected_in_flight,
+            uses_attempt_timeout: early_timeout.is_some(),
+            fully_sent,
+        });
+        if fully_sent {
+            self.load.record_fully_sent();
+        }
+        let timeout = early_timeout.unwrap_or(request.deadline - now);
+        actions.push(Action::Send { id, server, timeout });
+    }
+
+    /// How long to wait for an attempt if a retry can follow: the objective, the budget, the rules and the
+    /// servers allow it.
+    fn early_timeout(&self, now: Micros, id: RequestId, planned: &PlannedAttempt) -> Option<Micros> {
+        let request = self.requests.get(&id)?;
+        let class = &self.settings.classes[request.class];
+        let timeout = self.attempt_timeouts.timeout(request.class, class.latency_objective);
+        let first_sent_at = request.first_that_may_have_run().map_or(now, |attempt| attempt.sent_at);
+        let key_is_remembered = match class.idempotency {
+            Idempotency::IdempotencyKey { window, .. } => now + timeout < first_sent_at + window,
+            Idempotency::Idempotent | Idempotency::NonIdempotent => true,
+        };
+        let has_alternative =
+            key_is_remembered && self.has_alternative(now, planned.server, class.idempotency);
+        let may_retry =
+            request.attempts.len() + 1 < self.max_attempts() && self.retry_budget.allows_early_retry();
+        let objective_at =
+            (request.arrived_at + class.latency_objective).saturating_sub(request.elapsed_before_arrival);
+        let answered_at = now + timeout + planned.expected_latency_us as Micros;
+        let is_in_time = answered_at < objective_at.min(request.deadline);
+        (has_alternative && may_retry && is_in_time).then_some(timeout)
+    }
+
+    /// Takes that the last of a long body was forwarded: only now does its server begin work, and its time
+    /// begin.
+    pub(crate) fn body_completed(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id).filter(|request| request.body_incomplete) else {
+            return;
+        };
+        request.body_incomplete = false;
+        let client_timeout = request.deadline - request.arrived_at;
+        request.arrived_at = now;
+        request.deadline = (now + client_timeout).min(self.shutdown_deadline);
+        actions.push(Action::Timer { at: request.deadline, timer: Timer::RequestDeadline(id).into() });
+        for attempt in request.attempts.iter_mut().filter(|attempt| attempt.in_flight) {
+            attempt.sent_at = now;
+            attempt.fully_sent = true;
+            self.load.record_fully_sent();
+            self.servers.update(now, attempt.server, |server| {
+                attempt.expected_in_flight = server.expected_in_flight(now);
+                server.attempts_in_flight += 1;
+            });
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/balancing/mod.rs
@@ -0,0 +1,4 @@
+//! Load balancing: which server an attempt goes to.
+
+pub(crate) mod selection;
+mod subset;
--- a/crates/core/src/decaying_rate.rs
+++ b/crates/core/src/decaying_rate.rs
@@ -1,32 +1,37 @@
-//! Spans in seconds, exponential decay, and a rate that decays; used by all that ages. Nothing is decided here.
+//! Spans in seconds, exponential decay, and a rate that decays; used by all state that ages.
 
 use crate::api::Micros;
+use crate::handover::text::handover_record;
 
 /// A span in seconds.
 pub(crate) fn seconds(span: Micros) -> f64 {
     span as f64 / 1e6
 }
 
-/// What is left of a value after a span, when it falls by e in each `horizon` seconds.
-pub(crate) fn fade(span: Micros, horizon: f64) -> f64 {
-    (-seconds(span) / horizon).exp()
+/// What is left of a value after a span, when it falls by a factor of e in each `horizon_s` seconds.
+pub(crate) fn decay(span: Micros, horizon_s: f64) -> f64 {
+    (-seconds(span) / horizon_s).exp()
 }
 
-/// A rate in units a second that fades over a horizon of some seconds.
+/// A rate in units a second, an exponentially weighted average over a horizon of some seconds.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Rate {
-    pub value: f64,
-    pub at: Micros,
+pub(crate) struct DecayingRate {
+    /// The rate at the last update, units a second.
+    value: f64,
+    /// When that was.
+    updated_at: Micros,
 }
 
-impl Rate {
-    /// The rate as it is now.
-    pub fn get(&self, now: Micros, horizon: f64) -> f64 {
-        self.value * fade(now.saturating_sub(self.at), horizon)
+handover_record!(DecayingRate { value, updated_at } times { updated_at });
+
+impl DecayingRate {
+    /// The rate as it is now, units a second.
+    pub fn get(&self, now: Micros, horizon_s: f64) -> f64 {
+        self.value * decay(now.saturating_sub(self.updated_at), horizon_s)
     }
 
     /// Counts units now.
-    pub fn add(&mut self, now: Micros, units: f64, horizon: f64) {
-        *self = Rate { value: self.get(now, horizon) + units / horizon, at: now };
+    pub fn add(&mut self, now: Micros, units: f64, horizon_s: f64) {
+        *self = DecayingRate { value: self.get(now, horizon_s) + units / horizon_s, updated_at: now };
     }
 }
--- /dev/null
+++ b/crates/core/src/endpoints/membership.rs
@@ -0,0 +1,88 @@
+//! Changes of the endpoint list, as the watch of service discovery tells them.
+
+use crate::api::{Action, Endpoint, EndpointState, Micros, WatchEvent};
+use crate::endpoints::server::Server;
+use crate::gateway::Gateway;
+use crate::health::outlier::OutlierState;
+
+/// Part of the shortest latency objective: service time assumed of a server before any answer.
+const INITIAL_SERVICE_TIME_OF_OBJECTIVE: f64 = 0.05;
+
+impl Gateway {
+    /// Takes a list of servers, or the changed entries of one.
+    pub(crate) fn update_endpoints(
+        &mut self,
+        now: Micros,
+        watch_event: WatchEvent,
+        endpoints: Vec<Endpoint>,
+        actions: &mut Vec<Action>,
+    ) {
+        if watch_event == WatchEvent::Failed {
+            return actions.push(Action::PollEndpoints);
+        }
+        if self.start_times.observe(now, watch_event, &endpoints) {
+            self.correct_start_times(now);
+        }
+        if watch_event != WatchEvent::Delta {
+            self.remove_unlisted(now, &endpoints);
+        }
+        let service_time_us = self.initial_service_time_us();
+        for endpoint in endpoints {
+            self.update_endpoint(now, endpoint, service_time_us);
+        }
+        self.servers.remove_vacated();
+    }
+
+    /// Removes the servers that a complete list does not name.
+    fn remove_unlisted(&mut self, now: Micros, endpoints: &[Endpoint]) {
+        for id in self.servers.unlisted(endpoints) {
+            self.servers.update(now, id, |server| server.endpoint.state = EndpointState::Gone);
+        }
+    }
+
+    /// The service time assumed of a new server: the mean of all, or else by the latency objectives.
+    fn initial_service_time_us(&self) -> f64 {
+        let mean = self.servers.mean_service_time_us().filter(|mean| mean.is_finite());
+        let objectives = self.settings.classes.iter().map(|class| class.latency_objective);
+        let shortest_objective = objectives.min().unwrap_or(0) as f64;
+        mean.unwrap_or(INITIAL_SERVICE_TIME_OF_OBJECTIVE * shortest_objective)
+    }
+
+    /// Takes one entry; a server that has started since it was last listed begins anew.
+    fn update_endpoint(&mut self, now: Micros, endpoint: Endpoint, service_time_us: f64) {
+        let id = endpoint.server;
+        let known = self.servers.get(id);
+        let attempts_in_flight = known.map_or(0, |server| server.attempts_in_flight);
+        let reported_start = endpoint.started_at;
+        let is_same_process = known.is_some_and(|server| server.reported_start == reported_start);
+        let endpoint =
+            Endpoint { started_at: reported_start.map(|at| self.start_times.local(at)), ..endpoint };
+        if is_same_process {
+            self.servers.update(now, id, |server| server.endpoint = endpoint);
+            return;
+        }
+        let server = Server {
+            endpoint,
+            reported_start,
+            attempts_in_flight,
+            service_time_us,
+            health: OutlierState::healthy(now),
+            // Gateways start with different budgets, since together they send a new server the sum of them.
+            slow_start_budget: self.random_source.next_fraction(),
+            virtual_time: self.virtual_time,
+            ..Server::default()
+        };
+        self.servers.insert(now, server);
+    }
+
+    /// Brings the starts of all servers in line with what is now known of this process's clock.
+    fn correct_start_times(&mut self, now: Micros) {
+        let ids: Vec<_> = self.servers.iter().map(|server| server.endpoint.server).collect();
+        for id in ids {
+            let start_times = &self.start_times;
+            self.servers.update(now, id, |server| {
+                server.endpoint.started_at = server.reported_start.map(|at| start_times.local(at));
+            });
+        }
+    }
+}
--- a/crates/core/src/ranked_tree.rs
+++ b/crates/core/src/endpoints/ranked_tree.rs
@@ -1,14 +1,14 @@
 //! Slots in the order of their keys, with access by position within some subsets of them.
 //!
 //! A treap: a search tree by key that is a heap by a priority made from the key, so that its shape depends
-//! on the keys alone and its depth is logarithmic. Each node counts the members of each subset below it. Used
-//! by `server_index.rs`; nothing is decided here.
+//! on the keys alone and its depth is logarithmic. Each node counts the members of each subset below it.
 
 use crate::random_source::RandomSource;
 
 /// Where a record is kept.
 pub(crate) type Slot = u32;
 
+/// No slot.
 const NONE: Slot = Slot::MAX;
 
 /// How many subsets are counted.
@@ -17,7 +17,7 @@
 /// A subset whose members can be counted and found by position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Subset {
-    /// Servers that take work.
+    /// Servers that take new requests.
     Ready,
     /// Of these, the ones that are not ejected.
     Trusted,
@@ -28,26 +28,33 @@
 /// Which subsets a slot belongs to, by [`Subset`] as an index.
 pub(crate) type Membership = [bool; SUBSETS];
 
+/// A node of the tree, which is the slot of the same number.
 #[derive(Clone, Copy)]
 struct Node {
+    /// Its key.
     key: u64,
+    /// The root of the smaller keys below it.
     left: Slot,
+    /// The root of the larger keys below it.
     right: Slot,
     /// Members in this node and below.
     counts: [u32; SUBSETS],
+    /// The subsets it belongs to itself.
     member: Membership,
 }
 
 impl Node {
     /// Random, but always the same for a key.
     fn priority(&self) -> f64 {
-        RandomSource(self.key).next_fraction()
+        RandomSource::new(self.key).next_fraction()
     }
 }
 
 /// The tree; slots are chosen by the caller and should be dense.
 pub(crate) struct RankedTree {
+    /// The nodes, by slot.
     nodes: Vec<Node>,
+    /// The slot of the root.
     root: Slot,
 }
 
@@ -58,7 +65,7 @@
 }
 
 impl RankedTree {
-    /// Makes room for this many further slots.
+    /// Reserves memory for this many further slots.
     pub fn reserve(&mut self, further: usize) {
         self.nodes.reserve(further);
     }
@@ -83,7 +90,9 @@
             self.nodes.resize(slot as usize + 1, node);
         }
         let (mut parent, mut at) = (NONE, self.root);
-        while let Some(above) = self.nodes.get(at as usize).filter(|x| x.priority() >= node.priority()) {
+        while let Some(above) =
+            self.nodes.get(at as usize).filter(|above| above.priority() >= node.priority())
+        {
             (parent, at) = (at, if key < above.key { above.left } else { above.right });
         }
         let (left, right) = self.split(at, key);
@@ -193,6 +202,7 @@
         }
     }
 
+    /// Members of a subset in a node and below.
     fn count_below(&self, at: Slot, subset: Subset) -> usize {
         self.nodes.get(at as usize).map_or(0, |node| node.counts[subset as usize] as usize)
     }
@@ -209,7 +219,7 @@
         self.nodes[at as usize].counts = counts;
     }
 
-    /// Parts a tree into the keys below `key` and the others.
+    /// Splits a tree into the keys below `key` and the others.
     fn split(&mut self, at: Slot, key: u64) -> (Slot, Slot) {
         if at == NONE {
             return (NONE, NONE);
--- a/crates/core/src/server_index.rs
+++ b/crates/core/src/endpoints/server_index.rs
@@ -1,18 +1,17 @@
 //! The table of servers and what is found in it without a walk: members in the order of their numbers and by
-//! position, those still ramping, those ejected by the end of that, and those of a zone or a cell. It is kept
-//! up to date by each change of a record, in logarithmic time; nothing is decided here. Used by the
-//! policy modules.
+//! position, those that warm up, ejected ones by the end of their ejection, and those of a zone or a cell.
+//! Each change of a record keeps it up to date in logarithmic time; nothing is decided here.
 
-use crate::api::*;
-use crate::ranked_tree::{RankedTree, Slot, Subset};
+use crate::api::{Endpoint, EndpointState, Micros, ProtocolRules, ServerId};
+use crate::endpoints::ranked_tree::{RankedTree, Slot, Subset};
+use crate::endpoints::server::Server;
 use std::cell::Cell;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
-/// Servers that are summed one by one, in their order: sums kept by changes gather rounding errors. It takes
-/// some microseconds, on changes of the list and while servers are cold.
+/// Servers that are summed one by one, in their order, at most: sums kept by changes gather rounding errors.
 const MAX_SUMMED: usize = 512;
 
-/// Servers that share what they remember of keyed requests.
+/// Servers that share the idempotency keys they have seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Site {
     /// Those of this zone.
@@ -21,107 +20,98 @@
     Cell(u32),
 }
 
-/// A server as this gateway sees it.
-#[derive(Default)]
-pub(crate) struct Server {
-    /// As it is listed; its start by this process's clock.
-    pub endpoint: Endpoint,
-    /// Its start by the fleet's clock, as it was told.
-    pub reported_start: Option<Micros>,
-    /// Attempts out there from here.
-    pub attempts_in_flight: u32,
-    /// Time per request held, µs.
-    pub service_time_us: f64,
-    /// Requests of others there, as last reported, and when that was.
-    pub peers_in_flight: f64,
-    pub load_reported_at: Micros,
-    /// Share of outcomes that were good, and when the last one was.
-    pub success_rate: f64,
-    pub last_outcome_at: Micros,
-    /// The end of its ejection, and how many there were in a row.
-    pub ejected_until: Micros,
-    pub consecutive_ejections: u32,
-    /// By plan: until when it is left alone for having been full, and how many times in a row.
-    pub rejection_backoff: BTreeMap<usize, (Micros, u32)>,
-    /// Attempts that a cold one may be sent.
-    pub slow_start_budget: f64,
-    /// Its next turn, where servers take turns.
-    pub virtual_time: f64,
-}
-
 /// What the index holds of a record.
 #[derive(Clone, Copy, PartialEq)]
-struct Indexed {
+struct IndexedFields {
+    /// Its state in the list.
     state: EndpointState,
+    /// Its zone.
     zone: u32,
+    /// Its cell.
     cell: u32,
+    /// When it started.
     started_at: Option<Micros>,
+    /// The end of its ejection.
     ejected_until: Micros,
-    idle: bool,
+    /// No attempt of this gateway is in flight there.
+    is_idle: bool,
+    /// Its service time.
     service_time_us: f64,
 }
 
-impl Indexed {
+impl IndexedFields {
     /// As if not in the table.
-    const ABSENT: Indexed = Indexed {
+    const ABSENT: IndexedFields = IndexedFields {
         state: EndpointState::Gone,
         zone: 0,
         cell: 0,
         started_at: None,
         ejected_until: 0,
-        idle: false,
+        is_idle: false,
         service_time_us: 0.0,
     };
 
-    fn of(x: &Server) -> Indexed {
-        let Endpoint { state, zone, cell, started_at, .. } = x.endpoint;
-        Indexed {
+    /// The fields of a record.
+    fn of(server: &Server) -> IndexedFields {
+        let Endpoint { state, zone, cell, started_at, .. } = server.endpoint;
+        IndexedFields {
             state,
             zone,
             cell,
             started_at,
-            ejected_until: x.ejected_until,
-            idle: x.attempts_in_flight == 0,
-            service_time_us: x.service_time_us,
+            ejected_until: server.health.ejected_until(),
+            is_idle: server.attempts_in_flight == 0,
+            service_time_us: server.service_time_us,
         }
     }
 
+    /// Whether the server takes new requests.
     fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
+    /// Whether the server is in the list.
     fn is_listed(&self) -> bool {
         self.state != EndpointState::Gone
     }
 
-    /// Removed from the list, with no request out there.
+    /// Whether the server is removed from the list and no attempt is in flight there.
     fn is_vacated(&self) -> bool {
-        self.state == EndpointState::Gone && self.idle
+        self.state == EndpointState::Gone && self.is_idle
     }
 }
 
 /// The servers, by number.
 #[derive(Default)]
 pub(crate) struct ServerIndex {
+    /// The rules of slow start.
     rules: ProtocolRules,
+    /// The records; a server keeps its slot.
     records: Vec<Server>,
+    /// Slots without a server.
     free: Vec<Slot>,
+    /// The slots in the order of the servers' numbers.
     order: RankedTree,
-    /// By the end of the ejection.
+    /// Ejected servers, by the end of the ejection.
     ejected: BTreeSet<(Micros, Slot)>,
-    /// By the time of their start, so that the first is the next to be warm.
+    /// Servers that warm up by the time of their start, so that the first is the next to be warm.
     warming_up: BTreeSet<(Option<Micros>, Slot)>,
-    /// Ready ones by zone and by cell.
+    /// Ready servers by zone.
     zones: BTreeSet<(u32, Slot)>,
+    /// Ready servers by cell.
     cells: BTreeSet<(u32, Slot)>,
+    /// Removed servers with no attempt in flight.
     vacated: BTreeSet<Slot>,
+    /// Servers in the list.
     listed: usize,
+    /// Sum of the service times.
     service_time_sum_us: f64,
+    /// Records examined since the start.
     visited: Cell<u64>,
 }
 
 impl ServerIndex {
-    /// An empty table under these rules of the cold ramp.
+    /// An empty table under these rules of slow start.
     pub fn new(rules: ProtocolRules) -> ServerIndex {
         ServerIndex { rules, ..ServerIndex::default() }
     }
@@ -131,7 +121,7 @@
         self.visited.get()
     }
 
-    /// Servers in the table, removed ones with requests out included.
+    /// Servers in the table, removed ones with attempts in flight included.
     pub fn len(&self) -> usize {
         self.records.len() - self.free.len()
     }
@@ -166,7 +156,7 @@
         self.order.slots().into_iter().map(|slot| self.record(slot))
     }
 
-    /// The ready servers of a site, each once, beginning at a part (0 to 1) of the table.
+    /// The ready servers of a site, each once, beginning at a fraction (0 to 1) of the table.
     pub fn at_site(&self, site: Site, from: f64) -> impl Iterator<Item = &Server> {
         let (set, key) = match site {
             Site::Zone(zone) => (&self.zones, zone),
@@ -179,16 +169,16 @@
 
     /// How many ready servers are ejected at a time; walks the ejected ones.
     pub fn ejected_at(&self, now: Micros) -> usize {
-        let out = self.ejected.range((now.saturating_add(1), 0)..);
-        out.filter(|(_, slot)| self.record(*slot).endpoint.state == EndpointState::Ready).count()
+        let ejected = self.ejected.range((now.saturating_add(1), 0)..);
+        ejected.filter(|(_, slot)| self.record(*slot).endpoint.state == EndpointState::Ready).count()
     }
 
-    /// Servers still ramping, ready or not, as of the last [`Self::advance`].
+    /// Servers that warm up, ready or not, as of the last [`Self::advance`].
     pub fn warming_up(&self) -> impl Iterator<Item = &Server> {
         self.warming_up.iter().map(|(_, slot)| self.record(*slot))
     }
 
-    /// Changes what is not indexed of each server that is still ramping.
+    /// Changes what is not indexed of each server that warms up.
     pub fn update_warming_up(&mut self, mut change: impl FnMut(&mut Server)) {
         self.visited.set(self.visited.get() + self.warming_up.len() as u64);
         for (_, slot) in &self.warming_up {
@@ -196,38 +186,42 @@
         }
     }
 
-    /// Sum of the ready servers' shares of their capacity.
+    /// Sum of the ready servers' slow start factors.
     pub fn slow_start_factor_sum(&self, now: Micros) -> f64 {
         if !self.warming_up.is_empty() && self.len() <= MAX_SUMMED {
-            return self.iter().filter(|x| is_ready(x)).map(|x| x.slow_start_factor(now, &self.rules)).sum();
+            return self
+                .iter()
+                .filter(|server| is_ready(server))
+                .map(|server| server.slow_start_factor(now, &self.rules))
+                .sum();
         }
         let mut sum = self.count(Subset::Ready) as f64;
-        for x in self.warming_up().filter(|x| is_ready(x)) {
-            sum += x.slow_start_factor(now, &self.rules) - 1.0;
+        for server in self.warming_up().filter(|server| is_ready(server)) {
+            sum += server.slow_start_factor(now, &self.rules) - 1.0;
         }
         sum
     }
 
-    /// Mean time per request held, over all in the table.
+    /// Mean service time of all servers in the table.
     pub fn mean_service_time_us(&self) -> Option<f64> {
         let sum = match self.len() {
             0 => return None,
-            1..=MAX_SUMMED => self.iter().map(|x| x.service_time_us).sum(),
+            1..=MAX_SUMMED => self.iter().map(|server| server.service_time_us).sum(),
             _ => self.service_time_sum_us,
         };
         Some(sum / self.len() as f64)
     }
 
-    /// The servers that a complete list does not name; makes room for those that only it does.
+    /// The servers that a complete list does not name; reserves memory for those that only it does.
     pub fn unlisted(&mut self, list: &[Endpoint]) -> Vec<ServerId> {
         let further = list.len().saturating_sub(self.len());
         self.records.reserve(further);
         self.order.reserve(further);
-        let listed: BTreeSet<ServerId> = list.iter().map(|e| e.server).collect();
-        self.iter().map(|x| x.endpoint.server).filter(|id| !listed.contains(id)).collect()
+        let listed: BTreeSet<ServerId> = list.iter().map(|endpoint| endpoint.server).collect();
+        self.iter().map(|server| server.endpoint.server).filter(|id| !listed.contains(id)).collect()
     }
 
-    /// Lets time pass: ejections end, and servers get warm.
+    /// Lets time pass: ejections end, and servers become warm.
     pub fn advance(&mut self, now: Micros) {
         while let Some((until, slot)) = self.ejected.first().copied().filter(|(until, _)| *until <= now) {
             self.ejected.remove(&(until, slot));
@@ -250,17 +244,17 @@
         change: impl FnOnce(&mut Server) -> R,
     ) -> Option<R> {
         let slot = self.order.find(id.0)?;
-        let before = Indexed::of(self.record(slot));
+        let before = IndexedFields::of(self.record(slot));
         let result = change(&mut self.records[slot as usize]);
         self.reindex(now, slot, before);
         Some(result)
     }
 
-    /// Adds a server, or puts another record in the place of the one it has.
+    /// Adds a server, or replaces its record.
     pub fn insert(&mut self, now: Micros, server: Server) {
         let id = server.endpoint.server;
         if self.order.find(id.0).is_some() {
-            self.update(now, id, |x| *x = server);
+            self.update(now, id, |known| *known = server);
             return;
         }
         let slot = self.free.pop().unwrap_or(self.records.len() as Slot);
@@ -270,15 +264,15 @@
             self.records[slot as usize] = server;
         }
         self.order.insert(slot, id.0);
-        self.reindex(now, slot, Indexed::ABSENT);
+        self.reindex(now, slot, IndexedFields::ABSENT);
     }
 
-    /// Forgets the servers that are removed from the list and have no request out.
+    /// Forgets the servers that are removed from the list and have no attempt in flight.
     pub fn remove_vacated(&mut self) {
         for slot in std::mem::take(&mut self.vacated) {
             let server = std::mem::take(&mut self.records[slot as usize]);
             self.visited.set(self.visited.get() + 1);
-            self.ejected.remove(&(server.ejected_until, slot));
+            self.ejected.remove(&(server.health.ejected_until(), slot));
             self.warming_up.remove(&(server.endpoint.started_at, slot));
             self.service_time_sum_us -= server.service_time_us;
             self.order.remove(server.endpoint.server.0);
@@ -286,27 +280,21 @@
         }
     }
 
+    /// The record in a slot.
     fn record(&self, slot: Slot) -> &Server {
         self.visited.set(self.visited.get() + 1);
         &self.records[slot as usize]
     }
 
     /// Brings the index up to date with a record that was as `before` said.
-    fn reindex(&mut self, now: Micros, slot: Slot, before: Indexed) {
-        let after = Indexed::of(&self.records[slot as usize]);
+    fn reindex(&mut self, now: Micros, slot: Slot, before: IndexedFields) {
+        let after = IndexedFields::of(&self.records[slot as usize]);
         if after == before {
             return;
         }
         self.service_time_sum_us += after.service_time_us - before.service_time_us;
         self.listed = self.listed + usize::from(after.is_listed()) - usize::from(before.is_listed());
-        if before.is_ready() {
-            self.zones.remove(&(before.zone, slot));
-            self.cells.remove(&(before.cell, slot));
-        }
-        if after.is_ready() {
-            self.zones.insert((after.zone, slot));
-            self.cells.insert((after.cell, slot));
-        }
+        self.reindex_sites(slot, before, after);
         if after.is_vacated() {
             self.vacated.insert(slot);
         } else {
@@ -327,15 +315,29 @@
         self.place_in_subsets(slot);
     }
 
+    /// Brings the order by zone and by cell up to date.
+    fn reindex_sites(&mut self, slot: Slot, before: IndexedFields, after: IndexedFields) {
+        if before.is_ready() {
+            self.zones.remove(&(before.zone, slot));
+            self.cells.remove(&(before.cell, slot));
+        }
+        if after.is_ready() {
+            self.zones.insert((after.zone, slot));
+            self.cells.insert((after.cell, slot));
+        }
+    }
+
+    /// Brings the subsets that a server belongs to up to date.
     fn place_in_subsets(&mut self, slot: Slot) {
-        let x = &self.records[slot as usize];
-        let ready = x.endpoint.state == EndpointState::Ready;
-        let trusted = ready && !self.ejected.contains(&(x.ejected_until, slot));
-        let available = trusted && !self.warming_up.contains(&(x.endpoint.started_at, slot));
+        let server = &self.records[slot as usize];
+        let ready = server.endpoint.state == EndpointState::Ready;
+        let trusted = ready && !self.ejected.contains(&(server.health.ejected_until(), slot));
+        let available = trusted && !self.warming_up.contains(&(server.endpoint.started_at, slot));
         self.order.set_membership(slot, [ready, trusted, available]);
     }
 }
 
-fn is_ready(x: &Server) -> bool {
-    x.endpoint.state == EndpointState::Ready
+/// Whether a server takes new requests.
+fn is_ready(server: &Server) -> bool {
+    server.endpoint.state == EndpointState::Ready
 }
--- /dev/null
+++ b/crates/core/src/gossip/mod.rs
@@ -0,0 +1,91 @@
+//! Gossip between gateways: what is told of customers' use, to whom and how often, and what is made of what
+//! others tell.
+
+pub(crate) mod message;
+pub(crate) mod queue;
+pub(crate) mod state;
+
+use crate::api::{Action, CustomerId, Micros};
+use crate::customer::UsageSource;
+use crate::gateway::Gateway;
+use crate::quota::MAX_DEMAND;
+use message::{decode, encode, CustomerUsage, MAX_ENTRIES};
+
+impl Gateway {
+    /// Queues a customer's use for the gateways that serve it, if the budget allows it.
+    pub(crate) fn publish(&mut self, id: CustomerId) {
+        let Some(customer) = self.customers.get(id) else { return };
+        if !self.settings.capabilities.gossip || !self.gossip.pay_for(customer.gateway_count) {
+            return;
+        }
+        for offset in 0..customer.gateway_count {
+            let gateway = (customer.first_gateway + offset) % self.settings.gateway_count;
+            self.gossip.queue(gateway, id);
+        }
+    }
+
+    /// Sends what is queued. Use is told as running totals, so that a lost message only delays it.
+    pub(crate) fn send_gossip(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        for to in self.gossip.due_gateways(now, self.settings.gateway_count) {
+            if to == self.settings.gateway_index {
+                continue;
+            }
+            self.gossip.record_send(now);
+            self.entries_examined += 1;
+            let queued = self.gossip.take_queued(to, MAX_ENTRIES);
+            let entries: Vec<CustomerUsage> = queued.into_iter().filter_map(|id| self.usage_of(id)).collect();
+            let message = encode(self.gossip.incarnation(), &entries);
+            actions.push(Action::SendGossip { to, message });
+        }
+    }
+
+    /// What this gateway tells of a customer.
+    fn usage_of(&self, id: CustomerId) -> Option<CustomerUsage> {
+        let customer = self.customers.get(id)?;
+        Some(CustomerUsage {
+            customer: id,
+            plan: customer.plan_index,
+            gateway_count: customer.gateway_count,
+            total_eighths: customer.peer_usage.own_eighths(),
+            demand: customer.demand.reported(),
+        })
+    }
+
+    /// Takes a message of another gateway.
+    pub(crate) fn receive_gossip(&mut self, now: Micros, from: usize, message: &[u8]) {
+        let is_peer = from < self.settings.gateway_count && from != self.settings.gateway_index;
+        let phase = self.random_source.next_fraction();
+        let Some(message) = decode(message).filter(|_| is_peer) else { return };
+        self.gossip.record_received(now, from);
+        for entry in message.entries {
+            self.apply_peer_usage(now, from, message.incarnation, &entry, phase);
+        }
+    }
+
+    /// Takes what another gateway tells of one customer.
+    fn apply_peer_usage(
+        &mut self,
+        now: Micros,
+        from: usize,
+        incarnation: u32,
+        entry: &CustomerUsage,
+        phase: f64,
+    ) {
+        let first_gateway = self.customers.get(entry.customer).map_or(from, |known| known.first_gateway);
+        self.ensure_customer(now, entry.customer, entry.plan, entry.gateway_count, first_gateway);
+        let is_full_mesh = self.gossip.is_full_mesh();
+        let Some(customer) = self.customers.get_mut(entry.customer) else { return };
+        if customer.plan_index != entry.plan {
+            return;
+        }
+        customer.refill(now, 0.0, UsageSource::Exact);
+        if !is_full_mesh {
+            customer.record_demand(now, entry.demand.min(MAX_DEMAND), phase);
+            return;
+        }
+        let units = customer.peer_usage.record(from, incarnation, entry.total_eighths);
+        // More than a burst at once is a total whose start was missed.
+        let units = if units <= customer.plan.burst { units } else { 0.0 };
+        customer.bucket.take_use_of_peers(units, &customer.plan);
+    }
+}
--- a/crates/core/src/gossip_queue.rs
+++ b/crates/core/src/gossip/queue.rs
@@ -1,4 +1,4 @@
-//! What is queued for other gateways; only those with something queued are held. Nothing is decided here.
+//! What is queued for other gateways; only those with something queued take memory.
 
 use crate::api::CustomerId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,6 +6,7 @@
 /// Customers to be told of, by gateway.
 #[derive(Default)]
 pub(crate) struct GossipQueue {
+    /// The customers queued for each gateway.
     queued: BTreeMap<usize, BTreeSet<CustomerId>>,
 }
 
@@ -21,9 +22,9 @@
     }
 
     /// Takes out at most this many customers queued for a gateway, the lowest numbers first.
-    pub fn take(&mut self, to: usize, most: usize) -> Vec<CustomerId> {
+    pub fn take(&mut self, to: usize, max: usize) -> Vec<CustomerId> {
         let Some(ids) = self.queued.get_mut(&to) else { return Vec::new() };
-        let taken = std::iter::from_fn(|| ids.pop_first()).take(most).collect();
+        let taken = std::iter::from_fn(|| ids.pop_first()).take(max).collect();
         if ids.is_empty() {
             self.queued.remove(&to);
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -23,7 +23,7 @@
 //!         idempotency: Idempotency::Idempotent,
 //!         streaming: false,
 //!     }],
-//!     plans: vec![Plan { rate: 2.0, burst: 4.0, weight_multiplier: 1.0, overage_cost: 1.0, ..Plan::default() }],
+//!     plans: vec![Plan { rate: 2.0, burst: 4.0, weight_multiplier: 1.0, ..Plan::default() }],
 //!     capabilities: Capabilities {
 //!         cancellation: true,
 //!         retry_after: true,
@@ -67,29 +67,22 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 
+mod admission;
 mod api;
 mod attempts;
-mod check;
-mod choice;
-mod customer_table;
-mod customers;
+mod balancing;
+mod customer;
 mod decaying_rate;
+mod endpoints;
 mod gateway;
 mod gossip;
-mod gossip_message;
-mod gossip_queue;
 mod handover;
-mod membership;
+mod health;
 mod quota;
 mod random_source;
-mod ranked_tree;
-mod request;
-mod ring;
-mod selection;
-mod server_index;
-mod servers;
-mod start_times;
-mod text_record;
+mod requests;
+mod settings_check;
+mod timer;
 
 #[cfg(test)]
 #[path = "../tests/unit/mod.rs"]
--- a/crates/core/src/random_source.rs
+++ b/crates/core/src/random_source.rs
@@ -4,15 +4,20 @@
 
 /// Random numbers from a seed (SplitMix64).
 #[derive(Default)]
-pub(crate) struct RandomSource(pub u64);
+pub(crate) struct RandomSource(u64);
 
 impl RandomSource {
+    /// A source whose numbers follow from the seed.
+    pub fn new(seed: u64) -> RandomSource {
+        RandomSource(seed)
+    }
+
     /// The next number, from 0 up to 1.
     pub fn next_fraction(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
+        let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        ((mixed ^ (mixed >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// So many different numbers below `end`, in order, each set as likely (Floyd's algorithm).
--- a/crates/core/tests/unit/customer_table.rs
+++ b/crates/core/tests/unit/customer_table.rs
@@ -1,29 +1,31 @@
-use crate::api::*;
-use crate::customer_table::Customer;
-use crate::customer_table::{ChangedCustomers, CustomerTable};
-use proptest::prelude::*;
+use crate::api::{CustomerId, Micros, Plan};
+use crate::customer::table::{ChangedCustomers, CustomerTable};
+use crate::customer::Customer;
+use proptest::prelude::{any, prop, prop_assert, prop_oneof, proptest, ProptestConfig, Strategy};
 use std::collections::BTreeMap;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
 /// A customer that is as good as new 1 s + 1.5 s for each of its gateways after its last use.
-fn customer(filled: Micros, spread: usize) -> Customer {
-    let terms = Plan { rate: 1.0, burst: 1.0, ..Plan::default() };
-    Customer { plan: terms, gateway_count: spread, refilled_at: filled, ..Customer::default() }
+fn customer(refilled_at: Micros, gateway_count: usize) -> Customer {
+    let plan = Plan { rate: 1.0, burst: 1.0, ..Plan::default() };
+    let mut customer = Customer { plan, gateway_count, ..Customer::default() };
+    customer.bucket.set_refilled_at(refilled_at);
+    customer
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Insert(u64, usize),
-    Use { id: u64, open: u32, calling: bool, spread: usize },
+    Use { id: u64, in_flight: u32, has_call: bool, gateway_count: usize },
     Tick(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        2 => (0u64..20, 1usize..4).prop_map(|(id, spread)| Step::Insert(id, spread)),
+        2 => (0u64..20, 1usize..4).prop_map(|(id, gateway_count)| Step::Insert(id, gateway_count)),
         3 => (0u64..20, 0u32..2, any::<bool>(), 1usize..4)
-            .prop_map(|(id, open, calling, spread)| Step::Use { id, open, calling, spread }),
+            .prop_map(|(id, in_flight, has_call, gateway_count)| Step::Use { id, in_flight, has_call, gateway_count }),
         3 => (0u64..3_000).prop_map(Step::Tick),
     ]
 }
@@ -34,17 +36,22 @@
     /// As if each tick had looked at each customer.
     #[test]
     fn the_queue_forgets_exactly_the_customers_that_are_due(steps in prop::collection::vec(step(), 1..150)) {
-        let (mut table, mut model, mut now) = (CustomerTable::default(), BTreeMap::new(), S);
+        let (mut table, mut model, mut now) = (CustomerTable::default(), BTreeMap::new(), SECOND);
         for step in steps {
             match step {
-                Step::Insert(id, spread) => {
-                    table.insert(CustomerId(id), customer(now, spread));
-                    model.insert(id, customer(now, spread));
+                Step::Insert(id, gateway_count) => {
+                    table.insert(CustomerId(id), customer(now, gateway_count));
+                    model.insert(id, customer(now, gateway_count));
                 }
-                Step::Use { id, open, calling, spread } => {
-                    let change = |c: &mut Customer| {
-                        (c.refilled_at, c.in_flight, c.call_in_flight) = (now, open, calling);
-                        c.gateway_count = c.gateway_count.max(spread);
+                Step::Use { id, in_flight, has_call, gateway_count } => {
+                    let change = |customer: &mut Customer| {
+                        customer.bucket.set_refilled_at(now);
+                        customer.in_flight = in_flight;
+                        customer.counter.end_call();
+                        if has_call {
+                            customer.counter.begin_call(0.0);
+                        }
+                        customer.gateway_count = customer.gateway_count.max(gateway_count);
                     };
                     table.get_mut(CustomerId(id)).into_iter().for_each(change);
                     model.get_mut(&id).into_iter().for_each(change);
@@ -52,7 +59,10 @@
                 Step::Tick(ms) => {
                     now += ms * 1_000;
                     table.forget_idle(now);
-                    model.retain(|_, c| c.in_flight > 0 || c.call_in_flight || now < c.idle_at());
+                    model.retain(|_, customer| {
+                        let has_call = customer.counter.has_call_in_flight();
+                        customer.in_flight > 0 || has_call || now < customer.idle_at()
+                    });
                 }
             }
             prop_assert!(table.iter_mut().map(|(id, _)| id.0).eq(model.keys().copied()));
@@ -63,10 +73,10 @@
 #[test]
 fn a_tick_with_nothing_due_examines_nobody() {
     let mut table = CustomerTable::default();
-    (0..1_000).for_each(|id| table.insert(CustomerId(id), customer(S, 1)));
-    table.forget_idle(2 * S);
+    (0..1_000).for_each(|id| table.insert(CustomerId(id), customer(SECOND, 1)));
+    table.forget_idle(2 * SECOND);
     assert_eq!(table.visited(), 0);
-    table.forget_idle(4 * S);
+    table.forget_idle(4 * SECOND);
     assert_eq!((table.visited(), table.iter_mut().count()), (1_000, 0));
 }
 
@@ -74,11 +84,11 @@
 #[test]
 fn a_customer_in_use_is_not_examined_by_each_tick() {
     let mut table = CustomerTable::default();
-    table.insert(CustomerId(1), customer(S, 1));
-    table.get_mut(CustomerId(1)).expect("just added").refilled_at = 3 * S;
-    (4 * S..5 * S).step_by(100_000).for_each(|now| table.forget_idle(now));
+    table.insert(CustomerId(1), customer(SECOND, 1));
+    table.get_mut(CustomerId(1)).expect("just added").bucket.set_refilled_at(3 * SECOND);
+    (4 * SECOND..5 * SECOND).step_by(100_000).for_each(|now| table.forget_idle(now));
     assert_eq!((table.visited(), table.iter_mut().count()), (1, 1));
-    table.forget_idle(6 * S);
+    table.forget_idle(6 * SECOND);
     assert_eq!((table.visited(), table.iter_mut().count()), (2, 0));
 }
 
--- a/crates/core/tests/unit/gossip_queue.rs
+++ b/crates/core/tests/unit/gossip_queue.rs
@@ -1,5 +1,5 @@
 use crate::api::CustomerId;
-use crate::gossip_queue::GossipQueue;
+use crate::gossip::queue::GossipQueue;
 
 #[test]
 fn only_gateways_with_something_queued_are_named() {
--- a/crates/core/tests/unit/ranked_tree.rs
+++ b/crates/core/tests/unit/ranked_tree.rs
@@ -1,5 +1,5 @@
-use crate::ranked_tree::{RankedTree, Slot, Subset};
-use proptest::prelude::*;
+use crate::endpoints::ranked_tree::{RankedTree, Slot, Subset};
+use proptest::prelude::{any, prop, prop_oneof, proptest, ProptestConfig, Strategy};
 use std::collections::BTreeMap;
 
 const SUBSETS: [Subset; 3] = [Subset::Ready, Subset::Trusted, Subset::Available];
@@ -29,7 +29,8 @@
     }
     for subset in SUBSETS {
         let is_member = |(_, (_, member)): &(&u64, &(Slot, [bool; 3]))| member[subset as usize];
-        let members: Vec<(u64, Slot)> = model.iter().filter(is_member).map(|(k, x)| (*k, x.0)).collect();
+        let members: Vec<(u64, Slot)> =
+            model.iter().filter(is_member).map(|(key, (slot, _))| (*key, *slot)).collect();
         assert_eq!(tree.count(subset), members.len());
         for (position, (key, slot)) in members.iter().enumerate() {
             assert_eq!(tree.at(subset, position), Some(*slot));
@@ -61,9 +62,9 @@
                     model.remove(&key);
                 }
                 Step::Belong(key, member) => {
-                    if let Some(x) = model.get_mut(&key) {
-                        tree.set_membership(x.0, member);
-                        x.1 = member;
+                    if let Some((slot, known)) = model.get_mut(&key) {
+                        tree.set_membership(*slot, member);
+                        *known = member;
                     }
                 }
                 Step::Insert(_) => {}
