--- a/crates/core/tests/bounded_work.rs
+++ b/crates/core/tests/bounded_work.rs
@@ -1,275 +1,279 @@
-//! The work of a request, a tick and a change does not grow with the servers, customers and gateways.
+//! The work of a request, a tick and a list change does not grow with the servers, customers and gateways.
 
 mod common;
-use common::*;
-use grebehook_core::*;
+
+use common::actions::forwarded_to;
+use common::events::{arrival, attempt_report, endpoint_delta, endpoint_snapshot, tick};
+use common::fleet_gateway::FleetGateway;
+use common::settings::{class, endpoint, plan, settings, settings_with_usage_reports};
+use common::{MILLISECOND, SECOND};
+use grebehook_core::{
+    Action, AttemptReport, AttemptStatus, DeduplicationScope, Endpoint, EndpointState, Event, Gateway,
+    Idempotency, Micros, Plan, RequestArrival, RequestId, ServerId, Settings,
+};
 use std::collections::BTreeSet;
 
+/// Numbers of servers, customers or gateways.
 const SIZES: [usize; 6] = [61, 610, 1_830, 6_100, 18_300, 61_000];
+/// The class whose requests carry an idempotency key.
+const CELL_KEY: usize = 1;
+/// How many cells the servers are in.
+const CELL_COUNT: u64 = 300;
 
-/// A gateway before so many servers, with its clock at two seconds.
-struct Load {
+/// A gateway whose visited entries are counted, with its clock at two seconds.
+struct MeasuredGateway {
+    /// The gateway.
     gateway: Gateway,
+    /// Its clock.
     now: Micros,
-    requests: u64,
-    out: Vec<Action>,
+    /// The number of the last request.
+    last_request: u64,
+    /// The actions of the last event.
+    actions: Vec<Action>,
 }
 
-impl Load {
-    fn new(gateways: usize, servers: &[Endpoint]) -> Load {
-        let mut s = settings();
-        (s.gateway_count, s.gateway_index) = (gateways, 7 % gateways);
-        s.capabilities.usage_report_period = Some(500 * MS);
-        s.capabilities.gossip = true;
-        s.classes
-            .push(class(Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: 500 * MS }));
-        s.plans[0] = Plan { rate: 200.0, burst: 400.0, ..plan() };
-        let gateway = Gateway::new(s, 11, S).expect("sound settings");
-        let mut load = Load { gateway, now: 2 * S, requests: 0, out: Vec::new() };
-        load.list(WatchEvent::Snapshot, servers.to_vec());
-        load
+impl MeasuredGateway {
+    /// One of so many gateways before these servers.
+    fn new(gateway_count: usize, endpoints: &[Endpoint]) -> MeasuredGateway {
+        let key = Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: 500 * MILLISECOND };
+        let mut settings = settings_with_usage_reports();
+        settings.gateway_count = gateway_count;
+        settings.gateway_index = 7 % gateway_count;
+        settings.capabilities.gossip = true;
+        settings.classes.push(class(key));
+        settings.plans[0] = Plan { rate: 200.0, burst: 400.0, ..plan() };
+        let gateway = Gateway::new(settings, 11, SECOND).expect("valid settings");
+        let mut measured = MeasuredGateway { gateway, now: 2 * SECOND, last_request: 0, actions: Vec::new() };
+        measured.handle(endpoint_snapshot(endpoints.to_vec()));
+        measured
     }
 
-    /// Hands in an event; how many entries were visited for it.
-    fn event(&mut self, event: Event) -> u64 {
+    /// Hands in an event; returns how many entries were visited for it.
+    fn handle(&mut self, event: Event) -> u64 {
         let before = self.gateway.entries_visited();
-        self.out.clear();
-        self.gateway.handle(self.now, event, &mut self.out);
+        self.actions.clear();
+        self.gateway.handle(self.now, event, &mut self.actions);
         self.gateway.entries_visited() - before
     }
 
-    fn list(&mut self, kind: WatchEvent, entries: Vec<Endpoint>) -> u64 {
-        self.event(Event::EndpointsChanged { watch_event: kind, endpoints: entries })
-    }
-
+    /// A request arrives 600 µs after the last; returns the entries visited.
     fn request(&mut self, class: usize, customer: u64) -> u64 {
-        self.requests += 1;
+        self.last_request += 1;
         self.now += 600;
-        self.event(Event::RequestArrived(RequestArrival {
-            id: RequestId(self.requests),
+        self.handle(Event::RequestArrived(RequestArrival {
             class,
-            plan: 0,
-            customer: CustomerId(customer),
-            client_timeout: 2 * S,
-            units: 1.0,
             customer_gateway_count: 4,
             first_gateway: 5,
-            is_retry: false,
-            body_incomplete: false,
+            ..arrival(self.last_request, customer)
         }))
     }
 
-    fn outcome(&mut self, attempt: u32, server: ServerId, status: AttemptStatus, used: f64) -> u64 {
-        self.event(Event::AttemptCompleted(AttemptReport {
-            id: RequestId(self.requests),
+    /// Where the last event forwarded a request.
+    fn forwarded_to(&self) -> ServerId {
+        forwarded_to(&self.actions).expect("forwarded")
+    }
+
+    /// An attempt of the last request ends; returns the entries visited.
+    fn complete(&mut self, attempt: u32, server: ServerId, status: AttemptStatus, usage: f64) -> u64 {
+        self.handle(Event::AttemptCompleted(AttemptReport {
             attempt,
-            server,
-            status,
-            elapsed: 30 * MS,
-            request_finished: status == AttemptStatus::Ok,
-            reported_usage: Some(used),
-            settled_units: None,
-            load_report: None,
+            reported_usage: Some(usage),
+            ..attempt_report(RequestId(self.last_request), server, status)
         }))
     }
 
+    /// The regular tick after 100 ms; returns the entries visited.
     fn tick(&mut self) -> u64 {
-        self.now += 100 * MS;
-        self.event(Event::Timer { timer: TimerId(u64::MAX) })
+        self.now += 100 * MILLISECOND;
+        self.handle(tick())
+    }
+
+    /// The most entries visited for any of 60 requests, 20 ticks and 40 changes of the list of so many servers.
+    fn measure(&mut self, server_count: usize) -> MaxVisited {
+        let mut most = MaxVisited { request: 0, tick: 0, list_change: 0 };
+        for k in 0..60 {
+            let mut visited = self.request(0, k);
+            let server = self.forwarded_to();
+            let usage = if k % 10 == 0 { 3.0 } else { 0.1 };
+            visited += self.complete(0, server, AttemptStatus::Ok, usage);
+            most.request = most.request.max(visited);
+            if k % 3 == 0 {
+                most.tick = most.tick.max(self.tick());
+                let new_server = endpoint(server_count as u64 + 1 + k, 0);
+                let added = Endpoint { started_at: Some(self.now), ..new_server.clone() };
+                most.list_change = most.list_change.max(self.handle(endpoint_delta(vec![added])));
+                let removed = Endpoint { state: EndpointState::Gone, ..new_server };
+                most.list_change = most.list_change.max(self.handle(endpoint_delta(vec![removed])));
+            }
+        }
+        most
     }
 }
 
-fn pool(servers: usize) -> Vec<Endpoint> {
-    (1..=servers as u64).map(|k| Endpoint { cell: (k % 300) as u32, ..entry(k, (k % 33) as u32) }).collect()
+/// The most entries visited for one event of each kind.
+struct MaxVisited {
+    /// A request and its response.
+    request: u64,
+    /// A tick.
+    tick: u64,
+    /// A changed entry of the endpoint list.
+    list_change: u64,
 }
 
-/// The most entries visited for a request and its answer, a tick, and a changed member.
-fn most_visited(load: &mut Load, servers: usize) -> (u64, u64, u64) {
-    let (mut request, mut tick, mut change) = (0, 0, 0);
-    for k in 0..60 {
-        let mut visited = load.request(0, k);
-        let server = sent(&load.out).expect("there is room");
-        visited += load.outcome(0, server, AttemptStatus::Ok, if k % 10 == 0 { 3.0 } else { 0.1 });
-        request = request.max(visited);
-        if k % 3 == 0 {
-            tick = tick.max(load.tick());
-            let new = Endpoint { started_at: Some(load.now), ..entry(servers as u64 + 1 + k, 0) };
-            change = change.max(load.list(WatchEvent::Delta, vec![new]));
-            let old = Endpoint { state: EndpointState::Gone, ..entry(servers as u64 + 1 + k, 0) };
-            change = change.max(load.list(WatchEvent::Delta, vec![old]));
-        }
+impl MaxVisited {
+    /// None is above its bound.
+    fn assert_within(&self, bounds: &MaxVisited, size: &str) {
+        let MaxVisited { request, tick, list_change } = self;
+        assert!(*request <= bounds.request, "{size}: {request} a request");
+        assert!(*tick <= bounds.tick, "{size}: {tick} a tick");
+        assert!(*list_change <= bounds.list_change, "{size}: {list_change} a list change");
     }
-    (request, tick, change)
+}
+
+/// So many servers in 33 zones and 300 cells.
+fn servers(count: usize) -> Vec<Endpoint> {
+    let server = |k| Endpoint { cell: (k % CELL_COUNT) as u32, ..endpoint(k, (k % 33) as u32) };
+    (1..=count as u64).map(server).collect()
 }
 
 /// Up to 128 servers are compared for a request, and up to 512 are summed one by one where there are no more.
 #[test]
 fn work_does_not_grow_with_the_servers() {
-    for servers in SIZES {
-        for gateways in [2, 100, 2_800] {
-            let mut load = Load::new(gateways, &pool(servers));
-            let (request, tick, change) = most_visited(&mut load, servers);
-            assert!(request <= 160, "{servers} servers, {gateways} gateways: {request} a request");
-            assert!(tick <= 600, "{servers} servers, {gateways} gateways: {tick} a tick");
-            assert!(change <= 600, "{servers} servers, {gateways} gateways: {change} a change");
-            if servers > 600 {
-                assert!(tick <= 20, "{servers} servers, {gateways} gateways: {tick} a tick");
-                assert!(change <= 20, "{servers} servers, {gateways} gateways: {change} a change");
-            }
+    for server_count in SIZES {
+        for gateway_count in [2, 100, 2_800] {
+            let mut gateway = MeasuredGateway::new(gateway_count, &servers(server_count));
+            let most = gateway.measure(server_count);
+            let for_all_servers = if server_count > 600 { 20 } else { 600 };
+            most.assert_within(
+                &MaxVisited { request: 160, tick: for_all_servers, list_change: for_all_servers },
+                &format!("{server_count} servers, {gateway_count} gateways"),
+            );
         }
     }
 }
 
 #[test]
 fn work_does_not_grow_with_the_customers() {
-    for customers in SIZES {
-        let mut load = Load::new(2_800, &pool(61));
-        for customer in 0..customers as u64 {
-            load.request(0, 1_000 + customer);
-            let server = sent(&load.out).expect("there is room");
-            load.outcome(0, server, AttemptStatus::Ok, 0.1);
+    for customer_count in SIZES {
+        let mut gateway = MeasuredGateway::new(2_800, &servers(61));
+        for customer in 0..customer_count as u64 {
+            gateway.request(0, 1_000 + customer);
+            let server = gateway.forwarded_to();
+            gateway.complete(0, server, AttemptStatus::Ok, 0.1);
         }
-        for _ in 0..customers / 1_000 + 2 {
-            load.tick();
+        for _ in 0..customer_count / 1_000 + 2 {
+            gateway.tick();
         }
-        let (request, tick, change) = most_visited(&mut load, 61);
-        assert!(request <= 160, "{customers} customers: {request} a request");
-        // Who came 13 s ago is as good as new: up to 167 for the 100 ms of a tick, since they came 600 µs apart.
-        assert!(tick <= 250, "{customers} customers: {tick} a tick");
-        assert!(change <= 200, "{customers} customers: {change} a change");
+        // A tick forgets customers idle for 13 s: up to 167 in its 100 ms, since they arrived 600 µs apart.
+        gateway.measure(61).assert_within(
+            &MaxVisited { request: 160, tick: 250, list_change: 200 },
+            &format!("{customer_count} customers"),
+        );
     }
 }
 
-/// Customers whose use waits for a call of the counter are looked at a thousand a tick.
+/// A tick examines a thousand of the customers whose usage waits for a counter call.
 #[test]
-fn a_tick_looks_at_a_bounded_number_of_changed_customers() {
-    for customers in SIZES {
-        let mut s = settings();
-        s.gateway_count = 100;
-        s.capabilities.shared_counter = true;
-        let mut gateway = Gateway::new(s, 11, S).expect("sound settings");
-        let mut out = Vec::new();
-        gateway.handle(
-            S,
-            Event::EndpointsChanged { watch_event: WatchEvent::Snapshot, endpoints: pool(61) },
-            &mut out,
-        );
-        for k in 0..customers as u64 {
-            let request = Event::RequestArrived(RequestArrival {
-                id: RequestId(k),
-                class: 0,
-                plan: 0,
-                customer: CustomerId(k),
-                client_timeout: 2 * S,
-                units: 1.0,
-                customer_gateway_count: 100,
-                first_gateway: 5,
-                is_retry: false,
-                body_incomplete: false,
-            });
-            out.clear();
-            gateway.handle(2 * S, request, &mut out);
-            if let Some(server) = sent(&out) {
-                let end = Event::AttemptCompleted(AttemptReport {
-                    id: RequestId(k),
-                    attempt: 0,
-                    server,
-                    status: AttemptStatus::Ok,
-                    elapsed: 30 * MS,
-                    request_finished: true,
-                    reported_usage: None,
-                    settled_units: None,
-                    load_report: None,
-                });
-                gateway.handle(2 * S, end, &mut out);
+fn tick_examines_a_bounded_number_of_changed_customers() {
+    for customer_count in SIZES {
+        let mut settings = Settings { gateway_count: 100, ..settings() };
+        settings.capabilities.shared_counter = true;
+        let mut gateway = FleetGateway::start_at(SECOND, settings, 11, servers(61));
+        let now = 2 * SECOND;
+        for k in 0..customer_count as u64 {
+            let request = RequestArrival { first_gateway: 5, ..gateway.arrival(k, k) };
+            let actions = gateway.handle(now, Event::RequestArrived(request));
+            if let Some(server) = forwarded_to(&actions) {
+                let report = attempt_report(RequestId(k), server, AttemptStatus::Ok);
+                gateway.handle(now, Event::AttemptCompleted(report));
             }
         }
         for k in 1..4 {
-            let before = gateway.entries_visited();
-            gateway.handle(2 * S + k * 100 * MS, Event::Timer { timer: TimerId(u64::MAX) }, &mut out);
-            let visited = gateway.entries_visited() - before;
-            assert!(visited <= 1_200, "{customers} customers: {visited}");
+            let before = gateway.gateway.entries_visited();
+            gateway.tick(now + k * 100 * MILLISECOND);
+            let visited = gateway.gateway.entries_visited() - before;
+            assert!(visited <= 1_200, "{customer_count} customers: {visited}");
         }
     }
 }
 
 #[test]
 fn work_does_not_grow_with_the_gateways() {
-    for gateways in SIZES {
-        let mut load = Load::new(gateways, &pool(61));
-        let (request, tick, change) = most_visited(&mut load, 61);
-        assert!(request <= 160, "{gateways} gateways: {request} a request");
-        assert!(tick <= 160, "{gateways} gateways: {tick} a tick");
-        assert!(change <= 200, "{gateways} gateways: {change} a change");
+    for gateway_count in SIZES {
+        let mut gateway = MeasuredGateway::new(gateway_count, &servers(61));
+        gateway.measure(61).assert_within(
+            &MaxVisited { request: 160, tick: 160, list_change: 200 },
+            &format!("{gateway_count} gateways"),
+        );
     }
 }
 
-/// A zone comes up cold at once where the subset lies: warm servers elsewhere take the work, found in few steps.
+/// A zone where this gateway's subset lies restarts at once: warm servers elsewhere are found in few steps.
 #[test]
-fn many_cold_servers_in_a_row_are_passed_over_in_few_steps() {
-    for servers in SIZES.into_iter().filter(|n| *n >= 6_100) {
-        let mut load = Load::new(2_800, &pool(servers));
+fn warm_server_is_found_in_few_steps_when_many_neighbours_are_warming_up() {
+    for server_count in SIZES.into_iter().filter(|count| *count >= 6_100) {
+        let mut gateway = MeasuredGateway::new(2_800, &servers(server_count));
         // This gateway's subset begins at 0.326 of the list.
-        let from = servers as u64 * 3 / 10;
-        let restarted =
-            (from..from + servers as u64 / 4).map(|k| Endpoint { started_at: Some(load.now), ..entry(k, 0) });
-        let restarted: Vec<Endpoint> = restarted.collect();
-        let cold: BTreeSet<ServerId> = restarted.iter().map(|e| e.server).collect();
-        load.list(WatchEvent::Delta, restarted);
-        let visited = load.request(0, 5);
-        let server = sent(&load.out).expect("warm servers are left");
-        assert!(!cold.contains(&server), "none of them has a budget yet");
-        assert!(visited <= 2_600, "{servers} servers: {visited}");
+        let from = server_count as u64 * 3 / 10;
+        let restarted: Vec<Endpoint> = (from..from + server_count as u64 / 4)
+            .map(|k| Endpoint { started_at: Some(gateway.now), ..endpoint(k, 0) })
+            .collect();
+        let warming: BTreeSet<ServerId> = restarted.iter().map(|endpoint| endpoint.server).collect();
+        gateway.handle(endpoint_delta(restarted));
+        let visited = gateway.request(0, 5);
+        assert!(!warming.contains(&gateway.forwarded_to()), "none of them has a budget yet");
+        assert!(visited <= 2_600, "{server_count} servers: {visited}");
     }
 }
 
-/// What may have run goes again to a server that drops the repeat, though it is one of some hundreds of cells.
+/// A request that may have run is retried at a server that drops the repeat, in one of hundreds of cells.
 #[test]
-fn a_keyed_request_finds_its_cell_in_few_steps() {
-    for servers in SIZES.into_iter().filter(|n| *n >= 1_830) {
-        let mut load = Load::new(2_800, &pool(servers));
-        // As many as the budget of repeats pays for.
-        for k in 0..5 {
-            load.request(1, k);
-            let first = sent(&load.out).expect("goes at once");
-            let visited = load.outcome(0, first, AttemptStatus::Error, 0.1);
-            let again = sent(&load.out).expect("the cell has others");
-            assert!(again != first && again.0 % 300 == first.0 % 300, "{first:?} then {again:?}");
-            assert!(visited <= 600, "{servers} servers: {visited}");
+fn retry_with_a_cell_scoped_key_finds_its_cell_in_few_steps() {
+    for server_count in SIZES.into_iter().filter(|count| *count >= 1_830) {
+        let mut gateway = MeasuredGateway::new(2_800, &servers(server_count));
+        // As many as the retry budget covers.
+        for customer in 0..5 {
+            gateway.request(CELL_KEY, customer);
+            let first = gateway.forwarded_to();
+            let visited = gateway.complete(0, first, AttemptStatus::Error, 0.1);
+            let second = gateway.forwarded_to();
+            assert!(
+                second != first && second.0 % CELL_COUNT == first.0 % CELL_COUNT,
+                "{first:?} then {second:?}"
+            );
+            assert!(visited <= 600, "{server_count} servers: {visited}");
         }
     }
 }
 
-/// Drawn candidates: few gateways use all servers and lean on none.
+/// Servers are drawn at random: few gateways use all of them evenly.
 #[test]
-fn requests_spread_over_a_large_pool() {
-    let servers = 2_000;
-    let mut load = Load::new(2, &pool(servers));
+fn requests_spread_over_a_large_pool_without_loading_any_server_twice() {
+    let mut gateway = MeasuredGateway::new(2, &servers(2_000));
     let mut used = BTreeSet::new();
     for k in 0..1_500 {
-        load.request(0, k);
-        let server = sent(&load.out).expect("there is room");
-        assert!(used.insert(server), "{server:?} holds a request while others are idle");
+        gateway.request(0, k);
+        let server = gateway.forwarded_to();
+        assert!(used.insert(server), "{server:?} has a request in flight while others are idle");
         if k % 10 == 9 {
-            load.tick();
+            gateway.tick();
         }
     }
 }
 
-/// Few of a large pool fail: they are tried and left.
 #[test]
-fn failing_servers_of_a_large_pool_are_left() {
-    let mut load = Load::new(2, &pool(2_000));
+fn failing_servers_of_a_large_pool_are_ejected_after_few_attempts() {
+    let mut gateway = MeasuredGateway::new(2, &servers(2_000));
     let fails = |server: ServerId| server.0.is_multiple_of(5);
     let mut late = 0;
     for k in 0..4_000 {
-        load.request(0, k);
-        let server = sent(&load.out).expect("there is room");
+        gateway.request(0, k);
+        let server = gateway.forwarded_to();
         let status = if fails(server) { AttemptStatus::ConnectFailed } else { AttemptStatus::Ok };
-        load.outcome(0, server, status, 0.1);
+        gateway.complete(0, server, status, 0.1);
         late += u32::from(k >= 3_000 && fails(server));
-        if let Some(server) = sent(&load.out) {
-            load.outcome(1, server, AttemptStatus::Ok, 0.1);
+        if let Some(server) = forwarded_to(&gateway.actions) {
+            gateway.complete(1, server, AttemptStatus::Ok, 0.1);
         }
     }
     assert!(late <= 50, "{late} of 1,000 went to a fifth that fails");
--- /dev/null
+++ b/crates/core/tests/idempotency.rs
@@ -0,0 +1,118 @@
+//! Retries and final answers, as the idempotency of each class permits.
+
+mod common;
+
+use common::actions::{forwarded_to, is_failed, is_rejected};
+use common::settings::{class, endpoint, settings};
+use common::test_gateway::TestGateway;
+use common::{MILLISECOND, SECOND};
+use grebehook_core::{Action, AttemptStatus, DeduplicationScope, Idempotency, RequestId, ServerId};
+
+/// An idempotency key that the servers of one zone remember for half a second.
+const ZONE_KEY: Idempotency =
+    Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: 500 * MILLISECOND };
+/// An idempotency key that every server remembers for half a second.
+const GLOBAL_KEY: Idempotency =
+    Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: 500 * MILLISECOND };
+
+/// A gateway with a request whose first attempt is in flight; servers of even and odd number are in two zones.
+struct FirstAttempt {
+    /// The gateway.
+    gateway: TestGateway,
+    /// The request.
+    id: RequestId,
+    /// Where its first attempt went.
+    server: ServerId,
+}
+
+impl FirstAttempt {
+    /// Sends the first attempt of a request of a class with this idempotency.
+    fn send(idempotency: Idempotency) -> FirstAttempt {
+        let mut settings = settings();
+        settings.classes = vec![class(idempotency)];
+        let endpoints = [endpoint(1, 0), endpoint(2, 1), endpoint(3, 0), endpoint(4, 1)];
+        let mut gateway = TestGateway::new(settings, &endpoints);
+        let (id, actions) = gateway.request(5);
+        let server = forwarded_to(&actions).expect("forwarded at once");
+        FirstAttempt { gateway, id, server }
+    }
+
+    /// Ends the first attempt.
+    fn complete(&mut self, status: AttemptStatus) -> Vec<Action> {
+        self.gateway.complete_attempt(self.id, 0, self.server, status)
+    }
+}
+
+#[test]
+fn non_idempotent_request_that_may_have_run_fails_without_a_retry() {
+    for status in [
+        AttemptStatus::Error,
+        AttemptStatus::Timeout,
+        AttemptStatus::ConnectionReset,
+        AttemptStatus::Cancelled,
+    ] {
+        let actions = FirstAttempt::send(Idempotency::NonIdempotent).complete(status);
+        assert!(
+            is_failed(&actions) && forwarded_to(&actions).is_none() && !is_rejected(&actions),
+            "{status:?}: {actions:?}"
+        );
+    }
+}
+
+#[test]
+fn non_idempotent_request_is_retried_elsewhere_when_it_never_ran() {
+    for status in [AttemptStatus::Rejected, AttemptStatus::ConnectFailed] {
+        let mut first = FirstAttempt::send(Idempotency::NonIdempotent);
+        let retried_at = forwarded_to(&first.complete(status));
+        assert!(retried_at.is_some_and(|server| server != first.server), "{status:?}");
+    }
+}
+
+#[test]
+fn non_idempotent_request_in_flight_at_its_deadline_fails() {
+    let FirstAttempt { mut gateway, id, .. } = FirstAttempt::send(Idempotency::NonIdempotent);
+    let done = gateway.run_until(4 * SECOND);
+    assert!(done.iter().any(|timed| timed.action == Action::Fail { id }));
+    assert!(!done.iter().any(|timed| matches!(timed.action, Action::Reject { .. })));
+}
+
+#[test]
+fn idempotent_request_is_retried_at_another_server_after_an_error() {
+    let mut first = FirstAttempt::send(Idempotency::Idempotent);
+    let retried_at = forwarded_to(&first.complete(AttemptStatus::Error));
+    assert!(retried_at.is_some_and(|server| server != first.server));
+}
+
+#[test]
+fn request_with_a_zone_scoped_key_is_retried_within_its_zone() {
+    let mut first = FirstAttempt::send(ZONE_KEY);
+    let retried_at = forwarded_to(&first.complete(AttemptStatus::Error)).expect("a retry");
+    assert_ne!(retried_at, first.server);
+    assert_eq!(retried_at.0 % 2, first.server.0 % 2, "the same zone");
+}
+
+#[test]
+fn request_with_a_zone_scoped_key_fails_once_its_deduplication_window_is_over() {
+    let mut first = FirstAttempt::send(ZONE_KEY);
+    first.gateway.now += 501 * MILLISECOND;
+    let actions = first.complete(AttemptStatus::Error);
+    assert!(is_failed(&actions) && forwarded_to(&actions).is_none());
+}
+
+#[test]
+fn request_with_a_globally_scoped_key_is_rejected_once_its_deduplication_window_is_over() {
+    let mut first = FirstAttempt::send(GLOBAL_KEY);
+    first.gateway.now += 501 * MILLISECOND;
+    assert!(is_rejected(&first.complete(AttemptStatus::Error)));
+}
+
+#[test]
+fn request_is_rejected_after_its_last_permitted_attempt() {
+    let FirstAttempt { mut gateway, id, mut server } = FirstAttempt::send(Idempotency::Idempotent);
+    for attempt in 0..3 {
+        let actions = gateway.complete_attempt(id, attempt, server, AttemptStatus::Error);
+        server = forwarded_to(&actions).expect("a permitted attempt");
+    }
+    let actions = gateway.complete_attempt(id, 3, server, AttemptStatus::Error);
+    assert!(is_rejected(&actions) && forwarded_to(&actions).is_none());
+}
--- /dev/null
+++ b/crates/core/tests/outlier_ejection.rs
@@ -0,0 +1,71 @@
+//! Servers that fail are ejected, servers that reject are avoided for a while, and both get requests again later.
+
+mod common;
+
+use common::actions::forwarded_to;
+use common::events::{arrival, endpoint_delta};
+use common::settings::{endpoint, endpoints, plan, settings};
+use common::test_gateway::TestGateway;
+use common::SECOND;
+use grebehook_core::{AttemptStatus, Endpoint, EndpointState, Event, RequestArrival, ServerId};
+
+/// Server 1 ends attempts with `status`, every other server with success.
+fn only_server_1(status: AttemptStatus) -> impl Fn(ServerId) -> AttemptStatus {
+    move |server| if server == ServerId(1) { status } else { AttemptStatus::Ok }
+}
+
+#[test]
+fn server_that_returns_errors_is_ejected_and_tried_again_later() {
+    let mut gateway = TestGateway::new(settings(), &endpoints(1..=3));
+    let attempts_at_server_1 = |k: u64| {
+        let tried = gateway.run_request(100 + k, only_server_1(AttemptStatus::Error));
+        tried.iter().filter(|server| **server == ServerId(1)).count()
+    };
+    let failed: usize = (0..60).map(attempts_at_server_1).sum();
+    assert!((1..=6).contains(&failed), "{failed}");
+    gateway.run_until(gateway.now + 20 * SECOND);
+    let used: Vec<_> = (0..6).filter_map(|k| forwarded_to(&gateway.request(300 + k).1)).collect();
+    assert!(used.contains(&ServerId(1)), "tried again: {used:?}");
+}
+
+/// Operators see the ejections that the choice of server goes by.
+#[test]
+fn ejected_server_is_counted_for_as_long_as_it_is_avoided() {
+    let mut gateway = TestGateway::new(settings(), &endpoints(1..=3));
+    gateway.handle(endpoint_delta(vec![Endpoint { state: EndpointState::Draining, ..endpoint(3, 0) }]));
+    for k in 0..10 {
+        gateway.run_request(100 + k, only_server_1(AttemptStatus::ConnectFailed));
+    }
+    assert_eq!(gateway.gateway.endpoint_counts(gateway.now), (3, 1));
+    gateway.run_until(gateway.now + 20 * SECOND);
+    assert_eq!(gateway.gateway.endpoint_counts(gateway.now), (3, 0));
+}
+
+#[test]
+fn no_ejection_is_enforced_or_counted_when_most_servers_fail() {
+    let mut gateway = TestGateway::new(settings(), &[endpoint(1, 0), endpoint(2, 0)]);
+    for k in 0..40 {
+        gateway.run_request(100 + k, |_| AttemptStatus::ConnectionReset);
+    }
+    let counts = gateway.gateway.endpoint_counts(gateway.now);
+    assert_eq!(counts, (2, 0), "ejections that are not enforced are not counted");
+    assert!(!gateway.run_request(500, |_| AttemptStatus::Ok).is_empty());
+}
+
+#[test]
+fn server_that_rejects_one_plan_still_gets_requests_of_other_plans() {
+    let mut settings = settings();
+    settings.plans.push(plan());
+    let mut gateway = TestGateway::new(settings, &[endpoint(1, 0), endpoint(2, 0)]);
+    let tried = gateway.run_request(1_000, only_server_1(AttemptStatus::Rejected));
+    assert_eq!(tried, [ServerId(1), ServerId(2)], "rejected, then served elsewhere");
+    // Server 2 has attempts in flight; this plan still avoids server 1, to which another plan's request goes.
+    let same_plan: Vec<_> = (0..3).map(|k| forwarded_to(&gateway.request(500 + k).1)).collect();
+    assert_eq!(same_plan, [Some(ServerId(2)); 3]);
+    let other_plan = RequestArrival { plan: 1, ..arrival(5_000, 900) };
+    let actions = gateway.handle(Event::RequestArrived(other_plan));
+    assert_eq!(forwarded_to(&actions), Some(ServerId(1)));
+    gateway.run_until(gateway.now + 10 * SECOND);
+    let retried = forwarded_to(&gateway.request(600).1);
+    assert_eq!(retried, Some(ServerId(1)), "tried again after its backoff");
+}
--- a/crates/core/tests/start_times.rs
+++ b/crates/core/tests/start_times.rs
@@ -1,68 +1,87 @@
-//! Starts of servers are told by the fleet's clock. The gateway's own may be off by seconds or by hours, since a wall
-//! clock may be stepped before the process starts.
+//! Discovery reports starts of servers by the fleet's clock. The gateway's clock may be off by seconds or hours,
+//! since the wall clock may be stepped before the process starts.
 
 mod common;
-use common::*;
-use grebehook_core::*;
+
+use common::actions::forwarded_to;
+use common::events::endpoint_delta;
+use common::settings::{endpoint, settings};
+use common::test_gateway::TestGateway;
+use common::SECOND;
+use grebehook_core::{AttemptStatus, Endpoint, Micros, ServerId, Settings};
 use std::collections::VecDeque;
 
-const HOUR: Micros = 3_600 * S;
-/// Requests offered in a second.
-const OFFERED: u64 = 100;
-/// Requests that are out at a time.
-const OPEN: usize = 6;
-/// What the draw of a server may differ by.
-const CHANCE: usize = 5;
-/// Discovery tells at least so often that it has nothing new.
-const LIST_EVERY: u64 = OFFERED / 2;
+/// An hour of the gateway's clock.
+const HOUR: Micros = 3_600 * SECOND;
+/// Requests offered a second.
+const REQUESTS_PER_SECOND: u64 = 100;
+/// Requests in flight.
+const IN_FLIGHT: usize = 6;
+/// Requests by which two runs may differ because servers are drawn at random.
+const RANDOM_DIFFERENCE: usize = 5;
+/// An empty delta arrives from discovery after each so many requests.
+const REQUESTS_PER_DELTA: u64 = REQUESTS_PER_SECOND / 2;
 
-fn delta(entries: Vec<Endpoint>) -> Event {
-    Event::EndpointsChanged { watch_event: WatchEvent::Delta, endpoints: entries }
+/// Requests that a restarted server got.
+struct RequestsAfterStart {
+    /// In the three seconds from its start.
+    at_first: usize,
+    /// In three seconds a minute later.
+    a_minute_later: usize,
 }
 
-/// Requests that go to server 2 in three seconds from when it was told to have started just now, and from a minute
-/// later, beside two warm servers. The gateway's clock is `ahead` of the fleet's, or behind it.
-fn sends_after_a_start(ahead: i64) -> (usize, usize) {
-    let mut rig = Rig::new(Settings { gateway_count: 1, ..settings() }, &[entry(1, 0), entry(3, 0)]);
-    rig.run_to(2 * HOUR);
-    let begin = rig.now;
-    let fleet_time = |now: Micros| now.saturating_add_signed(-ahead);
-    let (mut first, mut later) = (0, 0);
-    let mut open = VecDeque::new();
-    for k in 0..64 * OFFERED {
-        rig.run_to(begin + k * S / OFFERED);
-        if k % LIST_EVERY == 0 {
-            rig.event(delta(Vec::new()));
+/// Restarts server 2 beside two warm servers. The gateway's clock is ahead of the fleet's by `clock_offset`
+/// microseconds, or behind it.
+fn requests_after_start(clock_offset: i64) -> RequestsAfterStart {
+    let endpoints = [endpoint(1, 0), endpoint(3, 0)];
+    let mut gateway = TestGateway::new(Settings { gateway_count: 1, ..settings() }, &endpoints);
+    gateway.run_until(2 * HOUR);
+    let begin = gateway.now;
+    let fleet_time = |now: Micros| now.saturating_add_signed(-clock_offset);
+    let mut counts = RequestsAfterStart { at_first: 0, a_minute_later: 0 };
+    let mut in_flight = VecDeque::new();
+    for k in 0..64 * REQUESTS_PER_SECOND {
+        gateway.run_until(begin + k * SECOND / REQUESTS_PER_SECOND);
+        if k % REQUESTS_PER_DELTA == 0 {
+            gateway.handle(endpoint_delta(Vec::new()));
         }
-        if k == OFFERED {
-            let started = Endpoint { started_at: Some(fleet_time(rig.now)), ..entry(2, 0) };
-            rig.event(delta(vec![started]));
+        if k == REQUESTS_PER_SECOND {
+            let started = Endpoint { started_at: Some(fleet_time(gateway.now)), ..endpoint(2, 0) };
+            gateway.handle(endpoint_delta(vec![started]));
         }
-        let (id, actions) = rig.request(0, 100 + k, 2 * S);
-        let Some(server) = sent(&actions) else { continue };
-        open.push_back((id, server));
-        if open.len() > OPEN {
-            let (id, server) = open.pop_front().expect("not empty");
-            rig.outcome(id, 0, server, AttemptStatus::Ok);
+        let (id, actions) = gateway.request(100 + k);
+        let Some(server) = forwarded_to(&actions) else { continue };
+        in_flight.push_back((id, server));
+        if in_flight.len() > IN_FLIGHT {
+            let (id, server) = in_flight.pop_front().expect("not empty");
+            gateway.complete_attempt(id, 0, server, AttemptStatus::Ok);
         }
-        let to_started = usize::from(server == ServerId(2));
-        match k / OFFERED {
-            1..=3 => first += to_started,
-            61..=63 => later += to_started,
+        let to_restarted = usize::from(server == ServerId(2));
+        match k / REQUESTS_PER_SECOND {
+            1..=3 => counts.at_first += to_restarted,
+            61..=63 => counts.a_minute_later += to_restarted,
             _ => {}
         }
     }
-    (first, later)
+    counts
 }
 
-/// A server that has just started is ramped up by the time that has really gone by.
+/// A server that has just started warms up by the time that has really passed.
 #[test]
-fn a_clock_that_is_off_neither_skips_the_ramp_of_a_server_nor_holds_it_back() {
-    let (cold, warm) = sends_after_a_start(0);
+fn clock_offset_neither_skips_nor_prolongs_the_slow_start_of_a_server() {
+    let RequestsAfterStart { at_first: cold, a_minute_later: warm } = requests_after_start(0);
     assert!(0 < cold && cold < warm, "{cold} at first, {warm} a minute later");
-    for ahead in [HOUR as i64, 60 * S as i64, -(60 * S as i64), -(HOUR as i64)] {
-        let (first, later) = sends_after_a_start(ahead);
-        assert!(first <= cold + CHANCE, "{ahead}: {first} to a cold server, {cold} by a sound clock");
-        assert!(later >= warm - warm / 4, "{ahead}: {later} to a warm server, {warm} by a sound clock");
+    let minute = 60 * SECOND as i64;
+    let hour = HOUR as i64;
+    for offset in [hour, minute, -minute, -hour] {
+        let RequestsAfterStart { at_first, a_minute_later } = requests_after_start(offset);
+        assert!(
+            at_first <= cold + RANDOM_DIFFERENCE,
+            "{offset}: {at_first} to a cold server, {cold} by a correct clock"
+        );
+        assert!(
+            a_minute_later >= warm - warm / 4,
+            "{offset}: {a_minute_later} to a warm server, {warm} by a correct clock"
+        );
     }
 }
