--- a/crates/core/tests/common/events.rs
+++ b/crates/core/tests/common/events.rs
@@ -55,7 +55,7 @@
     Event::EndpointsChanged { watch_event: WatchEvent::Delta, endpoints }
 }
 
-/// A load report that tells nothing but the requests in flight.
+/// A load report with the requests in flight and nothing else.
 pub fn in_flight_report(in_flight: f64) -> LoadReport {
     LoadReport { in_flight: Some(in_flight), ..LoadReport::default() }
 }
--- a/crates/core/tests/common/settings.rs
+++ b/crates/core/tests/common/settings.rs
@@ -32,6 +32,11 @@
     }
 }
 
+/// A plan whose rate limits no customer of a test.
+pub fn ample_plan() -> Plan {
+    Plan { rate: 1000.0, burst: 1000.0, ..plan() }
+}
+
 /// Two gateways, one idempotent class, one plan, and no source of information but the endpoint list.
 pub fn settings() -> Settings {
     Settings {
--- a/crates/core/tests/fleet_quota.rs
+++ b/crates/core/tests/fleet_quota.rs
@@ -4,7 +4,7 @@
 
 use common::actions::{counter_calls, forwarded_to};
 use common::fleet_gateway::FleetGateway;
-use common::settings::{endpoint, in_fleet, plan, settings_with_usage_reports, with_shared_counter};
+use common::settings::{ample_plan, endpoint, in_fleet, settings_with_usage_reports, with_shared_counter};
 use common::{MILLISECOND, SECOND};
 use grebehook_core::{Action, Event, Plan, RequestArrival, Settings};
 
@@ -29,7 +29,7 @@
     assert_eq!((0..160).filter(is_served).count(), 160);
 }
 
-/// The first gateway reads a usage of five times the quota and tells its peers; how many it tells.
+/// The first gateway reads a usage of five times the quota and sends gossip; returns how many peers get it.
 fn publish_excess_usage(gateways: &mut [FleetGateway]) -> usize {
     let server = gateways[0].forward(2 * SECOND, 1, CUSTOMER).expect("within quota at first");
     gateways[0].complete(2 * SECOND + 50 * MILLISECOND, 1, server, 5.0);
@@ -71,14 +71,8 @@
 #[test]
 fn hard_limits_of_all_gateways_add_up_to_the_plans_also_after_restarts() {
     let mut settings = settings_with_usage_reports();
-    settings.plans[0] = Plan {
-        rate: 1000.0,
-        burst: 1000.0,
-        hard_limit_rate: 40.0,
-        hard_limit_burst: 320.0,
-        hard_limit_overdraft: 32.0,
-        ..plan()
-    };
+    settings.plans[0] =
+        Plan { hard_limit_rate: 40.0, hard_limit_burst: 320.0, hard_limit_overdraft: 32.0, ..ample_plan() };
     let gateway_count = 160;
     let mut forwarded = 0;
     for index in 0..gateway_count {
--- a/crates/core/tests/fleet_slow_start.rs
+++ b/crates/core/tests/fleet_slow_start.rs
@@ -5,11 +5,11 @@
 use common::actions::forwarded_to;
 use common::events::{attempt_report, endpoint_delta};
 use common::fleet_gateway::FleetGateway;
-use common::settings::{endpoint, endpoints, in_fleet, plan, settings_with_usage_reports};
+use common::settings::{ample_plan, endpoint, endpoints, in_fleet, settings_with_usage_reports};
 use common::{MILLISECOND, SECOND};
 use grebehook_core::{
-    AttemptReport, AttemptStatus, Endpoint, EndpointState, Event, Micros, Plan, ProtocolRules, RequestId,
-    ServerId, Settings,
+    AttemptReport, AttemptStatus, Endpoint, EndpointState, Event, Micros, ProtocolRules, RequestId, ServerId,
+    Settings,
 };
 
 /// The server that warms up.
@@ -40,10 +40,10 @@
     total: u64,
 }
 
-/// Settings whose quota limits nobody.
+/// Settings whose quota limits no customer.
 fn unlimited_settings() -> Settings {
     let mut settings = settings_with_usage_reports();
-    settings.plans[0] = Plan { rate: 1000.0, burst: 1000.0, ..plan() };
+    settings.plans[0] = ample_plan();
     settings
 }
 
@@ -118,8 +118,8 @@
     }
 }
 
-/// What the server that warms up bears within an overload window: its overload budget, and twice the root of it
-/// and two more by chance.
+/// The most attempts that the server that warms up may get within an overload window: its overload budget, and
+/// for random variation twice the root of it and two more.
 fn max_attempts_within_window(from: Micros, rules: &ProtocolRules) -> f64 {
     let warmed_up = (from - STARTED_AT) as f64 / rules.warm_up as f64;
     let capacity = rules.initial_capacity + (1.0 - rules.initial_capacity) * warmed_up;
--- a/crates/core/tests/hard_limit.rs
+++ b/crates/core/tests/hard_limit.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::actions::forwarded_to;
-use common::settings::{endpoint, plan, settings};
+use common::settings::{ample_plan, endpoint, settings};
 use common::test_gateway::TestGateway;
 use common::SECOND;
 use grebehook_core::{AttemptStatus, Plan, Settings};
@@ -11,14 +11,8 @@
 /// A plan whose hard limit, not its rate, decides.
 fn hard_limit_settings() -> Settings {
     let mut settings = settings();
-    settings.plans[0] = Plan {
-        rate: 1000.0,
-        burst: 1000.0,
-        hard_limit_rate: 10.0,
-        hard_limit_burst: 20.0,
-        hard_limit_overdraft: 2.0,
-        ..plan()
-    };
+    settings.plans[0] =
+        Plan { hard_limit_rate: 10.0, hard_limit_burst: 20.0, hard_limit_overdraft: 2.0, ..ample_plan() };
     settings
 }
 
--- a/crates/core/tests/known_red.rs
+++ b/crates/core/tests/known_red.rs
@@ -1,11 +1,11 @@
-//! The list of known red tests, as continuous integration reads it.
+//! The script of continuous integration that reads the list of known failing tests.
 
 use std::io::Write;
 use std::path::Path;
 use std::process::{Command, Output, Stdio};
 
-/// What the script makes of a list, where only the tests `a::first` and `second` exist.
-fn read(name: &str, list: &str) -> Output {
+/// Runs the script on a list, where only the tests `a::first` and `second` exist.
+fn read_list(name: &str, list: &str) -> Output {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let file = folder.join(format!("known-red-{name}.txt"));
     std::fs::write(&file, list).expect("a file");
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn named_tests_are_passed_over_and_printed() {
-    let read = read("good", "a::first, it is slow, issue 14\n\nsecond, a race, issue 7");
+fn listed_tests_are_skipped_and_printed() {
+    let read = read_list("good", "a::first, it is slow, issue 14\n\nsecond, a race, issue 7");
     assert!(read.status.success());
     assert_eq!(read.stdout, b"a::first\nsecond\n");
     let printed = String::from_utf8_lossy(&read.stderr);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_fourth_line_an_unknown_test_or_a_bare_name_fails() {
+fn list_with_a_fourth_entry_an_unknown_test_or_a_missing_cause_or_issue_is_refused() {
     let line = "second, a race, issue 7\n";
     for (name, list) in [
         ("four", line.repeat(4)),
@@ -41,8 +41,8 @@
         ("bare", "second\n".to_owned()),
         ("causeless", "second, , issue 7\n".to_owned()),
     ] {
-        let read = read(name, &list);
+        let read = read_list(name, &list);
         assert!(!read.status.success() && !read.stderr.is_empty(), "{name}");
     }
-    assert!(read("three", &line.repeat(3)).status.success());
+    assert!(read_list("three", &line.repeat(3)).status.success());
 }
--- a/crates/core/tests/pacing.rs
+++ b/crates/core/tests/pacing.rs
@@ -123,5 +123,5 @@
         reported_usage: Some(0.5),
         ..report
     });
-    assert!(forwarded >= 15, "near two a second over ten seconds: {forwarded}");
+    assert!(forwarded >= 15, "about two a second over ten seconds: {forwarded}");
 }
--- a/crates/core/tests/policy_limits.rs
+++ b/crates/core/tests/policy_limits.rs
@@ -1,9 +1,9 @@
-//! The limits on the policy files, as continuous integration checks them.
+//! The script of continuous integration that checks the limits on policy files.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Whether the script lets a list of files with these texts pass.
+/// Whether the script accepts files with these texts.
 fn passes(name: &str, texts: &[String]) -> bool {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let files: Vec<PathBuf> =
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_policy_file_of_four_hundred_lines_passes_and_no_longer_one() {
+fn policy_files_of_400_lines_pass_and_a_longer_one_or_an_empty_list_fails() {
     let (line, blank) = ("let x = 1;\n", "  \n\n");
     assert!(passes("fits", &[line.repeat(400), blank.repeat(50) + &line.repeat(400), line.repeat(400)]));
     assert!(!passes("long", &[line.repeat(10), line.repeat(401)]));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn no_policy_line_is_past_110_columns() {
+fn policy_line_of_110_columns_passes_and_a_wider_one_fails() {
     let line = |width: usize| "x".repeat(width) + "\n";
     assert!(passes("width", &[line(110)]));
     assert!(!passes("wide", &[line(1), line(111)]));
--- a/crates/core/tests/shared_counter.rs
+++ b/crates/core/tests/shared_counter.rs
@@ -62,6 +62,12 @@
         self.gateway.request(CUSTOMER).1
     }
 
+    /// Another request now, which is counted; the counter replies with `total`.
+    fn counted_request(&mut self, total: f64) -> Vec<Action> {
+        assert!(counter_call(&self.request()).is_some(), "a call");
+        self.reply(total)
+    }
+
     /// The counter replies with `total`.
     fn reply(&mut self, total: f64) -> Vec<Action> {
         reply(&mut self.gateway, self.counter, total)
@@ -124,8 +130,7 @@
 fn units_that_peers_took_beyond_the_bucket_leave_a_deficit() {
     let mut counted = CountedRequest::forward(1.0);
     counted.gateway.run_for(250 * MILLISECOND);
-    assert!(counter_call(&counted.request()).is_some());
-    assert!(is_rejected(&counted.reply(1.0 + 1.0 + 6.0)));
+    assert!(is_rejected(&counted.counted_request(1.0 + 1.0 + 6.0)));
     let later = counted.gateway.run_for(150 * MILLISECOND);
     assert_eq!(counter_call(&later), counted.call_of(-1.0));
     counted.reply(1.0 + 6.0);
@@ -140,8 +145,7 @@
 fn deficit_is_bounded_by_what_the_age_of_the_total_explains() {
     let mut counted = CountedRequest::forward(1.0);
     counted.gateway.run_for(250 * MILLISECOND);
-    assert!(counter_call(&counted.request()).is_some());
-    assert!(is_rejected(&counted.reply(1.0 + 1.0 + 100.0)));
+    assert!(is_rejected(&counted.counted_request(1.0 + 1.0 + 100.0)));
     counted.gateway.run_for(150 * MILLISECOND);
     counted.reply(1.0 + 100.0);
     counted.gateway.run_for(SECOND);
@@ -170,8 +174,7 @@
 fn overflow_of_a_full_bucket_covers_the_usage_of_peers() {
     let mut counted = CountedRequest::forward(1.0);
     counted.gateway.run_for(5 * SECOND);
-    assert!(counter_call(&counted.request()).is_some());
-    let actions = counted.reply(1.0 + 1.0 + 6.0);
+    let actions = counted.counted_request(1.0 + 1.0 + 6.0);
     assert!(
         forwarded_to(&actions).is_some(),
         "six units in five seconds are less than the rate: {actions:?}"
@@ -261,7 +264,7 @@
     assert!((5..=40).contains(&calls), "{calls}");
 }
 
-/// A distant counter is as good as a near one while it replies well within the timeout.
+/// A distant counter is called like a close one while it replies well within the timeout.
 #[test]
 fn counter_that_replies_in_time_is_called_for_every_new_customer() {
     let mut gateway = counter_gateway();
