--- a/crates/gateway/tests/loopback/clients.rs
+++ b/crates/gateway/tests/loopback/clients.rs
@@ -1,42 +1,64 @@
-//! What clients send, and what they get.
+//! Client connections: what clients send, and the responses they get.
 
-use crate::rig::*;
-use serde_json::json;
+use crate::rig::client::Client;
+use crate::rig::deployment::{Deployment, IDEMPOTENT};
+use crate::rig::gate::Gate;
+use crate::rig::gateway_process::GatewayProcess;
+use crate::rig::request::{
+    idempotent_request, keyed_request, non_idempotent_request, with_client_timeout, with_framing,
+    HEALTH_CHECK,
+};
+use crate::rig::server::{Reply, Server};
 
-fn ok() -> Does {
-    Does::Answers("200 OK", b"done".to_vec())
+/// A socket limit that leaves room for 20 client connections.
+const FEW_SOCKETS: u32 = 80;
+
+/// A gateway before one server that keeps few client connections.
+fn gateway_with_few_sockets(server: &Server) -> GatewayProcess {
+    Deployment::with_server(server).configured_sockets(FEW_SOCKETS).start()
+}
+
+/// Sends the same request on each of a number of new connections, which stay open.
+fn idle_connections(gateway: &GatewayProcess, count: usize, request: impl Fn() -> String) -> Vec<Client> {
+    let served = |_| {
+        let mut client = gateway.connect();
+        assert_eq!(client.call(&request()).status(), 200);
+        client
+    };
+    (0..count).map(served).collect()
 }
 
 #[test]
-fn a_request_goes_on_and_its_answer_comes_back_unchanged() {
-    let body: Vec<u8> = (0..60_000u32).map(|k| k as u8).collect();
+fn request_is_forwarded_and_its_response_returned_unchanged() {
+    let body: Vec<u8> = (0..60_000u32).map(|position| position as u8).collect();
     let sent = body.clone();
     let server = Server::start(move |_| {
-        Does::Answers("200 OK\r\nX-LoadReport-Report: latency_ms=12.5,queue=1\r\nApi-Usage: 40", sent.clone())
+        let head = "200 OK\r\nX-LoadReport-Report: latency_ms=12.5,queue=1\r\nApi-Usage: 40";
+        Reply::Response { head, body: sent.clone() }
     });
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let mut client = gateway.client();
+    let gateway = GatewayProcess::in_front_of(&server);
+    let mut client = gateway.connect();
     for _ in 0..3 {
-        let answer = client.call(&notice("hail on the upper rows"));
-        assert_eq!((answer.status(), answer.whole), (200, true));
-        assert_eq!(answer.body, body);
-        let seen = server.request();
-        assert_eq!(seen.start, "POST /api HTTP/1.1");
+        let response = client.call(&keyed_request("hail on the upper rows"));
+        assert_eq!((response.status(), response.complete), (200, true));
+        assert_eq!(response.body, body);
+        let seen = server.next_request();
+        assert_eq!(seen.start_line, "POST /api HTTP/1.1");
         assert_eq!(seen.body, b"hail on the upper rows");
         assert_eq!((seen.header("idempotency-key"), seen.header("x-call-id").len()), ("k1", 16));
-        let budget: u64 = seen.header("x-budget-ms").parse().unwrap();
-        assert!((1..=1_900).contains(&budget), "budget {budget}");
+        let timeout_ms: u64 = seen.header("x-budget-ms").parse().unwrap();
+        assert!((1..=1_900).contains(&timeout_ms), "client timeout {timeout_ms} ms");
     }
-    assert_eq!(client.call(&status()).status(), 200);
-    assert_eq!(server.request().start, "GET /api?claim=7 HTTP/1.1");
-    assert_eq!(server.connections.load(std::sync::atomic::Ordering::SeqCst), 1);
+    assert_eq!(client.call(&idempotent_request()).status(), 200);
+    assert_eq!(server.next_request().start_line, "GET /api?claim=7 HTTP/1.1");
+    assert_eq!(server.connection_count(), 1);
 }
 
-/// What the module never saw must not look like its word: a 429 or 503 would promise that nothing ran.
+/// A 429 or 503 would be a decision of the decision core, which never sees a malformed request.
 #[test]
-fn a_malformed_request_is_the_clients_fault() {
-    let server = Server::start(|_| ok());
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
+fn malformed_request_gets_a_4xx_other_than_429() {
+    let server = Server::healthy();
+    let gateway = GatewayProcess::in_front_of(&server);
     let changes = [
         ("claim-status", "crop-survey"),
         ("X-Call-Class: claim-status\r\n", ""),
@@ -60,130 +82,111 @@
         ("X-Call-Id", "X-Other-Id"),
         ("GET", "POST"),
     ];
-    let mut client = gateway.client();
+    let mut client = gateway.connect();
     for (from, to) in changes {
-        let code = client.call(&status().replacen(from, to, 1)).status();
+        let code = client.call(&idempotent_request().replacen(from, to, 1)).status();
         assert!((400..500).contains(&code) && code != 429, "{from} -> {to}: {code}");
     }
-    // Behind a body that is not read no further request can be found.
-    let keyless = client.call(&notice("x").replace("Idempotency-Key: k1\r\n", ""));
+    // The start of a further request cannot be found behind a body that is not read.
+    let keyless = client.call(&keyed_request("x").replace("Idempotency-Key: k1\r\n", ""));
     assert_eq!((keyless.status(), keyless.header("connection")), (400, "close"));
-    let mut client = gateway.client();
-    assert_eq!(client.call(&status()).status(), 200);
-    assert_eq!((server.request().start.as_str(), server.unread().len()), ("GET /api?claim=7 HTTP/1.1", 0));
+    let mut client = gateway.connect();
+    assert_eq!(client.call(&idempotent_request()).status(), 200);
+    assert_eq!(server.next_request().start_line, "GET /api?claim=7 HTTP/1.1");
+    assert_eq!(server.unread_events().len(), 0);
 }
 
-/// A retry that has used up its client's time is a proper request: it is refused at once and goes to no server.
+/// A client timeout of 0, as of a retry that has used up its time, is well-formed.
 #[test]
-fn a_request_with_no_time_left_is_refused() {
-    let server = Server::start(|_| ok());
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let mut client = gateway.client();
-    let late = client.call(&status().replace("X-Budget-Ms: 1900", "X-Budget-Ms: 0"));
+fn request_with_expired_client_timeout_is_rejected_without_an_attempt() {
+    let server = Server::healthy();
+    let gateway = GatewayProcess::in_front_of(&server);
+    let mut client = gateway.connect();
+    let late = client.call(&with_client_timeout(&idempotent_request(), 0));
     assert!([429, 503].contains(&late.status()), "{}", late.status());
-    assert_eq!(client.call(&status()).status(), 200);
-    server.request();
-    assert!(server.unread().is_empty(), "a request with no time left was sent on");
+    assert_eq!(client.call(&idempotent_request()).status(), 200);
+    server.next_request();
+    assert!(server.unread_events().is_empty(), "a request with no time left was forwarded");
 }
 
-/// Only keyed requests have a key: one that must never run twice comes without, and goes on as it came.
+/// Only requests of the keyed class have an idempotency key.
 #[test]
-fn a_request_that_must_never_run_twice_needs_no_key() {
-    let server = Server::start(|_| ok());
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let answer = gateway.client().call(&payout("pay claim 7"));
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"done"[..]));
-    let seen = server.request();
-    assert_eq!((seen.start.as_str(), seen.body.as_slice()), ("POST /api HTTP/1.1", &b"pay claim 7"[..]));
+fn non_idempotent_request_is_forwarded_without_an_idempotency_key() {
+    let server = Server::healthy();
+    let gateway = GatewayProcess::in_front_of(&server);
+    let response = gateway.connect().call(&non_idempotent_request("pay claim 7"));
+    assert_eq!((response.status(), response.body.as_slice()), (200, &b"done"[..]));
+    let seen = server.next_request();
+    assert_eq!((seen.start_line.as_str(), seen.body.as_slice()), ("POST /api HTTP/1.1", &b"pay claim 7"[..]));
     assert!(!seen.headers.contains_key("idempotency-key"));
 }
 
 #[test]
-fn a_body_past_the_limit_is_413() {
-    let server = Server::start(|_| ok());
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    // The head is enough to tell; the body need not come.
-    let long = notice("").replace("Content-Length: 0", "Content-Length: 33554433");
-    assert_eq!(gateway.client().call(&long).status(), 413);
-    assert!(server.unread().is_empty());
+fn request_body_over_the_limit_gets_413() {
+    let server = Server::healthy();
+    let gateway = GatewayProcess::in_front_of(&server);
+    // The announced length is enough; no byte of the body is sent.
+    let long = with_framing(&keyed_request(""), "Content-Length: 33554433");
+    assert_eq!(gateway.connect().call(&long).status(), 413);
+    assert!(server.unread_events().is_empty());
 }
 
-/// Idle clients must not keep others out: at the bound the one idle longest goes.
+/// At the limit of connections a new one replaces the one that has been idle longest.
 #[test]
-fn idle_connections_make_room_for_new_ones() {
-    let server = Server::start(|_| ok());
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut small = config(&agent, &known);
-    small["limits"]["sockets"] = json!(80);
-    let gateway = Gateway::start(&small);
-    let mut idle: Vec<Client> = Vec::new();
-    for _ in 0..100 {
-        let mut client = gateway.client();
-        assert_eq!(client.call(&status()).status(), 200);
-        idle.push(client);
-    }
-    assert!(idle[0].answer().is_none(), "the first of 100 connections is still open");
-    assert_eq!(idle[99].call(&status()).status(), 200);
+fn connection_idle_longest_is_evicted_when_sockets_run_out() {
+    let server = Server::healthy();
+    let gateway = gateway_with_few_sockets(&server);
+    let mut idle = idle_connections(&gateway, 100, idempotent_request);
+    assert!(idle[0].response().is_none(), "the first of 100 connections is still open");
+    assert_eq!(idle[99].call(&idempotent_request()).status(), 200);
 }
 
-/// In a crowd that never asks anything, who writes slowly goes on while those who wrote nothing give way.
+/// A connection that has sent part of a request is evicted after those that have sent nothing.
 #[test]
-fn a_slow_client_outlives_a_silent_crowd() {
-    let server = Server::start(|_| ok());
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut small = config(&agent, &known);
-    small["limits"]["sockets"] = json!(80);
-    let gateway = Gateway::start(&small);
-    let request = status();
-    let mut slow = gateway.client();
-    let mut crowd: Vec<Client> = Vec::new();
+fn slowly_written_request_is_served_while_silent_connections_are_evicted() {
+    let server = Server::healthy();
+    let gateway = gateway_with_few_sockets(&server);
+    let request = idempotent_request();
+    let mut slow = gateway.connect();
+    let mut silent: Vec<Client> = Vec::new();
     for piece in request.as_bytes().chunks(request.len().div_ceil(4)) {
         slow.write_bytes(piece);
-        // Its piece came before this call, so it has been read by the answer.
-        assert_eq!(gateway.client().call(&status()).status(), 200);
-        crowd.extend((0..12).map(|_| gateway.client()));
+        // The piece was sent before this call, so the gateway has read it once this one is answered.
+        assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
+        silent.extend((0..12).map(|_| gateway.connect()));
     }
-    assert_eq!(slow.answer().expect("the slow client was closed").status(), 200);
-    assert!(crowd[0].answer().is_none(), "the first of the crowd is still open");
+    assert_eq!(slow.response().expect("the slow client was closed").status(), 200);
+    assert!(silent[0].response().is_none(), "the first silent connection is still open");
 }
 
-/// A machine that allows fewer descriptors than it says: accepting fails, and the gateway lives through it.
+/// The process's descriptor limit is below the configured one, so that `accept` fails with EMFILE.
 #[test]
-fn running_out_of_descriptors_sheds_idle_connections() {
-    let server = Server::start(|_| ok());
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let gateway = Gateway::start_within(&config(&agent, &known), 32);
-    assert_eq!(gateway.client().call(&status()).status(), 200);
-    let mut idle: Vec<Client> = Vec::new();
-    for _ in 0..60 {
-        let mut client = gateway.client();
-        assert_eq!(client.call("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
-        idle.push(client);
-    }
-    assert!(idle[0].answer().is_none(), "the first of 60 connections is still open");
-    assert_eq!(gateway.client().call(&status()).status(), 200);
+fn idle_connections_are_evicted_when_accept_runs_out_of_descriptors() {
+    let server = Server::healthy();
+    let gateway = Deployment::with_server(&server).descriptors(32).start();
+    assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
+    let mut idle = idle_connections(&gateway, 60, || HEALTH_CHECK.to_owned());
+    assert!(idle[0].response().is_none(), "the first of 60 connections is still open");
+    assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
 }
 
-/// With nothing sent anywhere, a client that gave up leaves no trace; the gateway goes on.
+/// A client that disconnects while its attempt is in flight has no effect on later requests.
 #[test]
-fn a_client_that_leaves_is_gone() {
-    let server = Server::start(|n| if n == 0 { Does::Hangs } else { ok() });
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let mut client = gateway.client();
-    client.write(&status());
-    server.request();
+fn client_disconnect_during_an_attempt_leaves_the_gateway_serving() {
+    let server = Server::start(|n| if n == 0 { Reply::Hang } else { Reply::ok("done") });
+    let gateway = GatewayProcess::in_front_of(&server);
+    let mut client = gateway.connect();
+    client.write(&idempotent_request());
+    server.next_request();
     drop(client);
-    assert_eq!(gateway.client().call(&status()).status(), 200);
+    assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
 }
 
-/// A length told twice could hide a second request in the first one's body, whichever of the two hyper keeps.
+/// A length that is stated twice could smuggle a second request in the body of the first.
 #[test]
-fn a_length_that_is_ambiguous_is_rejected_and_the_connection_closed() {
-    let server = Server::start(|_| ok());
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
+fn ambiguous_body_length_gets_400_and_closes_the_connection() {
+    let server = Server::healthy();
+    let gateway = GatewayProcess::in_front_of(&server);
     for lengths in [
         "Content-Length: 5\r\nTransfer-Encoding: chunked",
         "transfer-encoding: chunked\r\ncontent-length: 5",
@@ -193,178 +196,154 @@
         "Content-Length: 99999999999999999999999",
         "Transfer-Encoding: chunked, identity",
     ] {
-        let mut client = gateway.client();
-        client.write(&notice("").replace("Content-Length: 0", lengths));
-        client.write(&format!("0\r\n\r\n{}", status()));
-        let text = client.closes();
+        let mut client = gateway.connect();
+        client.write(&with_framing(&keyed_request(""), lengths));
+        client.write(&format!("0\r\n\r\n{}", idempotent_request()));
+        let text = client.read_until_closed();
         assert!(text.starts_with("HTTP/1.1 400"), "{lengths}: {text}");
         assert_eq!(text.matches("HTTP/1.1").count(), 1, "{lengths}: {text}");
     }
-    // Chunked alone is fine.
-    let mut client = gateway.client();
-    client.write(&notice("").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
+    // A chunked body alone is not ambiguous.
+    let mut client = gateway.connect();
+    client.write(&with_framing(&keyed_request(""), "Transfer-Encoding: chunked"));
     client.write("5\r\nabcde\r\n0\r\n\r\n");
-    assert_eq!(client.answer().expect("no answer").status(), 200);
-    assert_eq!(server.request().body, b"abcde");
-    assert!(server.unread().is_empty());
+    assert_eq!(client.expect_response().status(), 200);
+    assert_eq!(server.next_request().body, b"abcde");
+    assert!(server.unread_events().is_empty());
 }
 
-/// A client that says nothing, or half of something, does not stay.
+/// A connection is closed when its request is not complete in time.
 #[test]
-fn silent_and_half_requests_are_closed() {
-    let server = Server::start(|_| ok());
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
+fn silent_connections_and_incomplete_requests_time_out() {
+    let server = Server::healthy();
+    let gateway = GatewayProcess::in_front_of(&server);
     let starts = ["", "GET /api?cl", "GET /api HTTP/1.1\r\nX-Call-Id: 7\r\n"];
-    let mut clients: Vec<Client> = starts.iter().map(|_| gateway.client()).collect();
+    let mut clients: Vec<Client> = starts.iter().map(|_| gateway.connect()).collect();
     for (client, start) in clients.iter_mut().zip(starts) {
         client.write(start);
     }
-    let mut half = gateway.client();
-    half.write(&notice("half").replace("Content-Length: 4", "Content-Length: 5"));
-    assert!(half.closes().starts_with("HTTP/1.1 408"));
+    let mut incomplete = gateway.connect();
+    incomplete.write(&keyed_request("half").replace("Content-Length: 4", "Content-Length: 5"));
+    assert!(incomplete.read_until_closed().starts_with("HTTP/1.1 408"));
     for mut client in clients {
-        assert_eq!(client.closes(), "");
+        assert_eq!(client.read_until_closed(), "");
     }
-    assert!(server.unread().is_empty());
+    assert!(server.unread_events().is_empty());
 }
 
-/// Where there is no room for all, those go first that never asked for anything.
+/// At the limit of connections those that never sent a request are evicted first.
 #[test]
-fn silent_connections_do_not_push_out_usual_ones() {
-    let server = Server::start(|_| ok());
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut small = config(&agent, &known);
-    small["limits"]["sockets"] = json!(80);
-    let gateway = Gateway::start(&small);
-    let mut usual = gateway.client();
-    assert_eq!(usual.call(&status()).status(), 200);
-    let mut silent: Vec<Client> = (0..100).map(|_| gateway.client()).collect();
-    assert_eq!(silent[0].closes(), "");
-    assert_eq!(gateway.client().call(&status()).status(), 200);
-    assert_eq!(usual.call(&status()).status(), 200);
+fn connections_without_a_request_are_evicted_before_used_ones() {
+    let server = Server::healthy();
+    let gateway = gateway_with_few_sockets(&server);
+    let mut used = gateway.connect();
+    assert_eq!(used.call(&idempotent_request()).status(), 200);
+    let mut silent: Vec<Client> = (0..100).map(|_| gateway.connect()).collect();
+    assert_eq!(silent[0].read_until_closed(), "");
+    assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
+    assert_eq!(used.call(&idempotent_request()).status(), 200);
 }
 
-/// What a client sends while its request is in work is kept and answered in turn, as far as it is not too much.
+/// What a client sends while its request is in flight is buffered up to a limit and answered in order.
 #[test]
-fn what_is_sent_ahead_is_answered_in_turn() {
-    let (release, wait) = std::sync::mpsc::channel::<()>();
-    let wait = std::sync::Mutex::new(wait);
+fn pipelined_requests_are_answered_in_order() {
+    let (gate, waiter) = Gate::new();
     let server = Server::start(move |n| {
         if n % 2 == 0 {
-            wait.lock().unwrap().recv().unwrap();
+            waiter.wait();
         }
-        Does::Answers("200 OK", format!("n{n}").into_bytes())
+        Reply::ok(format!("n{n}"))
     });
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let mut client = gateway.client();
-    client.write(&notice("first"));
-    server.request();
-    let (before, behind) =
-        notice("second").split_at_checked(30).map(|(a, b)| (a.to_owned(), b.to_owned())).unwrap();
-    client.write(&before);
-    release.send(()).unwrap();
-    assert_eq!(client.answer().expect("no answer").body, b"n0");
-    client.write(&behind);
-    assert_eq!(client.answer().expect("no answer").body, b"n1");
-    server.request();
-    client.write(&notice("third"));
-    server.request();
-    client.write(&notice(&"x".repeat(60_000)));
-    // Another connection shows that what came on the first was read.
-    assert_eq!(gateway.client().call("GET /other HTTP/1.1\r\nHost: a\r\n\r\n").status(), 400);
-    release.send(()).unwrap();
-    let last = client.answer().expect("no answer");
+    let gateway = GatewayProcess::in_front_of(&server);
+    let mut client = gateway.connect();
+    client.write(&keyed_request("first"));
+    server.next_request();
+    let second = keyed_request("second");
+    let (start, rest) = second.split_at(30);
+    client.write(start);
+    gate.release_one();
+    assert_eq!(client.expect_response().body, b"n0");
+    client.write(rest);
+    assert_eq!(client.expect_response().body, b"n1");
+    server.next_request();
+    client.write(&keyed_request("third"));
+    server.next_request();
+    client.write(&keyed_request(&"x".repeat(60_000)));
+    gateway.wait_until_input_read();
+    gate.release_one();
+    let last = client.expect_response();
     assert_eq!(last.body, b"n2");
-    // Read or not, nothing that came behind is taken for another request.
+    // The pipelined request is either answered in full or dropped with the connection.
     if last.header("connection") == "close" {
-        assert_eq!(client.closes(), "");
-        assert!(server.unread().is_empty());
+        assert_eq!(client.read_until_closed(), "");
+        assert!(server.unread_events().is_empty());
     } else {
-        assert_eq!(client.answer().expect("no answer").body, b"n3");
-        assert_eq!(server.request().body.len(), 60_000);
+        assert_eq!(client.expect_response().body, b"n3");
+        assert_eq!(server.next_request().body.len(), 60_000);
     }
 }
 
-/// An id that is open belongs to the one who has it.
+/// A request id is free again once its request is answered.
 #[test]
-fn an_id_already_open_is_rejected_and_its_owner_served() {
-    let (release, wait) = std::sync::mpsc::channel::<()>();
-    let wait = std::sync::Mutex::new(wait);
+fn duplicate_id_of_a_request_in_flight_gets_409_and_the_first_is_served() {
+    let (gate, waiter) = Gate::new();
     let server = Server::start(move |_| {
-        wait.lock().unwrap().recv().unwrap();
-        ok()
+        waiter.wait();
+        Reply::ok("done")
     });
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let (mut owner, request) = (gateway.client(), status());
+    let gateway = GatewayProcess::in_front_of(&server);
+    let mut owner = gateway.connect();
+    let request = idempotent_request();
     owner.write(&request);
-    server.request();
-    assert_eq!(gateway.client().call(&request).status(), 409);
-    release.send(()).unwrap();
-    assert_eq!(owner.answer().expect("no answer").status(), 200);
-    assert!(server.unread().is_empty());
-    // Once it is over the id is free.
-    release.send(()).unwrap();
+    server.next_request();
+    assert_eq!(gateway.connect().call(&request).status(), 409);
+    gate.release_one();
+    assert_eq!(owner.expect_response().status(), 200);
+    assert!(server.unread_events().is_empty());
+    gate.release_one();
     assert_eq!(owner.call(&request).status(), 200);
 }
 
-/// The error reaches a client that goes on sending: its connection is not reset under the answer.
+/// The connection is not reset before the client has read the error.
 #[test]
-fn an_error_is_readable_behind_a_body_that_is_not_read() {
-    let server = Server::start(|_| ok());
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
+fn error_response_is_delivered_while_the_client_still_sends_its_body() {
+    let server = Server::healthy();
+    let gateway = GatewayProcess::in_front_of(&server);
     let long = "x".repeat(200 << 10);
-    let mut client = gateway.client();
-    client.write(&notice(&long).replace("Content-Length: 204800", "Content-Length: 99999999"));
-    assert!(client.closes().starts_with("HTTP/1.1 413"));
+    let mut client = gateway.connect();
+    client.write(&keyed_request(&long).replace("Content-Length: 204800", "Content-Length: 99999999"));
+    assert!(client.read_until_closed().starts_with("HTTP/1.1 413"));
 }
 
-/// Servers answer with more than they take in. More large answers than there is room for wait their turn.
+/// Responses that do not fit in the memory for bodies together are read from their servers one after another.
 #[test]
-fn large_answers_are_served_whole_within_the_memory() {
-    let body: Vec<u8> = (0..900_000u32).map(|k| (k / 7) as u8).collect();
+fn large_responses_over_the_body_memory_wait_and_arrive_complete() {
+    let body: Vec<u8> = (0..900_000u32).map(|position| (position / 7) as u8).collect();
     let sent = body.clone();
-    let server = Server::start(move |_| Does::Answers("200 OK", sent.clone()));
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut small = config(&agent, &known);
-    small["limits"]["memory_mb"] = json!(16);
-    for field in ["aimUs", "deadlineUs"] {
-        small["settings"]["classes"][0][field] = json!(20_000_000);
-    }
-    let gateway = Gateway::start(&small);
-    let mut clients: Vec<Client> = (0..5).map(|_| gateway.client()).collect();
+    let server = Server::start(move |_| Reply::ok(sent.clone()));
+    let deployment = Deployment::with_server(&server).set("/limits/memory_mb", 16);
+    let gateway = deployment.deadline_us(IDEMPOTENT, 20_000_000).start();
+    let mut clients: Vec<Client> = (0..5).map(|_| gateway.connect()).collect();
     for client in &mut clients {
-        client.write(&status().replace("X-Budget-Ms: 1900", "X-Budget-Ms: 19000"));
+        client.write(&with_client_timeout(&idempotent_request(), 19_000));
     }
     for client in &mut clients {
-        let answer = client.answer().expect("no answer");
-        assert_eq!((answer.status(), answer.whole), (200, true));
-        assert!(answer.body == body, "the body was changed");
+        let response = client.expect_response();
+        assert_eq!((response.status(), response.complete), (200, true));
+        assert!(response.body == body, "the body was changed");
     }
 }
 
-/// Room is made for one connection by closing one, and no more.
+/// A new connection at the limit evicts one other, and a connection that its client closed is not counted any more.
 #[test]
-fn no_more_connections_are_shed_than_come() {
-    let server = Server::start(|_| ok());
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut small = config(&agent, &known);
-    small["limits"]["sockets"] = json!(80);
-    let gateway = Gateway::start(&small);
-    let health = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
-    // One that goes by itself makes room, too, and must not be counted again later.
-    let mut leaves = gateway.client();
-    leaves.write(&health.replace("Host: a", "Host: a\r\nConnection: close"));
-    assert!(leaves.closes().starts_with("HTTP/1.1 200"));
-    let mut clients: Vec<Client> = Vec::new();
-    for _ in 0..21 {
-        let mut client = gateway.client();
-        assert_eq!(client.call(health).status(), 200);
-        clients.push(client);
-    }
-    // There is room for 20: the first is gone, and the second is not.
-    assert_eq!(clients[0].closes(), "");
-    assert_eq!(clients[1].call(health).status(), 200);
+fn one_connection_is_evicted_for_each_new_one() {
+    let server = Server::healthy();
+    let gateway = gateway_with_few_sockets(&server);
+    let mut closing = gateway.connect();
+    closing.write(&HEALTH_CHECK.replace("Host: a", "Host: a\r\nConnection: close"));
+    assert!(closing.read_until_closed().starts_with("HTTP/1.1 200"));
+    let mut clients = idle_connections(&gateway, 21, || HEALTH_CHECK.to_owned());
+    // Of 21 connections 20 fit: the first is evicted, the second is not.
+    assert_eq!(clients[0].read_until_closed(), "");
+    assert_eq!(clients[1].call(HEALTH_CHECK).status(), 200);
 }
--- a/crates/gateway/tests/loopback/counter.rs
+++ b/crates/gateway/tests/loopback/counter.rs
@@ -1,135 +1,130 @@
-//! The shared counter: what it is asked, and what follows from its answers.
+//! The shared counter: the calls it gets, and what follows from its replies.
 
-use crate::rig::*;
-use serde_json::{json, Value};
+use crate::rig::client::Client;
+use crate::rig::deployment::Deployment;
+use crate::rig::gateway_process::GatewayProcess;
+use crate::rig::request::{for_customer, idempotent_request, with_client_timeout};
+use crate::rig::server::{Reply, Server, ServerEvent};
 use std::net::{SocketAddr, TcpListener};
+use std::ops::Range;
 
-/// A customer's store that is drawn far down.
-const DRAWN: &[u8] = b"1000000000";
+/// A total far above any customer's quota.
+const EXHAUSTED_TOTAL: &str = "1000000000";
+/// How long a request waits for the counter: as long as a test may take.
+const REPLY_TIMEOUT_US: u64 = 15_000_000;
 
-fn ok() -> Does {
-    Does::Answers("200 OK", b"done".to_vec())
+/// A request whose client waits as long as a test may take.
+fn patient_request() -> String {
+    with_client_timeout(&idempotent_request(), 90_000)
 }
 
-fn patient() -> String {
-    status().replace("X-Budget-Ms: 1900", "X-Budget-Ms: 90000")
+/// A gateway before one server that uses this counter.
+fn deployment(server: &Server, counter: SocketAddr) -> Deployment {
+    Deployment::with_server(server).unlimited_deadline().shared_counter(counter, REPLY_TIMEOUT_US)
 }
 
-/// A gateway before one server and this counter.
-fn before(server: &Server, counter: SocketAddr, change: impl Fn(&mut Value)) -> (Gateway, Agent) {
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut config = counting_config(&agent, &known, counter);
-    change(&mut config);
-    (Gateway::start(&config), agent)
-}
-
-/// What other gateways drew from a customer's store holds here, too.
+/// What other gateways admitted for a customer counts against its quota here, too.
 #[test]
-fn a_store_that_the_counter_tells_is_empty_refuses() {
-    let server = Server::start(|_| ok());
-    let counter =
-        Server::start(|n| Does::Answers("200 OK", if n == 0 { b"2".to_vec() } else { DRAWN.to_vec() }));
-    let (gateway, _agent) = before(&server, counter.address, |config| {
-        config["settings"]["plans"][0]["rate"] = json!(0.001);
-        config["settings"]["plans"][0]["depth"] = json!(1_000_000.0);
-    });
-    let mut client = gateway.client();
-    assert_eq!(client.call(&patient()).status(), 200);
-    assert_eq!(counter.request().start, "POST /v2/numbers/b4d65521?delta=2&life_ms=60000 HTTP/1.1");
-    assert_eq!(client.call(&patient()).status(), 200, "the store was full a moment ago");
-    counter.request();
-    // The counter's word is on its way; the store alone would last for many more.
-    let refused = (0..100_000).map(|_| client.call(&patient())).find(|a| a.status() != 200);
-    let refused = refused.expect("the customer was served beyond the quota");
-    assert_eq!(refused.status(), 429);
-    assert!(refused.header("retry-after").parse::<f64>().unwrap() > 0.0);
+fn request_is_rejected_when_the_shared_total_exceeds_the_quota() {
+    let server = Server::healthy();
+    let counter = Server::start(|n| Reply::ok(if n == 0 { "2" } else { EXHAUSTED_TOTAL }));
+    let gateway = deployment(&server, counter.address).token_bucket(0.001, 1_000_000.0).start();
+    let mut client = gateway.connect();
+    assert_eq!(client.call(&patient_request()).status(), 200);
+    assert_eq!(counter.next_request().start_line, "POST /v2/numbers/b4d65521?delta=2&life_ms=60000 HTTP/1.1");
+    assert_eq!(client.call(&patient_request()).status(), 200, "the last known total is within the quota");
+    counter.next_request();
+    // The new total arrives while further requests are served; the bucket alone would admit far more of them.
+    let mut responses = (0..100_000).map(|_| client.call(&patient_request()));
+    let rejection = responses.find(|response| response.status() != 200);
+    let rejection = rejection.expect("the customer was served beyond the quota");
+    assert_eq!(rejection.status(), 429);
+    assert!(rejection.header("retry-after").parse::<f64>().unwrap() > 0.0);
 }
 
-/// An answer without a number ends its connection; neither that nor a refusal holds the customer back.
+/// Requests are forwarded though the counter's reply is malformed or an error.
 #[test]
-fn an_answer_without_a_number_holds_nobody_back() {
-    let bad = [
-        || Does::Answers("200 OK", b"many".to_vec()),
-        || Does::Answers("200 OK", b"NaN".to_vec()),
-        || Does::Answers("500 Error", DRAWN.to_vec()),
-        || Does::Breaks(""),
-        || Does::Breaks("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n1000"),
-        || Does::Writes("\0\0\r\n\r\n".to_owned()),
+fn malformed_counter_reply_does_not_block_requests() {
+    let malformed_replies = [
+        || Reply::ok("many"),
+        || Reply::ok("NaN"),
+        || Reply::Response { head: "500 Error", body: EXHAUSTED_TOTAL.into() },
+        || Reply::RawThenClose(""),
+        || Reply::RawThenClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n1000"),
+        || Reply::Raw("\0\0\r\n\r\n".to_owned()),
     ];
-    for does in bad {
-        let server = Server::start(|_| ok());
-        let counter = Server::start(move |n| if n == 0 { does() } else { Does::Hangs });
-        let (gateway, _agent) = before(&server, counter.address, |_| {});
-        assert_eq!(gateway.client().call(&patient()).status(), 200);
-        counter.request();
+    for reply in malformed_replies {
+        let server = Server::healthy();
+        let counter = Server::start(move |n| if n == 0 { reply() } else { Reply::Hang });
+        let gateway = deployment(&server, counter.address).start();
+        assert_eq!(gateway.connect().call(&patient_request()).status(), 200);
+        counter.next_request();
     }
-    let server = Server::start(|_| ok());
-    let counter = Server::start(|_| Does::Answers("503 Full", DRAWN.to_vec()));
-    let (gateway, _agent) = before(&server, counter.address, |_| {});
-    assert_eq!(gateway.client().call(&patient()).status(), 200);
+    let server = Server::healthy();
+    let counter = Server::start(|_| Reply::Response { head: "503 Full", body: EXHAUSTED_TOTAL.into() });
+    let gateway = deployment(&server, counter.address).start();
+    assert_eq!(gateway.connect().call(&patient_request()).status(), 200);
 }
 
-/// A counter that is down or silent costs a request its call and no more.
+/// Requests are forwarded though the counter refuses connections or does not reply.
 #[test]
-fn a_counter_that_is_down_or_silent_holds_nobody_back() {
-    let server = Server::start(|_| ok());
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let (gateway, _agent) = before(&server, nobody, |_| {});
-    assert_eq!(gateway.client().call(&patient()).status(), 200);
-    let silent = Server::start(|_| Does::Hangs);
-    let limit = |config: &mut Value| config["settings"]["familyInfo"]["countLimitUs"] = json!(80_000);
-    let (gateway, _agent) = before(&server, silent.address, limit);
-    assert_eq!(gateway.client().call(&patient()).status(), 200);
-    silent.request();
-    silent.closed();
+fn unreachable_or_silent_counter_does_not_block_requests() {
+    let server = Server::healthy();
+    let unreachable = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let gateway = deployment(&server, unreachable).start();
+    assert_eq!(gateway.connect().call(&patient_request()).status(), 200);
+    let silent = Server::silent();
+    let gateway = deployment(&server, silent.address).shared_counter(silent.address, 80_000).start();
+    assert_eq!(gateway.connect().call(&patient_request()).status(), 200);
+    silent.next_request();
+    silent.expect_connection_closed();
 }
 
-/// After a new configuration calls go to the counter that it names, and nothing is left open at the old one.
+/// After a reload calls go to the configured counter, and all connections to the previous one are closed.
 #[test]
-fn a_new_configuration_moves_the_counter() {
-    let server = Server::start(|_| ok());
-    let full = |_| Does::Answers("503 Full", Vec::new());
-    let (old, new) = (Server::start(full), Server::start(full));
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let (gateway, agent) = before(&server, old.address, |_| {});
-    assert_eq!(gateway.client().call(&patient()).status(), 200);
-    old.request();
-    gateway.configure(&counting_config(&agent, &known, new.address).to_string());
-    gateway.logged("the counter moves");
-    while let Note::Request(_) = old.note() {}
-    let other = patient().replace("00000000b4d65521", "0000000000000007");
-    assert_eq!(gateway.client().call(&other).status(), 200);
-    let seen = std::iter::repeat_with(|| new.request().start).find(|start| start.contains("/numbers/7?"));
-    assert!(seen.is_some());
-    assert!(old.unread().is_empty(), "the old counter was called again");
+fn configuration_reload_moves_calls_to_the_new_counter() {
+    let server = Server::healthy();
+    let old = Server::start(|_| Reply::empty("503 Full"));
+    let new = Server::start(|_| Reply::empty("503 Full"));
+    let deployment = deployment(&server, old.address);
+    let gateway = deployment.start();
+    assert_eq!(gateway.connect().call(&patient_request()).status(), 200);
+    old.next_request();
+    gateway.reload_with(&deployment.shared_counter(new.address, REPLY_TIMEOUT_US).config_text());
+    gateway.wait_for_log("the counter moves");
+    while let ServerEvent::Request(_) = old.next_event() {}
+    let other_customer = for_customer(&patient_request(), 7);
+    assert_eq!(gateway.connect().call(&other_customer).status(), 200);
+    while !new.next_request().start_line.contains("/numbers/7?") {}
+    assert!(old.unread_events().is_empty(), "the old counter was called again");
 }
 
-/// The counter resets connections of a gateway beyond 32: however many customers wait for a counter that says nothing,
-/// and though it moves meanwhile, there are fewer.
+/// The counter resets a gateway's connections beyond 32: requests of many customers that wait for a silent counter open
+/// fewer, also when a reload moves the counter meanwhile.
 #[test]
-fn a_silent_counter_is_not_flooded_with_connections() {
-    let server = Server::start(|_| ok());
-    let (counter, moved) = (Server::start(|_| Does::Hangs), Server::start(|_| Does::Hangs));
-    let (gateway, agent) = before(&server, counter.address, |_| {});
-    let new_customer = |number: usize| patient().replace("00000000b4d65521", &format!("{number:016x}"));
-    let ask = |numbers: std::ops::Range<usize>| -> Vec<Client> {
-        let clients = numbers.map(|number| {
-            let mut client = gateway.client();
-            client.write(&new_customer(number));
-            client
-        });
-        let clients = clients.collect();
-        // It is answered once all that came before it was read.
-        assert_eq!(gateway.client().call("GET /other HTTP/1.1\r\nHost: a\r\n\r\n").status(), 400);
-        clients
-    };
-    let _waiting = ask(1..60);
-    counter.request();
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    gateway.configure(&counting_config(&agent, &known, moved.address).to_string());
-    gateway.logged("the counter moves");
-    let _more = ask(60..120);
-    let open = |counter: &Server| counter.connections.load(std::sync::atomic::Ordering::SeqCst);
-    assert!(open(&counter) + open(&moved) <= 32, "{} and {}", open(&counter), open(&moved));
+fn connections_to_a_silent_counter_stay_bounded() {
+    let server = Server::healthy();
+    let counter = Server::silent();
+    let moved = Server::silent();
+    let deployment = deployment(&server, counter.address);
+    let gateway = deployment.start();
+    let _waiting = send_for_customers(&gateway, 1..60);
+    counter.next_request();
+    gateway.reload_with(&deployment.shared_counter(moved.address, REPLY_TIMEOUT_US).config_text());
+    gateway.wait_for_log("the counter moves");
+    let _more = send_for_customers(&gateway, 60..120);
+    let connections = [counter.connection_count(), moved.connection_count()];
+    assert!(connections.iter().sum::<usize>() <= 32, "{connections:?}");
+}
+
+/// Sends a request of each customer on a connection of its own, and waits until the gateway has read them.
+fn send_for_customers(gateway: &GatewayProcess, customers: Range<u64>) -> Vec<Client> {
+    let sent = customers.map(|customer| {
+        let mut client = gateway.connect();
+        client.write(&for_customer(&patient_request(), customer));
+        client
+    });
+    let clients = sent.collect();
+    gateway.wait_until_input_read();
+    clients
 }
--- a/crates/gateway/tests/loopback/departures.rs
+++ b/crates/gateway/tests/loopback/departures.rs
@@ -1,150 +1,256 @@
-//! Clients that go away before their request is sent on: nothing of it may reach a server.
+//! Clients that disconnect before their request is forwarded: no part of it may reach a server.
 //!
-//! The gateway is paused while its clients leave, so that it finds their requests, their ends and whatever else has
-//! happened meanwhile all at once, as a gateway short of processor time does.
+//! In several tests the gateway is paused while its clients disconnect, so that it finds their requests, the ends of their
+//! connections and whatever else has happened meanwhile all at once, as a gateway short of processor time does.
 
-use crate::rig::*;
+use crate::rig::client::Client;
+use crate::rig::deployment::{Deployment, KEYED};
+use crate::rig::endpoint::Endpoint;
+use crate::rig::gate::Gate;
+use crate::rig::gateway_process::GatewayProcess;
+use crate::rig::message::{read_head, Message};
+use crate::rig::request::{
+    for_customer, idempotent_request, keyed_request, non_idempotent_request, with_client_timeout,
+    HEALTH_CHECK,
+};
+use crate::rig::server::{Reply, Server};
+use crate::rig::unreachable::UnreachableListener;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
+use std::time::{Duration, Instant};
 
-/// Clients that leave in a test.
+/// Clients that disconnect in a test.
 const DEPARTURES: usize = 40;
-/// How often a test is played whose outcome hangs on the order of two events.
+/// How often a test runs whose outcome depends on the order of two events.
 const REPETITIONS: usize = 10;
-/// Requests of a client that stays, which come after those that left.
+/// Requests of a client that stays, sent after those of the clients that disconnected.
 const LATER_REQUESTS: usize = 5;
 
-fn ok() -> Does {
-    Does::Answers("200 OK", b"done".to_vec())
-}
-
+/// A request for a path whose client waits longer than a test takes.
 fn request_for(path: &str) -> String {
-    status().replace("/api?claim=7", path).replace("X-Budget-Ms: 1900", "X-Budget-Ms: 20000")
+    with_client_timeout(&idempotent_request().replace("/api?claim=7", path), 20_000)
 }
 
-fn patient_gateway(server: &Server) -> (Gateway, Agent) {
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    (Gateway::start(&patient_config(&agent, &known)), agent)
+/// A gateway before one server whose idempotent requests may take as long as a test does.
+fn patient_gateway(server: &Server) -> GatewayProcess {
+    Deployment::with_server(server).unlimited_deadline().start()
 }
 
-/// A client that stays is served, and nothing but its requests came to the server.
-fn only_a_client_that_stays_is_served(gateway: &Gateway, server: &Server) {
-    let mut client = gateway.client();
+/// Asserts that a client that stays is served, and that the server has received its requests alone.
+fn assert_only_staying_client_is_served(gateway: &GatewayProcess, server: &Server) {
+    let mut client = gateway.connect();
     for _ in 0..LATER_REQUESTS {
-        let answer = client.call(&request_for("/stays"));
-        assert_eq!(answer.status(), 200, "{answer:?}");
+        let response = client.call(&request_for("/stays"));
+        assert_eq!(response.status(), 200, "{response:?}");
     }
-    assert_eq!(requests(server), vec!["GET /stays HTTP/1.1"; LATER_REQUESTS]);
+    assert_eq!(unread_request_lines(server), vec!["GET /stays HTTP/1.1"; LATER_REQUESTS]);
 }
 
-/// The requests that have come to a server. Connections that were opened for one that was then given up do not count.
-fn requests(server: &Server) -> Vec<String> {
-    let requests = server.unread().into_iter().filter_map(|note| match note {
-        Note::Request(message) => Some(message.start),
-        Note::Closed => None,
-    });
-    requests.collect()
+/// The request lines of the requests that a server has received and no test has read yet.
+fn unread_request_lines(server: &Server) -> Vec<String> {
+    server.unread_requests().into_iter().map(|request| request.start_line).collect()
 }
 
-/// It waited in the listen queue with its request and its end behind that.
+/// The connection waited in the listen queue with the request and the client's end.
 #[test]
-fn a_client_that_left_before_it_was_accepted_reaches_no_server() {
-    let server = Server::start(|_| ok());
-    let (gateway, _agent) = patient_gateway(&server);
+fn request_of_a_client_that_disconnected_before_accept_is_not_forwarded() {
+    let server = Server::healthy();
+    let gateway = patient_gateway(&server);
     gateway.pause();
     let mut half_closed = Vec::new();
     for departure in 0..DEPARTURES {
-        let mut client = gateway.client();
+        let mut client = gateway.connect();
         client.write(&request_for("/leaves"));
         if departure % 2 == 0 {
-            client.end();
+            client.shutdown_write();
             half_closed.push(client);
         }
     }
-    gateway.clients_have_ended(DEPARTURES);
+    gateway.wait_for_client_ends(DEPARTURES);
     gateway.resume();
-    only_a_client_that_stays_is_served(&gateway, &server);
-    // Who ended only its own side is told that nothing was sent.
+    assert_only_staying_client_is_served(&gateway, &server);
+    // Clients that closed only their sending half learn that the request was not forwarded.
     for mut client in half_closed {
-        assert_eq!(client.answer().map_or(0, |answer| answer.status()), 429);
+        assert_eq!(client.response().map_or(0, |response| response.status()), 429);
     }
 }
 
-/// Its connection was in use before; then its request and its end came together.
+/// On a connection that was used before, the request and the client's end arrive together.
 #[test]
-fn a_client_that_left_before_its_request_was_read_reaches_no_server() {
-    let server = Server::start(|_| ok());
-    let (gateway, _agent) = patient_gateway(&server);
-    let mut clients: Vec<Client> = (0..DEPARTURES).map(|_| gateway.client()).collect();
+fn request_of_a_client_that_disconnected_before_it_was_read_is_not_forwarded() {
+    let server = Server::healthy();
+    let gateway = patient_gateway(&server);
+    let mut clients: Vec<Client> = (0..DEPARTURES).map(|_| gateway.connect()).collect();
     for client in &mut clients {
-        assert_eq!(client.call("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
+        assert_eq!(client.call(HEALTH_CHECK).status(), 200);
     }
     gateway.pause();
     for mut client in clients {
         client.write(&request_for("/leaves"));
     }
-    gateway.clients_have_ended(DEPARTURES);
+    gateway.wait_for_client_ends(DEPARTURES);
     gateway.resume();
-    only_a_client_that_stays_is_served(&gateway, &server);
+    assert_only_staying_client_is_served(&gateway, &server);
 }
 
-fn answer_with_total(counter: &mut TcpStream) {
+/// Replies as the shared counter with a total within the quota.
+fn reply_with_total(counter: &mut TcpStream) {
     counter.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2").unwrap();
 }
 
-/// Its request waited for the shared counter, whose answer came with its end.
+/// The request waits for the shared counter, whose reply arrives together with the client's end.
 #[test]
-fn a_client_that_left_while_its_request_was_held_reaches_no_server() {
-    let server = Server::start(|_| ok());
+fn request_of_a_client_that_disconnected_while_awaiting_the_counter_is_not_forwarded() {
+    let server = Server::healthy();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let config = counting_config(&agent, &known, listener.local_addr().unwrap());
-    let gateway = Gateway::start(&config);
-    let mut client = gateway.client();
+    let counter_address = listener.local_addr().unwrap();
+    let deployment = Deployment::with_server(&server).unlimited_deadline();
+    let gateway = deployment.shared_counter(counter_address, 15_000_000).start();
+    let mut client = gateway.connect();
     client.write(&request_for("/leaves"));
     let (mut counter, _) = listener.accept().unwrap();
     read_head(&mut counter);
     gateway.pause();
-    answer_with_total(&mut counter);
+    reply_with_total(&mut counter);
     drop(client);
-    gateway.clients_have_ended(1);
+    gateway.wait_for_client_ends(1);
     gateway.resume();
-    let mut stays = gateway.client();
-    stays.write(&request_for("/stays").replace("00000000b4d65521", "0000000000000007"));
+    let mut stays = gateway.connect();
+    stays.write(&for_customer(&request_for("/stays"), 7));
     read_head(&mut counter);
-    answer_with_total(&mut counter);
-    assert_eq!(stays.answer().expect("no answer").status(), 200);
-    assert_eq!(requests(&server), ["GET /stays HTTP/1.1"]);
+    reply_with_total(&mut counter);
+    assert_eq!(stays.expect_response().status(), 200);
+    assert_eq!(unread_request_lines(&server), ["GET /stays HTTP/1.1"]);
 }
 
-/// Its first attempt failed with its end. Which of the two the gateway sees first is up to the system.
+/// The first attempt fails together with the client's end; which of the two the gateway sees first is up to the system.
 #[test]
-fn a_client_that_left_between_two_attempts_reaches_no_second_server() {
+fn request_of_a_client_that_disconnected_between_attempts_is_not_retried() {
     for _ in 0..REPETITIONS {
-        leave_between_two_attempts();
+        disconnect_between_two_attempts();
     }
 }
 
-fn leave_between_two_attempts() {
+/// Fails the first attempt of a request at the moment its client disconnects.
+fn disconnect_between_two_attempts() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let server = Server::start(|_| ok());
-    let known = [
-        entry("s-1", listener.local_addr().unwrap(), "room-a", "ready"),
-        entry("s-2", server.address, "room-a", "draining"),
+    let server = Server::healthy();
+    let endpoints = vec![
+        Endpoint::ready("s-1", listener.local_addr().unwrap()),
+        Endpoint::draining("s-2", server.address),
     ];
-    let agent = Agent::start(known.to_vec());
-    let gateway = Gateway::start(&patient_config(&agent, &known));
-    let mut client = gateway.client();
+    let deployment = Deployment::new(endpoints).unlimited_deadline();
+    let gateway = deployment.start();
+    let mut client = gateway.connect();
     client.write(&request_for("/leaves"));
     let (mut first, _) = listener.accept().unwrap();
     read_head(&mut first);
-    agent.change(vec![entry("s-2", server.address, "room-a", "ready")]);
+    deployment.agent.publish(vec![Endpoint::ready("s-2", server.address)]);
     gateway.pause();
     first.write_all(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").unwrap();
     drop((first, client, listener));
-    gateway.clients_have_ended(1);
+    gateway.wait_for_client_ends(1);
     gateway.resume();
-    only_a_client_that_stays_is_served(&gateway, &server);
+    assert_only_staying_client_is_served(&gateway, &server);
+}
+
+/// The attempt waits for its connection when the client disconnects, whatever else the client had sent by then.
+#[test]
+fn request_of_a_client_that_disconnected_while_connecting_is_not_forwarded() {
+    let long_pipelined = format!("{}{}", keyed_request("next"), "x".repeat(40 << 10));
+    for pipelined in ["", "POST /ap", &keyed_request("next"), &long_pipelined] {
+        let listener = UnreachableListener::bind();
+        let gateway = gateway_that_waits_for(&listener);
+        let mut leaves = gateway.connect();
+        leaves.write(&with_client_timeout(&keyed_request("left"), 20_000));
+        gateway.wait_until_input_read();
+        leaves.write(pipelined);
+        drop(leaves);
+        let (response, server) = serve_staying_client(&gateway, listener);
+        assert_eq!(response.status(), 200);
+        let bodies: Vec<Vec<u8>> = server.unread_requests().into_iter().map(|request| request.body).collect();
+        assert_eq!(bodies, [b"stays".to_vec()], "behind {} bytes", pipelined.len());
+    }
+}
+
+/// The body is too long to be read before it is forwarded: the client's end arrives behind the unread rest.
+#[test]
+fn long_body_of_a_client_that_disconnected_while_connecting_is_not_forwarded() {
+    let listener = UnreachableListener::bind();
+    let gateway = gateway_that_waits_for(&listener);
+    let mut leaves = gateway.connect();
+    let long_body = "x".repeat(150 << 10);
+    leaves.write(&with_client_timeout(&keyed_request(&long_body), 20_000));
+    let disconnected_at = Instant::now();
+    leaves.shutdown_write();
+    // A rejection or the end of the connection shows that the request is over before any server is reachable.
+    assert!(leaves.response().is_none_or(|response| response.status() == 429));
+    let noticed_after = disconnected_at.elapsed();
+    assert!(noticed_after < Duration::from_secs(10), "noticed after {noticed_after:?}");
+    let (response, server) = serve_staying_client(&gateway, listener);
+    assert_eq!(response.status(), 200);
+    assert!(server.next_request_on_any_connection().body == b"stays", "the long body was forwarded");
+    assert_eq!(server.unread_requests().len(), 0);
+}
+
+/// A gateway before one endpoint that is unreachable for now; a keyed request waits for it.
+fn gateway_that_waits_for(listener: &UnreachableListener) -> GatewayProcess {
+    let deployment = Deployment::with_endpoint(listener.address()).unlimited_connect_timeout();
+    deployment.set(&format!("/settings/classes/{KEYED}/deadlineUs"), 20_000_000).start()
+}
+
+/// Sends a keyed request, lets the endpoint become reachable, and returns the response with the endpoint's server.
+fn serve_staying_client(gateway: &GatewayProcess, listener: UnreachableListener) -> (Message, Server) {
+    let mut stays = gateway.connect();
+    stays.write(&with_client_timeout(&keyed_request("stays"), 20_000));
+    gateway.wait_until_input_read();
+    let server = Server::start_on(listener.make_reachable(), |_| Reply::ok("done"));
+    (stays.expect_response(), server)
+}
+
+/// The attempt fails, in either way that allows a retry, after its client has disconnected.
+#[test]
+fn failed_attempt_is_not_retried_after_the_client_disconnected() {
+    for failure in ["503 Full\r\nX-Rejected: 1", "500 Error"] {
+        let (gate, waiter) = Gate::new();
+        let server = Server::start(move |n| {
+            if n > 0 {
+                return Reply::ok("done");
+            }
+            waiter.wait();
+            Reply::empty(failure)
+        });
+        let endpoints = ["s-1", "s-2"].map(|name| Endpoint::ready(name, server.address));
+        let gateway = Deployment::new(endpoints.to_vec()).start();
+        let mut leaves = gateway.connect();
+        leaves.write(&idempotent_request());
+        server.next_request();
+        leaves.shutdown_write();
+        assert!(leaves.response().is_some_and(|response| response.status() >= 400));
+        gate.release_one();
+        // The server's next requests are those of a client that comes later.
+        let mut stays = gateway.connect();
+        for _ in 0..3 {
+            assert_eq!(stays.call(&non_idempotent_request("stays")).status(), 200);
+            assert_eq!(server.next_request_on_any_connection().body, b"stays");
+        }
+    }
+}
+
+/// A client that closes its sending half counts as disconnected, but may still read.
+#[test]
+fn half_closed_client_receives_the_outcome_of_its_request() {
+    let listener = UnreachableListener::bind();
+    let silent = Server::silent();
+    for (address, status) in [(listener.address(), 429), (silent.address, 502)] {
+        let gateway = Deployment::with_endpoint(address).unlimited_connect_timeout().start();
+        let mut client = gateway.connect();
+        client.write(&non_idempotent_request("x"));
+        if status == 502 {
+            silent.next_request();
+        }
+        client.shutdown_write();
+        assert_eq!(client.expect_response().status(), status);
+        assert!(client.response().is_none());
+    }
 }
--- a/crates/gateway/tests/loopback/discovery.rs
+++ b/crates/gateway/tests/loopback/discovery.rs
@@ -1,306 +1,331 @@
-//! The list of servers and messages of peers.
+//! The endpoint list from discovery, and gossip of peers.
 
-use crate::rig::*;
-use serde_json::json;
-use std::net::UdpSocket;
+use crate::rig::client::Client;
+use crate::rig::deployment::Deployment;
+use crate::rig::discovery_agent::{DiscoveryAgent, WatchFault};
+use crate::rig::endpoint::{Endpoint, EndpointStatus, REMOTE_ZONE};
+use crate::rig::request::idempotent_request;
+use crate::rig::server::{Reply, Server};
+use serde_json::{json, Value};
+use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
+/// A change counts as notified this long after a watch has failed.
+const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
+/// The memory of an idle gateway with up to a thousand endpoints.
+const IDLE_MEMORY_KIB: u64 = 24 << 10;
+/// The memory that each further thousand endpoints may add.
+const MEMORY_PER_1000_ENDPOINTS_KIB: u64 = 4 << 10;
+
+/// Publishes that `s-1` is draining and `s-2` has taken its place.
+fn publish_replacement(agent: &DiscoveryAgent, first: &Server, second: &Server) {
+    agent.publish(vec![Endpoint::draining("s-1", first.address), Endpoint::ready("s-2", second.address)]);
+}
+
+/// Sends an idempotent request and returns the body of its response.
+fn response_body(client: &mut Client) -> Vec<u8> {
+    client.call(&idempotent_request()).body
+}
+
+/// A gateway of a fleet of this many, before one server.
+fn fleet_deployment(gateways: usize, server: &Server) -> Deployment {
+    Deployment::with_server(server).gateway_count(gateways)
+}
+
 #[test]
-fn a_known_name_at_another_address_is_followed() {
-    let (old, new) = (named("old"), named("new"));
-    let (gateway, agent) = Gateway::before(&[("s-1", &old, "room-a")]);
-    let mut client = gateway.client();
-    assert_eq!(client.call(&status()).body, b"old");
-    agent.change(vec![entry("s-1", new.address, "room-a", "ready")]);
-    assert_eq!(client.call(&status()).body, b"new");
+fn endpoint_that_changes_its_address_is_followed() {
+    let old = Server::responding_with("old");
+    let new = Server::responding_with("new");
+    let deployment = Deployment::with_server(&old);
+    let gateway = deployment.start();
+    let mut client = gateway.connect();
+    assert_eq!(response_body(&mut client), b"old");
+    deployment.agent.publish(vec![Endpoint::ready("s-1", new.address)]);
+    assert_eq!(response_body(&mut client), b"new");
 }
 
 #[test]
-fn a_server_that_drains_or_is_gone_gets_nothing_new() {
-    for end in ["draining", "gone"] {
-        let (first, second) = (named("first"), named("second"));
-        let (gateway, agent) = Gateway::before(&[("s-1", &first, "room-a")]);
-        let mut client = gateway.client();
-        assert_eq!(client.call(&status()).body, b"first");
-        let changed =
-            [entry("s-1", first.address, "room-a", end), entry("s-2", second.address, "room-b", "ready")];
-        agent.change(changed.to_vec());
+fn draining_or_removed_endpoint_gets_no_new_requests() {
+    for status in [EndpointStatus::Draining, EndpointStatus::Gone] {
+        let first = Server::responding_with("first");
+        let second = Server::responding_with("second");
+        let deployment = Deployment::with_server(&first);
+        let gateway = deployment.start();
+        let mut client = gateway.connect();
+        assert_eq!(response_body(&mut client), b"first");
+        deployment.agent.publish(vec![
+            Endpoint::ready("s-1", first.address).with_status(status),
+            Endpoint::ready("s-2", second.address).in_zone(REMOTE_ZONE),
+        ]);
         for _ in 0..10 {
-            assert_eq!(client.call(&status()).body, b"second");
+            assert_eq!(response_body(&mut client), b"second");
         }
     }
 }
 
-/// While discovery fails the old list serves. Every gateway of a fleet fails at such a time: none may ask for
-/// the whole list then, the dearest call there is, as its version still tells what it lacks.
+/// The previous list serves while discovery fails. A watch then resumes from its version: all gateways of a fleet fail at
+/// the same time, and the full list is the most expensive call.
 #[test]
-fn a_failed_watch_keeps_the_list_and_goes_on_from_its_version() {
-    let (first, second) = (named("first"), named("second"));
-    let (gateway, agent) = Gateway::before(&[("s-1", &first, "room-a")]);
-    let mut client = gateway.client();
-    agent.fail();
-    assert_eq!(client.call(&status()).body, b"first");
-    agent.recover(vec![entry("s-2", second.address, "room-a", "ready")]);
-    assert_eq!(client.call(&status()).body, b"second");
-    assert!(!agent.gave_all(), "the whole list was asked for");
+fn failed_watch_keeps_the_list_and_resumes_from_its_version() {
+    let first = Server::responding_with("first");
+    let second = Server::responding_with("second");
+    let deployment = Deployment::with_server(&first);
+    let gateway = deployment.start();
+    let mut client = gateway.connect();
+    deployment.agent.fail();
+    assert_eq!(response_body(&mut client), b"first");
+    deployment.agent.recover(vec![Endpoint::ready("s-2", second.address)]);
+    assert_eq!(response_body(&mut client), b"second");
+    assert!(!deployment.agent.snapshot_requested(), "the full list was requested");
 }
 
-/// A gateway of a fleet of so many, before one server, and its agent.
-fn among(gateways: usize, server: &Server) -> (Gateway, Agent) {
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut config = config(&agent, &known);
-    config["settings"]["siblings"] = json!(gateways);
-    (Gateway::start(&config), agent)
-}
-
-/// What a silent watch misses counts as told 6 s after it fell silent; with the second that drains have, it must be
-/// known by then in a fleet of any size. The agent answers at once, so the news comes with the next call.
+/// A change that a silent watch misses counts as notified after 6 s. With the second that draining takes it must be known
+/// by then in a fleet of any size; the agent answers at once, so that the change arrives with the next call.
 #[test]
-fn a_watch_that_fell_silent_or_broke_is_opened_anew_in_time_in_any_fleet() {
+fn silent_or_closed_watch_is_reopened_in_time_in_any_fleet_size() {
     for gateways in [2, 300] {
-        for odd in [Odd::Silence, Odd::Close] {
-            let (first, second) = (named("first"), named("second"));
-            let (gateway, agent) = among(gateways, &first);
-            let mut client = gateway.client();
-            assert_eq!(client.call(&status()).body, b"first");
-            agent.called(1);
-            let most = Duration::from_millis(if odd == Odd::Close { 1_000 } else { 4_000 });
+        for fault in [WatchFault::Unanswered, WatchFault::CloseConnection] {
+            let first = Server::responding_with("first");
+            let second = Server::responding_with("second");
+            let deployment = fleet_deployment(gateways, &first);
+            let gateway = deployment.start();
+            let mut client = gateway.connect();
+            assert_eq!(response_body(&mut client), b"first");
+            deployment.agent.wait_for_calls(1);
+            let limit_ms = if fault == WatchFault::CloseConnection { 1_000 } else { 4_000 };
             let from = Instant::now();
-            agent.treat(odd);
-            agent.change(vec![
-                entry("s-1", first.address, "room-a", "draining"),
-                entry("s-2", second.address, "room-a", "ready"),
-            ]);
-            assert!(from.elapsed() < most, "{gateways} gateways: after {:?}", from.elapsed());
-            assert_eq!(client.call(&status()).body, b"second");
+            deployment.agent.inject(fault);
+            publish_replacement(&deployment.agent, &first, &second);
+            assert!(
+                from.elapsed() < Duration::from_millis(limit_ms),
+                "{gateways} gateways: after {:?}",
+                from.elapsed()
+            );
+            assert_eq!(response_body(&mut client), b"second");
         }
     }
 }
 
-/// The same where the list is asked for: a service that all share is waited for longer, but not paused for after that.
+/// A service that all gateways poll is given longer to answer, but the retry follows without a backoff.
 #[test]
-fn a_silent_watch_of_a_shared_service_is_opened_anew_in_time() {
-    let (first, second) = (named("first"), named("second"));
-    let known = [entry("s-1", first.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut config = config(&agent, &known);
-    config["settings"]["siblings"] = json!(300);
-    config["settings"]["discovery"] = json!("ask");
-    let gateway = Gateway::start(&config);
+fn silent_watch_of_a_polled_service_is_reopened_in_time() {
+    let first = Server::responding_with("first");
+    let second = Server::responding_with("second");
+    let deployment = fleet_deployment(300, &first).polled_discovery();
+    let gateway = deployment.start();
     let from = Instant::now();
-    agent.treat(Odd::Silence);
-    agent.change(vec![
-        entry("s-1", first.address, "room-a", "draining"),
-        entry("s-2", second.address, "room-a", "ready"),
-    ]);
+    deployment.agent.inject(WatchFault::Unanswered);
+    publish_replacement(&deployment.agent, &first, &second);
     assert!(from.elapsed() < Duration::from_millis(6_500), "after {:?}", from.elapsed());
-    assert_eq!(gateway.client().call(&status()).body, b"second");
+    assert_eq!(response_body(&mut gateway.connect()), b"second");
 }
 
-/// A call that hung and broke off allows no further pause that passes the 6 s after which a change counts as told,
-/// however many gateways share the service.
+/// A call that hangs and is closed then leaves no time for a backoff, however many gateways share the service.
 #[test]
-fn a_watch_that_breaks_off_late_is_opened_anew_before_its_news_counts_as_told() {
+fn watch_closed_after_a_delay_is_reopened_within_the_notification_deadline() {
     for gateways in [2, 350] {
-        let (first, second) = (named("first"), named("second"));
-        let known = [entry("s-1", first.address, "room-a", "ready")];
-        let agent = Agent::start(known.to_vec());
-        let mut config = config(&agent, &known);
-        config["settings"]["siblings"] = json!(gateways);
-        config["settings"]["discovery"] = json!("ask");
-        let gateway = Gateway::start(&config);
-        agent.called(1);
+        let first = Server::responding_with("first");
+        let second = Server::responding_with("second");
+        let deployment = fleet_deployment(gateways, &first).polled_discovery();
+        let gateway = deployment.start();
+        deployment.agent.wait_for_calls(1);
         let from = Instant::now();
-        agent.treat(Odd::CloseAfter(Duration::from_millis(4_500)));
-        agent.change(vec![
-            entry("s-1", first.address, "room-a", "draining"),
-            entry("s-2", second.address, "room-a", "ready"),
-        ]);
-        assert!(from.elapsed() < Duration::from_millis(6_000), "{gateways}: after {:?}", from.elapsed());
-        assert_eq!(gateway.client().call(&status()).body, b"second");
+        deployment.agent.inject(WatchFault::CloseConnectionAfter(Duration::from_millis(4_500)));
+        publish_replacement(&deployment.agent, &first, &second);
+        assert!(from.elapsed() < NOTIFICATION_DEADLINE, "{gateways}: after {:?}", from.elapsed());
+        assert_eq!(response_body(&mut gateway.connect()), b"second");
     }
 }
 
-/// Whether a list is pushed or asked for, among few or many, and whether the call before was refused or given up just as
-/// discovery returned: what it has then is known within the 6 s after which it counts as told.
+/// Whether the list is pushed or polled, by few gateways or many, and whether the call before was answered with an error or
+/// left open as discovery recovered.
 #[test]
-fn what_discovery_has_when_it_returns_is_known_within_six_seconds() {
-    let (first, second) = (named("first"), named("second"));
-    let known = [entry("s-1", first.address, "room-a", "ready")];
-    let replaced = [entry("s-2", second.address, "room-a", "ready")];
-    let case = |mode: &str, gateways: usize, refused: bool| {
-        let agent = Agent::start(known.to_vec());
-        let mut config = config(&agent, &known);
-        config["settings"]["siblings"] = json!(gateways);
-        config["settings"]["discovery"] = json!(mode);
-        let gateway = Gateway::start(&config);
-        agent.called(1);
-        if refused {
-            agent.fail();
-        } else {
-            // The call that is out was begun a moment ago, and stays unanswered for good.
-            agent.treat(Odd::Down);
-            agent.called(1);
-            agent.back();
-        }
-        let from = Instant::now();
-        agent.recover(replaced.to_vec());
-        let took = from.elapsed();
-        assert!(took < Duration::from_millis(6_000), "{mode}, {gateways}, refused {refused}: {took:?}");
-        assert_eq!(gateway.client().call(&status()).body, b"second");
-    };
+fn list_is_current_within_six_seconds_of_discovery_recovering() {
     std::thread::scope(|scope| {
-        for (mode, gateways) in [("push", 2), ("push", 350), ("ask", 2), ("ask", 350)] {
-            for refused in [true, false] {
-                let case = &case;
-                scope.spawn(move || case(mode, gateways, refused));
+        for polled in [false, true] {
+            for gateways in [2, 350] {
+                for refused in [true, false] {
+                    scope.spawn(move || recover_and_measure(polled, gateways, refused));
+                }
             }
         }
     });
 }
 
-/// What the agent gets when discovery is back counts as told at once, though the calls made before stay unanswered.
+/// Lets discovery fail and recover with a new list, and asserts that the gateway serves from that in time.
+fn recover_and_measure(polled: bool, gateways: usize, refused: bool) {
+    let first = Server::responding_with("first");
+    let second = Server::responding_with("second");
+    let mut deployment = fleet_deployment(gateways, &first);
+    if polled {
+        deployment = deployment.polled_discovery();
+    }
+    let gateway = deployment.start();
+    deployment.agent.wait_for_calls(1);
+    if refused {
+        deployment.agent.fail();
+    } else {
+        // The call in flight started a moment ago and is never answered.
+        deployment.agent.inject(WatchFault::Down);
+        deployment.agent.wait_for_calls(1);
+        deployment.agent.restore();
+    }
+    let from = Instant::now();
+    deployment.agent.recover(vec![Endpoint::ready("s-2", second.address)]);
+    let took = from.elapsed();
+    let case = format!("polled {polled}, {gateways} gateways, refused {refused}");
+    assert!(took < NOTIFICATION_DEADLINE, "{case}: {took:?}");
+    assert_eq!(response_body(&mut gateway.connect()), b"second");
+}
+
+/// Changes count as notified as soon as discovery has recovered, though earlier calls stay unanswered.
 #[test]
-fn what_changed_while_discovery_was_down_is_known_soon_after_its_return() {
+fn changes_during_an_outage_are_known_within_two_seconds_of_recovery() {
     for gateways in [2, 300] {
-        let (first, second) = (named("first"), named("second"));
-        let (gateway, agent) = among(gateways, &first);
-        let mut client = gateway.client();
-        agent.treat(Odd::Down);
-        agent.called(2);
-        assert_eq!(client.call(&status()).body, b"first");
+        let first = Server::responding_with("first");
+        let second = Server::responding_with("second");
+        let deployment = fleet_deployment(gateways, &first);
+        let gateway = deployment.start();
+        let mut client = gateway.connect();
+        deployment.agent.inject(WatchFault::Down);
+        deployment.agent.wait_for_calls(2);
+        assert_eq!(response_body(&mut client), b"first");
         let from = Instant::now();
-        agent.back();
-        agent.change(vec![
-            entry("s-1", first.address, "room-a", "draining"),
-            entry("s-2", second.address, "room-a", "ready"),
-        ]);
+        deployment.agent.restore();
+        publish_replacement(&deployment.agent, &first, &second);
         assert!(from.elapsed() < Duration::from_millis(2_000), "{gateways} gateways: {:?}", from.elapsed());
-        assert_eq!(client.call(&status()).body, b"second");
+        assert_eq!(response_body(&mut client), b"second");
     }
 }
 
-/// A thousand processes and as many servers: all are known, whether from the configuration or from discovery, and the
-/// least memory that a process is given is enough.
+/// All endpoints are known, from the configuration or from discovery, within the least memory that a process is given.
 #[test]
-fn a_thousand_gateways_and_a_thousand_servers_are_no_limit() {
-    a_fleet_is_known(1_024, 1_024, 24 << 10);
+fn fleet_of_1024_gateways_and_1024_endpoints_is_served_within_memory() {
+    serve_large_fleet(1_024, 1_024, IDLE_MEMORY_KIB);
 }
 
-/// The largest fleet of the terms, which allow 4 MB more for each thousand servers.
+/// The largest fleet that the operators' terms name.
 #[test]
-fn nine_hundred_gateways_and_thirty_two_hundred_servers_are_no_limit() {
-    a_fleet_is_known(900, 3_200, (24 + 2 * 4) << 10);
+fn fleet_of_900_gateways_and_3200_endpoints_is_served_within_memory() {
+    serve_large_fleet(900, 3_200, IDLE_MEMORY_KIB + 2 * MEMORY_PER_1000_ENDPOINTS_KIB);
 }
 
-/// Serves from the configuration's list and from one that replaces it at once, within so many KiB.
-fn a_fleet_is_known(gateways: usize, servers: usize, memory: u64) {
-    let (first, last) = (named("first"), named("last"));
-    let many = |name: &str, at: &Server| -> Vec<_> {
-        (0..servers).map(|k| entry(&format!("{name}-{k:04}"), at.address, "room-a", "ready")).collect()
+/// Serves from the configuration's list and from one that replaces it in one step, within a memory limit.
+fn serve_large_fleet(gateways: usize, endpoints: usize, memory_limit_kib: u64) {
+    let first = Server::responding_with("first");
+    let last = Server::responding_with("last");
+    let deployment = Deployment::new(many_endpoints("s", first.address, endpoints))
+        .set("/limits", json!({"cores": 1.0, "memory_mb": 32, "sockets": 256}))
+        .gateway_count(gateways)
+        .set("/settings/me", gateways - 1)
+        .descriptors(256);
+    let gateway = deployment.start();
+    let mut client = gateway.connect();
+    let request_from = |first_gateway: usize| {
+        let terms = format!("spread={gateways},first={first_gateway}");
+        idempotent_request().replace("spread=1,first=0", &terms)
     };
-    let known = many("s", &first);
-    let agent = Agent::start(known.clone());
-    let mut config = config(&agent, &known);
-    config["limits"] = json!({"cores": 1.0, "memory_mb": 32, "sockets": 256});
-    config["settings"]["siblings"] = json!(gateways);
-    config["settings"]["me"] = json!(gateways - 1);
-    let gateway = Gateway::start_within(&config, 256);
-    let mut client = gateway.client();
-    let from =
-        |first: usize| status().replace("spread=1,first=0", &format!("spread={gateways},first={first}"));
-    for first in [0, gateways / 2, gateways - 1] {
-        assert_eq!(client.call(&from(first)).body, b"first");
+    for first_gateway in [0, gateways / 2, gateways - 1] {
+        assert_eq!(client.call(&request_from(first_gateway)).body, b"first");
     }
-    // All are replaced at once.
-    agent.recover(many("t", &last));
+    deployment.agent.recover(many_endpoints("t", last.address, endpoints));
     for _ in 0..20 {
-        assert_eq!(client.call(&from(0)).body, b"last");
+        assert_eq!(client.call(&request_from(0)).body, b"last");
     }
-    assert!(gateway.resident() < memory, "{} KiB", gateway.resident());
+    assert!(gateway.resident_kib() < memory_limit_kib, "{} KiB", gateway.resident_kib());
+}
+
+/// Many endpoints at one address.
+fn many_endpoints(prefix: &str, address: SocketAddr, count: usize) -> Vec<Endpoint> {
+    (0..count).map(|number| Endpoint::ready(format!("{prefix}-{number:04}"), address)).collect()
 }
 
-/// Idle clients take all the descriptors that clients may have, and more wait, while discovery is down. What the gateway
-/// needs besides is there when discovery returns: a call of it, of the counter and of a server, and new clients.
+/// Idle clients take all descriptors that clients may have, and more connections queue, while discovery is down. When it
+/// recovers there are descriptors for its calls, the counter, an endpoint and new clients.
 #[test]
-fn idle_clients_leave_room_for_discovery_the_counter_and_servers() {
-    let (first, second) = (named("first"), named("second"));
-    let counter = Server::start(|_| Does::Answers("200 OK", b"1".to_vec()));
-    let known = [entry("s-1", first.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut config = config(&agent, &known);
-    config["limits"]["sockets"] = json!(256);
-    config["counter"] = json!(counter.address.to_string());
-    config["settings"]["familyInfo"]["sharedCounter"] = json!(true);
-    config["settings"]["familyInfo"]["countLimitUs"] = json!(80_000);
-    let gateway = Gateway::start_within(&config, 256);
-    agent.treat(Odd::Down);
-    let (from, before) = (Instant::now(), gateway.ticks());
-    let idle: Vec<_> = (0..400).map(|_| gateway.client()).collect();
-    agent.called(3);
-    let (time, used) = (from.elapsed(), gateway.ticks() - before);
-    assert!(used as f64 <= 50.0 * time.as_secs_f64() + 50.0, "{used} ticks in {time:?}");
-    agent.back();
-    let back = Instant::now();
-    agent.change(vec![
-        entry("s-1", first.address, "room-a", "draining"),
-        entry("s-2", second.address, "room-a", "ready"),
-    ]);
-    assert!(back.elapsed() < Duration::from_secs(6), "after {:?}", back.elapsed());
-    let answer = gateway.client().call(&status());
+fn idle_clients_leave_descriptors_for_discovery_the_counter_and_endpoints() {
+    let first = Server::responding_with("first");
+    let second = Server::responding_with("second");
+    let counter = Server::start(|_| Reply::ok("1"));
+    let deployment = Deployment::with_server(&first)
+        .configured_sockets(256)
+        .shared_counter(counter.address, 80_000)
+        .descriptors(256);
+    let gateway = deployment.start();
+    deployment.agent.inject(WatchFault::Down);
+    let from = Instant::now();
+    let ticks_before = gateway.cpu_ticks();
+    let idle: Vec<Client> = (0..400).map(|_| gateway.connect()).collect();
+    deployment.agent.wait_for_calls(3);
+    let elapsed = from.elapsed();
+    let ticks_used = gateway.cpu_ticks() - ticks_before;
+    assert!(ticks_used as f64 <= 50.0 * elapsed.as_secs_f64() + 50.0, "{ticks_used} ticks in {elapsed:?}");
+    deployment.agent.restore();
+    let restored_at = Instant::now();
+    publish_replacement(&deployment.agent, &first, &second);
+    let known_after = restored_at.elapsed();
+    assert!(known_after < NOTIFICATION_DEADLINE, "after {known_after:?}");
+    let answer = gateway.connect().call(&idempotent_request());
     assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"second"[..]));
-    assert!(counter.request().start.starts_with("POST /v2/numbers/"));
+    assert!(counter.next_request().start_line.starts_with("POST /v2/numbers/"));
     drop(idle);
 }
 
-/// An answer that is empty, cut short, no list or of an older version than the one held changes nothing and is
-/// followed by another call. What is indented is a list like any other.
+/// An answer that is empty, truncated, no list or of an older version than the current one changes nothing and is followed by
+/// another call; an indented list is valid.
 #[test]
-fn an_answer_of_discovery_that_is_no_news_changes_nothing() {
-    let (first, second) = (named("first"), named("second"));
-    let (gateway, agent) = among(300, &first);
-    let mut client = gateway.client();
-    agent.change(vec![
-        entry("s-1", first.address, "room-a", "draining"),
-        entry("s-2", second.address, "room-a", "ready"),
-    ]);
-    let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    let list = |index: u64, name: &str, server: &Server| {
-        let members = [entry(name, server.address, "room-a", "ready")];
-        json!({"index": index, "snapshot": true, "endpoints": members})
-    };
-    let stale = answer(&list(1, "s-1", &first).to_string());
-    let long = stale.replace("Content-Length: ", "Content-Length: 1");
-    for odd in [answer(""), answer("[]"), answer("{\"index\":"), stale, long] {
-        agent.treat(Odd::Says(odd));
-        agent.called(1);
-        assert_eq!(client.call(&status()).body, b"second");
+fn malformed_or_stale_list_is_ignored_and_polled_again() {
+    let first = Server::responding_with("first");
+    let second = Server::responding_with("second");
+    let third = Server::responding_with("third");
+    let deployment = fleet_deployment(300, &first);
+    let gateway = deployment.start();
+    let mut client = gateway.connect();
+    publish_replacement(&deployment.agent, &first, &second);
+    let stale = raw_response(&snapshot(1, "s-1", &first).to_string());
+    let truncated = stale.replace("Content-Length: ", "Content-Length: 1");
+    let ignored = [raw_response(""), raw_response("[]"), raw_response("{\"index\":"), stale, truncated];
+    for response in ignored {
+        deployment.agent.inject(WatchFault::RawResponse(response));
+        deployment.agent.wait_for_calls(1);
+        assert_eq!(response_body(&mut client), b"second");
     }
-    let third = named("third");
-    let indented = serde_json::to_string_pretty(&list(900, "s-3", &third)).unwrap();
-    agent.treat(Odd::Says(answer(&indented)));
-    agent.called(1);
-    assert_eq!(client.call(&status()).body, b"third");
+    let indented = serde_json::to_string_pretty(&snapshot(900, "s-3", &third)).unwrap();
+    deployment.agent.inject(WatchFault::RawResponse(raw_response(&indented)));
+    deployment.agent.wait_for_calls(1);
+    assert_eq!(response_body(&mut client), b"third");
+}
+
+/// A successful response with a body.
+fn raw_response(body: &str) -> String {
+    format!(
+        "HTTP/1.1 200 OK
+Content-Length: {}
+
+{body}",
+        body.len()
+    )
+}
+
+/// A full list of one endpoint.
+fn snapshot(index: u64, name: &str, server: &Server) -> Value {
+    json!({"index": index, "snapshot": true, "endpoints": [Endpoint::ready(name, server.address)]})
 }
 
-/// A message is told by its sender's address; strangers and long datagrams change nothing.
+/// Peers are known by their address; datagrams of other senders, malformed and oversized ones are ignored.
 #[test]
-fn peers_hear_each_other_in_small_messages() {
-    let server = named("first");
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
+fn peers_exchange_small_datagrams_and_ignore_malformed_ones() {
+    let server = Server::responding_with("first");
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     peer.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let own = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let mut two = config(&agent, &known);
-    two["settings"]["siblings"] = json!(2);
-    two["settings"]["limits"]["peers"] = json!(true);
-    two["peer_listen"] = json!(own.to_string());
-    two["peers"] = json!([own.to_string(), peer.local_addr().unwrap().to_string()]);
-    let gateway = Gateway::start(&two);
+    let gateway = fleet_deployment(2, &server)
+        .set("/settings/limits/peers", true)
+        .set("/peer_listen", own.to_string())
+        .set("/peers", json!([own.to_string(), peer.local_addr().unwrap().to_string()]))
+        .start();
     let mut data = [0; 2_000];
-    let (length, from) = peer.recv_from(&mut data).expect("no heartbeat");
+    let (length, from) = peer.recv_from(&mut data).expect("no gossip message");
     assert!(length > 0 && length <= 256, "{length} bytes");
     assert_eq!(from, own);
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -308,6 +333,6 @@
         peer.send_to(text, own).unwrap();
         stranger.send_to(text, own).unwrap();
     }
-    assert_eq!(gateway.client().call(&status()).status(), 200);
+    assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
     peer.recv_from(&mut data).expect("no message after malformed ones");
 }
--- a/crates/gateway/tests/loopback/faults.rs
+++ b/crates/gateway/tests/loopback/faults.rs
@@ -1,136 +1,149 @@
-//! System calls that fail in ways that Linux documents: every request still gets its one answer.
+//! System calls that fail in ways that Linux documents: every request still gets its one response.
 
-use crate::rig::*;
-use serde_json::json;
-use std::sync::atomic::Ordering;
+use crate::rig::client::Client;
+use crate::rig::deployment::Deployment;
+use crate::rig::endpoint::{Endpoint, REMOTE_ZONE};
+use crate::rig::gateway_process::GatewayProcess;
+use crate::rig::request::{idempotent_request, non_idempotent_request};
+use crate::rig::server::{Reply, Server};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Large enough to be passed on as it comes, and to fill a socket's buffer.
-const LONG_ANSWER: usize = 600_000;
+/// Large enough to be streamed and to fill a socket's buffer.
+const LONG_RESPONSE_BYTES: usize = 600_000;
 
-fn gateway_under(faults: &str, server: &Server) -> (Gateway, Agent) {
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    (Gateway::start_under(&patient_config(&agent, &known), faults), agent)
+/// A gateway before one server whose system calls fail; idempotent requests may take as long as a test does.
+fn deployment_under(faults: &str, server: &Server) -> Deployment {
+    Deployment::with_server(server).unlimited_deadline().faults(faults)
 }
 
-/// Reads of a few bytes each, and writes of a part, are no end and no full socket: the rest goes on at once.
+/// A gateway started from [`deployment_under`].
+fn gateway_under(faults: &str, server: &Server) -> GatewayProcess {
+    deployment_under(faults, server).start()
+}
+
+/// A short read is no end of the data and a short write no full socket: the rest follows at once.
 #[test]
-fn short_reads_and_writes_hold_up_nothing() {
+fn short_reads_and_writes_do_not_delay_requests() {
     for seed in 1..=3 {
         let server = Server::start(|n| match n % 5 {
-            4 => Does::Answers("200 OK", vec![b'x'; LONG_ANSWER]),
-            _ => Does::Answers("200 OK", format!("answer {n}").into_bytes()),
+            4 => Reply::ok(vec![b'x'; LONG_RESPONSE_BYTES]),
+            _ => Reply::ok(format!("response {n}")),
         });
         let faults = format!("read=50 write=50 seed={seed}");
-        let (gateway, agent) = gateway_under(&faults, &server);
-        agent.change(vec![entry("s-2", server.address, "room-b", "ready")]);
-        let mut clients: Vec<Client> = (0..4).map(|_| gateway.client()).collect();
+        let deployment = deployment_under(&faults, &server);
+        let gateway = deployment.start();
+        deployment.agent.publish(vec![Endpoint::ready("s-2", server.address).in_zone(REMOTE_ZONE)]);
+        let mut clients: Vec<Client> = (0..4).map(|_| gateway.connect()).collect();
         let start = Instant::now();
         for n in 0..40 {
-            let request = if n % 3 == 0 { payout(&"b".repeat(3_000)) } else { status() };
-            let answer = clients[n % 4].call(&request);
-            assert_eq!((answer.status(), answer.whole), (200, true), "seed {seed}, request {n}");
+            let request =
+                if n % 3 == 0 { non_idempotent_request(&"b".repeat(3_000)) } else { idempotent_request() };
+            let response = clients[n % 4].call(&request);
+            assert_eq!((response.status(), response.complete), (200, true), "seed {seed}, request {n}");
         }
         assert!(start.elapsed() < Duration::from_secs(5), "seed {seed}: {:?}", start.elapsed());
     }
 }
 
-/// A connection that broke before it was accepted, or a network that failed for a moment, costs no other client its
-/// connection, and nobody waits long. Only a lasting want of descriptors makes room by closing one.
+/// An `accept` that fails for the connection or the network evicts no idle connection; only a lasting lack of descriptors
+/// does.
 #[test]
-fn a_failing_accept_costs_nobody_a_connection() {
+fn failing_accept_closes_no_other_connection() {
     for seed in 1..=3 {
-        let server = Server::start(|_| Does::Answers("200 OK", b"done".to_vec()));
-        let (gateway, _agent) = gateway_under(&format!("accept=50 seed={seed}"), &server);
-        let mut resting: Vec<Client> = (0..8).map(|_| gateway.client()).collect();
-        for client in &mut resting {
-            assert_eq!(client.call(&status()).status(), 200);
+        let server = Server::healthy();
+        let gateway = gateway_under(&format!("accept=50 seed={seed}"), &server);
+        let mut idle: Vec<Client> = (0..8).map(|_| gateway.connect()).collect();
+        for client in &mut idle {
+            assert_eq!(client.call(&idempotent_request()).status(), 200);
         }
         for _ in 0..40 {
-            assert_eq!(gateway.client().call(&status()).status(), 200);
+            assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
         }
-        for client in &mut resting {
-            client.write(&status());
-            let answer = client.answer().expect("a resting connection was closed");
-            assert_eq!(answer.status(), 200);
+        for client in &mut idle {
+            client.write(&idempotent_request());
+            let response = client.response().expect("an idle connection was closed");
+            assert_eq!(response.status(), 200);
         }
     }
 }
 
-/// Connections that came before the listener closes are taken in though `accept` fails meanwhile.
+/// Connections that queue before the listener closes are accepted though `accept` fails meanwhile.
 #[test]
-fn a_failing_accept_loses_no_client_of_a_gateway_told_to_stop() {
+fn failing_accept_loses_no_queued_client_during_shutdown() {
     for (seed, kind) in [(1, "accept"), (2, "accept"), (3, "accept_full"), (4, "accept_full")] {
-        let server = Server::start(|_| Does::Answers("200 OK", b"done".to_vec()));
-        let (gateway, _agent) = gateway_under(&format!("{kind}=80 seed={seed}"), &server);
+        let server = Server::healthy();
+        let gateway = gateway_under(&format!("{kind}=80 seed={seed}"), &server);
         gateway.pause();
-        let mut clients: Vec<Client> = (0..40).map(|_| gateway.client()).collect();
-        clients.iter_mut().for_each(|client| client.write(&status()));
+        let mut clients: Vec<Client> = (0..40).map(|_| gateway.connect()).collect();
+        clients.iter_mut().for_each(|client| client.write(&idempotent_request()));
         gateway.terminate();
         gateway.resume();
         for client in &mut clients {
-            let answer = client.answer().expect("closed with no answer");
-            // So many at once may be more than one server is sent.
-            assert!(matches!(answer.status(), 200 | 429), "{kind}, seed {seed}: {}", answer.start);
+            let response = client.response().expect("closed without a response");
+            // That many at once may be more than one endpoint is sent.
+            assert!(matches!(response.status(), 200 | 429), "{kind}, seed {seed}: {}", response.start_line);
         }
         assert!(gateway.wait().success());
     }
 }
 
-/// What the gateway's own machine lacks for a moment is no reason to refuse a request.
+/// A temporary lack of resources on the gateway's own machine rejects no request.
 #[test]
-fn a_failing_socket_or_connect_costs_no_request() {
+fn failing_socket_or_connect_call_fails_no_request() {
     for faults in ["connect=60", "socket=60"] {
-        let server = Server::start(|_| Does::Answers("200 OK\r\nConnection: close", b"done".to_vec()));
-        let (gateway, _agent) = gateway_under(faults, &server);
-        let mut client = gateway.client();
+        let server = Server::start(|_| Reply::Response {
+            head: "200 OK\r\nConnection: close",
+            body: b"done".to_vec(),
+        });
+        let gateway = gateway_under(faults, &server);
+        let mut client = gateway.connect();
         for n in 0..60 {
-            assert_eq!(client.call(&status()).status(), 200, "{faults}, request {n}");
+            assert_eq!(client.call(&idempotent_request()).status(), 200, "{faults}, request {n}");
         }
     }
 }
 
-/// Sockets, addresses and descriptors may not be had for some seconds: a start waits for them.
+/// Sockets, addresses and descriptors may be unavailable for some seconds when the process starts.
 #[test]
-fn a_start_survives_two_seconds_without_sockets() {
-    let server = Server::start(|_| Does::Answers("200 OK", b"done".to_vec()));
+fn startup_waits_while_sockets_are_unavailable() {
+    let server = Server::healthy();
     for faults in ["socket=100", "bind=100", "descriptor=100"] {
         let start = Instant::now();
-        let (gateway, _agent) = gateway_under(&format!("{faults} for_ms=2000"), &server);
+        let gateway = gateway_under(&format!("{faults} for_ms=2000"), &server);
         assert!(start.elapsed() >= Duration::from_millis(1_900), "{faults} had no effect");
-        assert_eq!(gateway.client().call(&status()).status(), 200);
+        assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
     }
 }
 
-/// A wall clock that is an hour off says nothing of when servers started: the connections to one that started a moment
-/// ago are used again, and those to its process before are not.
+/// Start times of endpoints come from their wall clocks. Connections to an endpoint that started a moment ago are reused,
+/// those to its previous process are not, whatever the gateway's own wall clock says.
 #[test]
-fn connections_outlive_requests_whatever_the_wall_clock_says() {
+fn server_connections_are_reused_despite_wall_clock_steps() {
     for faults in ["wall_s=0", "wall_s=3600", "wall_s=-3600", "wall_step_ms=100"] {
-        let server = Server::start(|_| Does::Answers("200 OK", b"done".to_vec()));
+        let server = Server::healthy();
         let started = |ago: Duration| {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
-            let mut entry = entry("s-1", server.address, "room-a", "ready");
-            entry["since_ms"] = json!((now - ago).as_millis() as u64);
-            entry
+            Endpoint::ready("s-1", server.address).started_at(now - ago)
         };
-        let known = [started(Duration::from_secs(60))];
-        let agent = Agent::start(known.to_vec());
-        let mut config = patient_config(&agent, &known);
-        // The cold ramp is not what this is about.
-        config["settings"]["rules"]["coldFrom"] = json!(1.0);
-        let gateway = Gateway::start_under(&config, faults);
-        let mut client = gateway.client();
-        let mut play = || {
+        let deployment = Deployment::new(vec![started(Duration::from_secs(60))])
+            .unlimited_deadline()
+            // Without a slow start the endpoint gets requests at once.
+            .set("/settings/rules/coldFrom", 1.0)
+            .faults(faults);
+        let gateway = deployment.start();
+        let mut client = gateway.connect();
+        let mut connections_after_requests = || {
             for _ in 0..10 {
-                assert_eq!(client.call(&status()).status(), 200, "{faults}");
+                assert_eq!(client.call(&idempotent_request()).status(), 200, "{faults}");
             }
-            server.connections.load(Ordering::SeqCst)
+            server.connection_count()
         };
-        assert!(play() <= 2, "{faults}: connections were not used again");
-        let before = play();
-        agent.change(vec![started(Duration::ZERO)]);
-        assert!(play() > before, "{faults}: a connection to the process before was used");
+        assert!(connections_after_requests() <= 2, "{faults}: connections were not reused");
+        let before = connections_after_requests();
+        deployment.agent.publish(vec![started(Duration::ZERO)]);
+        assert!(
+            connections_after_requests() > before,
+            "{faults}: a connection to the previous process was reused"
+        );
     }
 }
--- a/crates/gateway/tests/loopback/lifecycle.rs
+++ b/crates/gateway/tests/loopback/lifecycle.rs
@@ -1,240 +1,242 @@
-//! Start and stop.
+//! Start, reload, shutdown and restart of the process.
 
-use crate::rig::*;
-use serde_json::json;
+use crate::rig::client::Client;
+use crate::rig::deployment::Deployment;
+use crate::rig::discovery_agent::{DiscoveryAgent, WatchFault};
+use crate::rig::endpoint::Endpoint;
+use crate::rig::files::write_config;
+use crate::rig::gate::Gate;
+use crate::rig::gateway_process::GatewayProcess;
+use crate::rig::launch::Launch;
+use crate::rig::request::{idempotent_request, non_idempotent_request, with_client_timeout, HEALTH_CHECK};
+use crate::rig::server::{Reply, Server};
 use std::io::Read;
-use std::sync::mpsc::channel;
-use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
+/// The gateway's log line for a configuration that it does not load.
+const RELOAD_REFUSED: &str = "the old one stays";
+
 #[test]
-fn a_malformed_configuration_ends_the_program_with_one_line() {
-    let agent = Agent::start(Vec::new());
-    let good = config(&agent, &[]).to_string();
-    let bad = [
+fn malformed_configuration_exits_with_one_log_line() {
+    let valid = Deployment::new(Vec::new()).config_text();
+    let malformed = [
         "{".to_owned(),
         "[]".to_owned(),
-        good.replacen("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":12", 1),
-        good.replacen("127.0.0.1:0", "nowhere", 1),
-        good.replacen("\"tickUs\":2000", "\"tickUs\":0", 1),
-        good.replacen("\"classes\"", "\"kinds\"", 1),
-        good.replacen("\"connIdleUs\"", "\"idle\"", 1),
-        good.replacen("\"endpoints\"", "\"servers\"", 1),
+        valid.replacen("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":12", 1),
+        valid.replacen("127.0.0.1:0", "nowhere", 1),
+        valid.replacen("\"tickUs\":2000", "\"tickUs\":0", 1),
+        valid.replacen("\"classes\"", "\"kinds\"", 1),
+        valid.replacen("\"connIdleUs\"", "\"idle\"", 1),
+        valid.replacen("\"endpoints\"", "\"servers\"", 1),
     ];
-    for text in bad {
-        assert_ne!(text, good);
-        let mut child = launch(&text);
+    for text in malformed {
+        assert_ne!(text, valid);
+        let mut child = Launch::default().spawn(&write_config(&text));
         let mut log = String::new();
         child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
-        assert!(!child.wait().unwrap().success(), "{text} was taken");
+        assert!(!child.wait().unwrap().success(), "{text} was accepted");
         assert_eq!(log.lines().count(), 1, "{log}");
     }
 }
 
-/// At a planned restart nothing that was taken is lost, who still comes is served, and the exit is clean.
+/// After SIGTERM requests in flight and new ones are answered, and the process exits with success.
 #[test]
-fn a_gateway_told_to_stop_answers_all_it_holds() {
-    let (release, wait) = channel::<()>();
-    let wait = Mutex::new(wait);
+fn shutdown_answers_requests_in_flight_and_closes_idle_connections() {
+    let (gate, waiter) = Gate::new();
     let server = Server::start(move |n| {
         if n == 1 {
-            wait.lock().unwrap().recv().unwrap();
+            waiter.wait();
         }
-        Does::Answers("200 OK", b"done".to_vec())
+        Reply::ok("done")
     });
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let (mut idle, mut busy) = (gateway.client(), gateway.client());
-    assert_eq!(idle.call("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
-    assert_eq!(idle.call(&status()).header("connection"), "");
-    server.request();
-    busy.write(&status());
-    server.request();
+    let gateway = GatewayProcess::in_front_of(&server);
+    let mut idle = gateway.connect();
+    let mut busy = gateway.connect();
+    assert_eq!(idle.call(HEALTH_CHECK).status(), 200);
+    assert_eq!(idle.call(&idempotent_request()).header("connection"), "");
+    server.next_request();
+    busy.write(&idempotent_request());
+    server.next_request();
     gateway.terminate();
-    assert!(idle.answer().is_none(), "an idle connection stays open");
-    let late = gateway.client().call(&status());
+    assert!(idle.response().is_none(), "an idle connection stays open");
+    let late = gateway.connect().call(&idempotent_request());
     assert_eq!((late.status(), late.header("connection")), (200, "close"));
-    release.send(()).unwrap();
-    let held = busy.answer().expect("a request that was held got no answer");
-    assert_eq!((held.status(), held.header("connection")), (200, "close"));
-    assert!(busy.answer().is_none());
+    gate.release_one();
+    let response = busy.response().expect("a request in flight got no response");
+    assert_eq!((response.status(), response.header("connection")), (200, "close"));
+    assert!(busy.response().is_none());
     assert!(gateway.wait().success());
 }
 
-/// A request of which some has come as the signal does is taken, and so is the first of a new connection.
+/// So is the first request on a connection that was open before the signal.
 #[test]
-fn a_request_on_its_way_as_the_signal_comes_is_answered() {
-    let server = Server::start(|_| Does::Answers("200 OK", b"done".to_vec()));
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let (mut idle, mut halfway, mut fresh) = (gateway.client(), gateway.client(), gateway.client());
-    assert_eq!(halfway.call(&status()).status(), 200);
-    let request = status();
-    let (before, behind) = request.split_at(40);
-    halfway.write(before);
-    // Whoever connected or wrote before this call was seen before it.
-    assert_eq!(idle.call(&status()).status(), 200);
+fn request_partly_received_at_sigterm_is_answered() {
+    let server = Server::healthy();
+    let gateway = GatewayProcess::in_front_of(&server);
+    let mut idle = gateway.connect();
+    let mut partial = gateway.connect();
+    let mut unused = gateway.connect();
+    assert_eq!(partial.call(&idempotent_request()).status(), 200);
+    let request = idempotent_request();
+    let (start, rest) = request.split_at(40);
+    partial.write(start);
+    // The gateway has seen what was connected or written before this call once it is answered.
+    assert_eq!(idle.call(&idempotent_request()).status(), 200);
     gateway.terminate();
-    assert!(idle.answer().is_none(), "the signal has come");
-    halfway.write(behind);
-    fresh.write(&status());
-    for client in [&mut halfway, &mut fresh] {
-        let answer = client.answer().expect("cut off with no answer");
-        assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
+    assert!(idle.response().is_none(), "an idle connection stays open");
+    partial.write(rest);
+    unused.write(&idempotent_request());
+    for client in [&mut partial, &mut unused] {
+        let response = client.expect_response();
+        assert_eq!((response.status(), response.header("connection")), (200, "close"));
     }
     assert!(gateway.wait().success());
 }
 
-/// The end comes at 3.7 s at the soonest, however long the deadlines are: by then a request has its answer though
-/// its server hangs, whether it came before the signal or after.
+/// SIGKILL comes 3.7 s after SIGTERM at the earliest, however long the deadlines are. By then a request at a hung server has
+/// its response, whether it came before the signal or after.
 #[test]
-fn a_gateway_told_to_stop_answers_what_hangs_before_it_is_killed() {
-    let server = Server::start(|_| Does::Hangs);
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut long = config(&agent, &known);
-    for class in 0..3 {
-        long["settings"]["classes"][class]["deadlineUs"] = json!(20_000_000);
-        long["settings"]["classes"][class]["aimUs"] = json!(20_000_000);
-    }
-    let gateway = Gateway::start(&long);
-    let patient = |request: String| request.replace("X-Budget-Ms: 1900", "X-Budget-Ms: 20000");
-    let (mut safe, mut once, mut idle) = (gateway.client(), gateway.client(), gateway.client());
-    assert_eq!(idle.call("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
-    safe.write(&patient(status()));
-    server.request();
-    once.write(&patient(payout("x")));
-    server.request();
-    let told = Instant::now();
+fn shutdown_answers_requests_at_hung_servers_before_sigkill() {
+    let server = Server::silent();
+    let gateway = Deployment::with_server(&server).all_deadlines_us(20_000_000).start();
+    let patient = |request: String| with_client_timeout(&request, 20_000);
+    let mut retryable = gateway.connect();
+    let mut non_idempotent = gateway.connect();
+    let mut idle = gateway.connect();
+    assert_eq!(idle.call(HEALTH_CHECK).status(), 200);
+    retryable.write(&patient(idempotent_request()));
+    server.next_request();
+    non_idempotent.write(&patient(non_idempotent_request("x")));
+    server.next_request();
+    let signaled_at = Instant::now();
     gateway.terminate();
-    assert!(idle.answer().is_none(), "the signal has come");
-    let mut late = gateway.client();
-    late.write(&patient(status()));
-    server.request();
-    for (client, code) in [(&mut safe, 429), (&mut once, 502), (&mut late, 429)] {
-        assert_eq!(client.answer().expect("cut off with no answer").status(), code);
+    assert!(idle.response().is_none(), "an idle connection stays open");
+    let mut late = gateway.connect();
+    late.write(&patient(idempotent_request()));
+    server.next_request();
+    for (client, status) in [(&mut retryable, 429), (&mut non_idempotent, 502), (&mut late, 429)] {
+        assert_eq!(client.expect_response().status(), status);
     }
-    assert!(told.elapsed() < Duration::from_millis(3_700), "after {:?}", told.elapsed());
+    let answered_after = signaled_at.elapsed();
+    assert!(answered_after < Duration::from_millis(3_700), "after {answered_after:?}");
     assert!(gateway.wait().success());
 }
 
-/// A new configuration moves the watch at once, with the whole list of the new agent, though the old agent
-/// holds its call and stands at the same version; one that cannot be used changes nothing.
+/// A reload moves the watch to the configured agent, which is asked for its full list though its version is the same; the
+/// previous agent still holds a call open. An invalid file changes nothing.
 #[test]
-fn a_new_configuration_moves_the_watch_and_a_bad_one_is_passed_over() {
-    let (first, second) = (named("first"), named("second"));
-    let (gateway, old) = Gateway::before(&[("s-1", &first, "room-a")]);
-    let mut client = gateway.client();
-    assert_eq!(client.call(&status()).body, b"first");
-    let new = Agent::start(vec![entry("s-2", second.address, "room-a", "ready")]);
-    let good = config(&new, &[]).to_string();
-    for bad in ["{", "{}", &good.replacen("\"classes\"", "\"kinds\"", 1)] {
-        gateway.configure(bad);
-        gateway.logged("the old one stays");
-        assert_eq!(client.call(&status()).body, b"first");
+fn configuration_reload_moves_the_watch_and_ignores_an_invalid_file() {
+    let first = Server::responding_with("first");
+    let second = Server::responding_with("second");
+    let previous = Deployment::with_server(&first);
+    let gateway = previous.start();
+    let mut client = gateway.connect();
+    assert_eq!(client.call(&idempotent_request()).body, b"first");
+    let next = deployment_learned_from_discovery(&second);
+    let valid = next.config_text();
+    for invalid in ["{", "{}", &valid.replacen("\"classes\"", "\"kinds\"", 1)] {
+        gateway.reload_with(invalid);
+        gateway.wait_for_log(RELOAD_REFUSED);
+        assert_eq!(client.call(&idempotent_request()).body, b"first");
     }
-    old.change(vec![entry("s-1", first.address, "room-a", "ready")]);
-    gateway.configure(&good);
-    new.taken_up();
-    assert_eq!(client.call(&status()).body, b"second");
-    // A stop right behind a new configuration is as clean as any.
-    gateway.configure(&good);
+    previous.agent.publish(vec![Endpoint::ready("s-1", first.address)]);
+    gateway.reload_with(&valid);
+    next.agent.wait_until_watched();
+    assert_eq!(client.call(&idempotent_request()).body, b"second");
+    // A shutdown right after a reload is clean, too.
+    gateway.reload_with(&valid);
     gateway.terminate();
     assert!(gateway.wait().success());
 }
 
-/// The file may be half written as the signal comes, and whole a moment later, with no further signal.
+/// A gateway that knows no endpoint from its configuration, and gets one server, `s-2`, from discovery.
+fn deployment_learned_from_discovery(server: &Server) -> Deployment {
+    let agent = DiscoveryAgent::start(vec![Endpoint::ready("s-2", server.address)]);
+    Deployment::with_agent(agent, &[])
+}
+
+/// The file is half written when the signal arrives, and complete a moment later without a further signal.
 #[test]
-fn a_configuration_completed_after_its_signal_is_taken_up() {
-    let (first, second) = (named("first"), named("second"));
-    let (gateway, _old) = Gateway::before(&[("s-1", &first, "room-a")]);
-    let new = Agent::start(vec![entry("s-2", second.address, "room-a", "ready")]);
-    let whole = config(&new, &[]).to_string();
-    gateway.configure(&whole[..whole.len() / 2]);
-    gateway.logged("the old one stays");
-    gateway.write_configuration(&whole);
-    new.taken_up();
-    assert_eq!(gateway.client().call(&status()).body, b"second");
+fn configuration_completed_after_its_signal_is_loaded() {
+    let first = Server::responding_with("first");
+    let second = Server::responding_with("second");
+    let gateway = GatewayProcess::in_front_of(&first);
+    let next = deployment_learned_from_discovery(&second);
+    let complete = next.config_text();
+    gateway.reload_with(&complete[..complete.len() / 2]);
+    gateway.wait_for_log(RELOAD_REFUSED);
+    gateway.replace_config_file(&complete);
+    next.agent.wait_until_watched();
+    assert_eq!(gateway.connect().call(&idempotent_request()).body, b"second");
 }
 
-/// Clients rest on connections that are open until the gateway closes them. Where deadlines are short SIGKILL comes
-/// soon, so that all have to close while what is sent on them last can still be answered.
+/// With short deadlines SIGKILL follows soon, so that idle connections have to close while a last request on them can still
+/// be answered.
 #[test]
-fn resting_connections_close_before_the_end_however_short_the_deadlines() {
-    let server = Server::start(|_| Does::Answers("200 OK", b"done".to_vec()));
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut short = config(&agent, &known);
-    for class in 0..3 {
-        short["settings"]["classes"][class]["deadlineUs"] = json!(100_000);
-        short["settings"]["classes"][class]["aimUs"] = json!(100_000);
-    }
-    let mut gateway = Gateway::start(&short);
-    let mut resting: Vec<Client> = (0..10).map(|_| gateway.client()).collect();
-    assert_eq!(gateway.client().call("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
+fn idle_connections_close_before_exit_with_short_deadlines() {
+    let server = Server::healthy();
+    let mut gateway = Deployment::with_server(&server).all_deadlines_us(100_000).start();
+    let mut idle: Vec<Client> = (0..10).map(|_| gateway.connect()).collect();
+    assert_eq!(gateway.connect().call(HEALTH_CHECK).status(), 200);
     gateway.terminate();
-    // New connections come for 0.4 s after the signal.
-    let told = Instant::now();
-    while told.elapsed() < Duration::from_millis(400) {
-        resting.push(gateway.client());
+    // New connections arrive for 0.4 s after the signal.
+    let signaled_at = Instant::now();
+    while signaled_at.elapsed() < Duration::from_millis(400) {
+        idle.push(gateway.connect());
         std::thread::sleep(Duration::from_millis(20));
     }
-    for client in &mut resting {
-        assert!(client.answer().is_none());
+    for client in &mut idle {
+        assert!(client.response().is_none());
     }
-    let log = gateway.log_until_end();
+    let log = gateway.log_until_exit();
     assert!(log.iter().all(|line| !line.contains("still open")), "{log:?}");
 }
 
-/// A new process starts beside the old one, which then sees its clients out; somebody takes every request.
+/// A new process starts beside the old one, which then drains; every request is served by one of them.
 #[test]
-fn a_second_process_takes_the_place_of_the_first() {
-    let server = Server::start(|_| Does::Answers("200 OK", b"done".to_vec()));
-    let (old, agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let mut kept = old.client();
-    assert_eq!(kept.call(&status()).status(), 200);
-    let mut beside = config(&agent, &[entry("s-1", server.address, "room-a", "ready")]);
-    beside["listen"] = serde_json::json!(old.address.to_string());
-    let new = Gateway::start(&beside);
+fn second_process_on_the_same_address_replaces_the_first() {
+    let server = Server::healthy();
+    let deployment = Deployment::with_server(&server);
+    let old = deployment.start();
+    let mut client = old.connect();
+    assert_eq!(client.call(&idempotent_request()).status(), 200);
+    let new = deployment.listen(old.address).start();
     for _ in 0..20 {
-        assert_eq!(new.client().call(&status()).status(), 200);
+        assert_eq!(new.connect().call(&idempotent_request()).status(), 200);
     }
     old.terminate();
     assert!(old.wait().success());
     for _ in 0..20 {
-        assert_eq!(new.client().call(&status()).status(), 200);
+        assert_eq!(new.connect().call(&idempotent_request()).status(), 200);
     }
 }
 
-/// Many start at once while discovery and the counter say nothing, or turn every call away: each serves from the list
-/// that it was given, and none waits for them.
+/// While discovery and the counter are silent or fail every call, processes serve from the list in their configuration and
+/// wait for neither.
 #[test]
-fn many_that_start_at_once_are_ready_though_nobody_answers_them() {
-    let server = Server::start(|_| Does::Answers("200 OK", b"done".to_vec()));
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    for (odd, counter) in [
-        (Odd::Down, Server::start(|_| Does::Hangs)),
-        (Odd::Close, Server::start(|_| Does::Answers("503 Busy", Vec::new()))),
+fn simultaneous_starts_are_ready_without_discovery_or_counter() {
+    let server = Server::healthy();
+    for (fault, counter) in [
+        (WatchFault::Down, Server::silent()),
+        (WatchFault::CloseConnection, Server::start(|_| Reply::empty("503 Busy"))),
     ] {
-        let agent = Agent::start(known.to_vec());
-        let mut config = config(&agent, &known);
-        config["settings"]["siblings"] = json!(350);
-        config["settings"]["discovery"] = json!("ask");
-        config["settings"]["familyInfo"]["sharedCounter"] = json!(true);
-        config["settings"]["familyInfo"]["countLimitUs"] = json!(80_000);
-        config["counter"] = json!(counter.address.to_string());
-        let first = Gateway::start(&config);
-        agent.treat(odd);
+        let deployment = Deployment::with_server(&server)
+            .gateway_count(350)
+            .polled_discovery()
+            .shared_counter(counter.address, 80_000);
+        let first = deployment.start();
+        deployment.agent.inject(fault);
         let from = Instant::now();
-        let started: Vec<_> = (0..20)
-            .map(|_| {
-                let config = config.clone();
-                std::thread::spawn(move || Gateway::start(&config))
-            })
-            .collect();
+        let start = || {
+            let deployment = deployment.clone();
+            std::thread::spawn(move || deployment.start())
+        };
+        let started: Vec<_> = (0..20).map(|_| start()).collect();
         for gateway in started {
             let gateway = gateway.join().unwrap();
-            let mut client = gateway.client();
-            assert_eq!(client.call("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
-            assert_eq!(client.call(&status()).body, b"done");
+            let mut client = gateway.connect();
+            assert_eq!(client.call(HEALTH_CHECK).status(), 200);
+            assert_eq!(client.call(&idempotent_request()).body, b"done");
         }
         assert!(from.elapsed() < Duration::from_secs(10), "ready after {:?}", from.elapsed());
         drop(first);
--- a/crates/gateway/tests/loopback/main.rs
+++ b/crates/gateway/tests/loopback/main.rs
@@ -4,7 +4,6 @@
 mod counter;
 mod departures;
 mod discovery;
-mod fault_library;
 mod faults;
 mod lifecycle;
 mod ops;
--- a/crates/gateway/tests/loopback/ops.rs
+++ b/crates/gateway/tests/loopback/ops.rs
@@ -1,47 +1,53 @@
-//! What operators ask, and what they are told.
+//! The operator interface: health and statistics.
 
-use crate::rig::*;
-use serde_json::json;
+use crate::rig::client::{operator_get, Client};
+use crate::rig::deployment::Deployment;
+use crate::rig::gateway_process::GatewayProcess;
+use crate::rig::message::Message;
+use crate::rig::request::{idempotent_request, non_idempotent_request};
+use crate::rig::server::{Reply, Server};
 
-fn figure(text: &Message, name: &str) -> u64 {
-    let text = String::from_utf8_lossy(&text.body).into_owned();
-    let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
-    line.unwrap_or_else(|| panic!("no '{name}' in:\n{text}"))
+/// The value of a metric in a response with all of them.
+fn metric(stats: &Message, name: &str) -> u64 {
+    let text = String::from_utf8_lossy(&stats.body);
+    let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
+    value.unwrap_or_else(|| {
+        panic!(
+            "no '{name}' in:
+{text}"
+        )
+    })
 }
 
 /// A gateway before one server that also answers operators.
-fn watched(server: &Server) -> (Gateway, Agent) {
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut config = config(&agent, &known);
-    config["ops"] = json!("127.0.0.1:0");
-    (Gateway::start(&config), agent)
+fn gateway_with_operators(server: &Server) -> GatewayProcess {
+    Deployment::with_server(server).operator_interface().start()
 }
 
-/// Each request counts once, by its class and its end; attempts count as servers got them.
+/// Each request counts once, by its class and result; attempts count when a server has received them.
 #[test]
-fn the_figures_tell_how_requests_ended() {
+fn stats_count_responses_by_class_and_result() {
     let server = Server::start(|n| match n {
-        0..=2 => Does::Answers("200 OK", b"done".to_vec()),
-        3 => Does::Breaks(""),
-        _ => Does::Hangs,
+        0..=2 => Reply::ok(b"done"),
+        3 => Reply::RawThenClose(""),
+        _ => Reply::Hang,
     });
-    let (gateway, _agent) = watched(&server);
-    let ops = gateway.ops();
-    assert_eq!(operator(ops, "/admin/health").status(), 200);
-    let mut client = gateway.client();
+    let gateway = gateway_with_operators(&server);
+    let ops = gateway.operator_address();
+    assert_eq!(operator_get(ops, "/admin/health").status(), 200);
+    let mut client = gateway.connect();
     for _ in 0..3 {
-        assert_eq!(client.call(&status()).status(), 200);
+        assert_eq!(client.call(&idempotent_request()).status(), 200);
     }
-    assert_eq!(client.call(&payout("once")).status(), 502);
-    assert_eq!(client.call(&status().replace("basico", "platinum")).status(), 400);
-    let mut waits = gateway.client();
-    waits.write(&status());
+    assert_eq!(client.call(&non_idempotent_request("once")).status(), 502);
+    assert_eq!(client.call(&idempotent_request().replace("basico", "platinum")).status(), 400);
+    let mut in_flight = gateway.connect();
+    in_flight.write(&idempotent_request());
     for _ in 0..5 {
-        server.request();
+        server.next_request();
     }
-    let text = operator(ops, "/admin/stats");
-    assert_eq!(text.status(), 200);
+    let stats = operator_get(ops, "/admin/stats");
+    assert_eq!(stats.status(), 200);
     let expected = [
         ("gateway_responses{kind=\"claim-status\",result=\"ok\"}", 3),
         ("gateway_responses{kind=\"claim-status\",result=\"errors\"}", 0),
@@ -53,23 +59,23 @@
         ("gateway_pool_ejected", 0),
     ];
     for (name, value) in expected {
-        assert_eq!(figure(&text, name), value, "{name}");
+        assert_eq!(metric(&stats, name), value, "{name}");
     }
 }
 
-/// Callers that say nothing cannot keep a call out, however many they are; what is no call gets a 4xx.
+/// Any number of idle connections leaves others served; a malformed or unknown call gets a 4xx.
 #[test]
-fn idle_callers_and_junk_do_not_keep_operators_out() {
-    let server = Server::start(|_| Does::Hangs);
-    let (gateway, _agent) = watched(&server);
-    let ops = gateway.ops();
+fn idle_or_malformed_operator_connections_do_not_block_others() {
+    let server = Server::silent();
+    let gateway = gateway_with_operators(&server);
+    let ops = gateway.operator_address();
     let idle: Vec<Client> = (0..40).map(|_| Client::connect(ops).unwrap()).collect();
-    assert_eq!(operator(ops, "/admin/health").status(), 200);
-    assert_eq!(operator(ops, "/admin/stats").header("connection"), "close");
-    assert_eq!(operator(ops, "/admin/other").status(), 404);
-    let junk = [("\x16\x03\x01\r\n\r\n", 400), ("PUT /admin/stats HTTP/1.1\r\nHost: a\r\n\r\n", 405)];
-    for (junk, code) in junk {
-        assert_eq!(Client::connect(ops).unwrap().call(junk).status(), code);
+    assert_eq!(operator_get(ops, "/admin/health").status(), 200);
+    assert_eq!(operator_get(ops, "/admin/stats").header("connection"), "close");
+    assert_eq!(operator_get(ops, "/admin/other").status(), 404);
+    let invalid = [("\x16\x03\x01\r\n\r\n", 400), ("PUT /admin/stats HTTP/1.1\r\nHost: a\r\n\r\n", 405)];
+    for (request, status) in invalid {
+        assert_eq!(Client::connect(ops).unwrap().call(request).status(), status);
     }
     drop(idle);
 }
--- a/crates/gateway/tests/loopback/fault_library.rs
+++ b/crates/gateway/tests/loopback/rig/fault_library.rs
@@ -1,6 +1,5 @@
-//! Builds the preloaded library that makes the gateway's system calls fail (`syscall_faults.c`), once for each run
-//! of the tests. It is written in C, which the linker's compiler builds anyway, so that the workspace stays without
-//! unsafe code.
+//! Builds the preloaded library `syscall_faults.c`, which makes the gateway's system calls fail, once for each run of the
+//! tests. It is written in C, which the linker's compiler builds anyway, so that the workspace stays without unsafe code.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- /dev/null
+++ b/crates/gateway/tests/loopback/rig/gateway_process.rs
@@ -0,0 +1,208 @@
+//! A gateway process: its log, its signals, and what the system says of it.
+
+use super::client::Client;
+use super::deployment::Deployment;
+use super::files::write_config;
+use super::launch::{send_signal, Launch};
+use super::request::UNKNOWN_PATH;
+use super::server::Server;
+use super::EVENT_TIMEOUT;
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::{Child, ExitStatus};
+use std::sync::mpsc::{channel, Receiver};
+use std::thread;
+use std::time::Instant;
+
+/// Linux's code in `/proc/net/tcp` for a connection whose remote side has sent its end and whose local side is open.
+const CLOSE_WAIT: &str = "08";
+/// The fields of `/proc/PID/stat` for user and system time, counted from the process state.
+const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
+
+/// A running gateway, killed when dropped.
+pub struct GatewayProcess {
+    /// The process.
+    child: Child,
+    /// Its configuration file.
+    config_file: PathBuf,
+    /// Lines of its log that no test has read yet.
+    log_lines: Receiver<String>,
+    /// Where clients connect.
+    pub address: SocketAddr,
+}
+
+impl GatewayProcess {
+    /// Starts a gateway and waits until it listens.
+    pub fn start(config: &str, launch: &Launch) -> GatewayProcess {
+        let config_file = write_config(config);
+        let mut child = launch.spawn(&config_file);
+        let log = BufReader::new(child.stderr.take().unwrap());
+        let (sender, log_lines) = channel();
+        thread::spawn(move || {
+            for line in log.lines().map_while(Result::ok) {
+                eprintln!("{line}");
+                let _ = sender.send(line);
+            }
+        });
+        let unknown_address = SocketAddr::from(([127, 0, 0, 1], 0));
+        let mut gateway = GatewayProcess { child, config_file, log_lines, address: unknown_address };
+        gateway.address = gateway.wait_for_logged_address("listens on");
+        gateway
+    }
+
+    /// Starts a gateway with the usual configuration before one server.
+    pub fn in_front_of(server: &Server) -> GatewayProcess {
+        Deployment::with_server(server).start()
+    }
+
+    /// Waits for a line of the log with this text.
+    pub fn wait_for_log(&self, text: &str) -> String {
+        loop {
+            let line = self.log_lines.recv_timeout(EVENT_TIMEOUT);
+            let line = line.unwrap_or_else(|error| panic!("no '{text}' in the log: {error}"));
+            if line.contains(text) {
+                return line;
+            }
+        }
+    }
+
+    /// Waits for a line of the log with this text and an address at its end.
+    fn wait_for_logged_address(&self, text: &str) -> SocketAddr {
+        self.wait_for_log(text).trim().rsplit(' ').next().unwrap().parse().unwrap()
+    }
+
+    /// Where operators call, if the configuration has them answered.
+    pub fn operator_address(&self) -> SocketAddr {
+        self.wait_for_logged_address("answers operators on")
+    }
+
+    /// Replaces the configuration file atomically and signals the gateway to reload it.
+    pub fn reload_with(&self, config: &str) {
+        self.replace_config_file(config);
+        self.signal("-HUP");
+    }
+
+    /// Replaces the configuration file atomically without a signal.
+    pub fn replace_config_file(&self, config: &str) {
+        std::fs::rename(write_config(config), &self.config_file).unwrap();
+    }
+
+    /// A new client connection.
+    pub fn connect(&self) -> Client {
+        Client::connect(self.address).expect("the gateway accepts no connection")
+    }
+
+    /// Waits until the gateway has read what was sent before: it answers a request on a new connection then.
+    pub fn wait_until_input_read(&self) {
+        assert_eq!(self.connect().call(UNKNOWN_PATH).status(), 400);
+    }
+
+    /// Processor time used, in the system's ticks of 10 ms.
+    pub fn cpu_ticks(&self) -> u64 {
+        let stat = self.stat_fields();
+        CPU_TIME_FIELDS.iter().map(|&field| stat[field].parse::<u64>().unwrap()).sum()
+    }
+
+    /// Resident memory in KiB.
+    pub fn resident_kib(&self) -> u64 {
+        let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
+        let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
+        line.split_whitespace().next().unwrap().parse().unwrap()
+    }
+
+    /// Sends SIGTERM.
+    pub fn terminate(&self) {
+        self.signal("-TERM");
+    }
+
+    /// Sends SIGINT.
+    pub fn interrupt(&self) {
+        self.signal("-INT");
+    }
+
+    /// Stops the process until [`GatewayProcess::resume`], and waits until it has stopped.
+    pub fn pause(&self) {
+        self.signal("-STOP");
+        while self.state() != "T" {
+            thread::yield_now();
+        }
+    }
+
+    /// Lets a paused process go on.
+    pub fn resume(&self) {
+        self.signal("-CONT");
+    }
+
+    /// Sends a signal.
+    fn signal(&self, name: &str) {
+        send_signal(&self.child, name);
+    }
+
+    /// Whether the process has exited.
+    pub fn has_exited(&self) -> bool {
+        self.state() == "Z"
+    }
+
+    /// Kills the process, unless it has already exited, and then with success.
+    pub fn kill_unless_exited(mut self) {
+        match self.child.try_wait().unwrap() {
+            Some(status) => assert!(status.success(), "the gateway exited with {status}"),
+            None => self.kill(),
+        }
+    }
+
+    /// Kills the process.
+    pub fn kill(mut self) {
+        self.child.kill().unwrap();
+        self.child.wait().unwrap();
+    }
+
+    /// Waits until the process exits.
+    pub fn wait(mut self) -> ExitStatus {
+        self.child.wait().unwrap()
+    }
+
+    /// Waits until the process exits with success, and returns the lines of its log that no test has read yet.
+    pub fn log_until_exit(&mut self) -> Vec<String> {
+        assert!(self.child.wait().unwrap().success());
+        self.log_lines.iter().collect()
+    }
+
+    /// Waits until the ends of this many client connections have arrived while the gateway's side is still open: a
+    /// busy machine delivers what was sent over loopback some time later.
+    pub fn wait_for_client_ends(&self, count: usize) {
+        let deadline = Instant::now() + EVENT_TIMEOUT;
+        while self.connections_in(CLOSE_WAIT) < count {
+            assert!(Instant::now() < deadline, "the ends of {count} clients did not arrive");
+            thread::yield_now();
+        }
+    }
+
+    /// The number of connections at its address in a state of `/proc/net/tcp`.
+    fn connections_in(&self, state: &str) -> usize {
+        let port = format!(":{:04X}", self.address.port());
+        let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+        let rows = table.lines().map(|row| row.split_whitespace().collect::<Vec<&str>>());
+        rows.filter(|row| row.len() > 3 && row[1].ends_with(&port) && row[3] == state).count()
+    }
+
+    /// The state letter of the process in `/proc/PID/stat`.
+    fn state(&self) -> String {
+        self.stat_fields().swap_remove(0)
+    }
+
+    /// The fields of `/proc/PID/stat` from the process state on.
+    fn stat_fields(&self) -> Vec<String> {
+        let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
+        let (_, fields) = text.rsplit_once(')').unwrap();
+        fields.split_whitespace().map(str::to_owned).collect()
+    }
+}
+
+impl Drop for GatewayProcess {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
--- a/crates/gateway/tests/loopback/servers.rs
+++ b/crates/gateway/tests/loopback/servers.rs
@@ -1,350 +1,205 @@
-//! How attempts end, by the protocol's table, and what follows.
+//! Attempts at servers: how they end, what follows, and how their connections are used.
 
-use crate::rig::*;
-use serde_json::json;
-use std::net::{TcpListener, TcpStream};
-use std::sync::atomic::Ordering;
-use std::time::{Duration, Instant};
+use crate::rig::deployment::{Deployment, KEYED};
+use crate::rig::endpoint::{Endpoint, REMOTE_ZONE};
+use crate::rig::gate::Gate;
+use crate::rig::gateway_process::GatewayProcess;
+use crate::rig::request::{idempotent_request, keyed_request, non_idempotent_request, with_client_timeout};
+use crate::rig::server::{Reply, Server};
+use crate::rig::unreachable::UnreachableListener;
+use std::time::Duration;
 
-fn ok() -> Does {
-    Does::Answers("200 OK", b"done".to_vec())
-}
-
-/// Turned away unseen proves that nothing ran, so even a keyed request may go to another group.
+/// A rejection marked as such proves that nothing ran, so that even a keyed request may leave its deduplication scope.
 #[test]
-fn a_request_turned_away_goes_to_another_zone() {
-    let full = Server::start(|_| Does::Answers("503 Full\r\nX-Rejected: 1", Vec::new()));
-    let other = Server::start(|_| ok());
-    let (gateway, _agent) = Gateway::before(&[("s-1", &full, "room-a"), ("s-2", &other, "room-b")]);
-    let mut client = gateway.client();
-    assert_eq!(client.call(&notice("x")).status(), 200);
-    assert_eq!((full.request().body, other.request().body), (b"x".to_vec(), b"x".to_vec()));
+fn rejected_attempt_is_retried_in_another_zone() {
+    let full = Server::start(|_| Reply::empty("503 Full\r\nX-Rejected: 1"));
+    let other = Server::healthy();
+    let gateway = Deployment::with_two_zones(full.address, other.address).start();
+    let mut client = gateway.connect();
+    assert_eq!(client.call(&keyed_request("x")).status(), 200);
+    assert_eq!(full.next_request().body, b"x");
+    assert_eq!(other.next_request().body, b"x");
 }
 
-/// A 503 without the mark may have run: no other group may see the request, and it is no refusal.
+/// A 503 without the rejection mark may have run, and the client must not be told otherwise.
 #[test]
-fn a_keyed_request_that_may_have_run_stays_in_its_group() {
-    for does in [
-        || Does::Answers("503 Unavailable", Vec::new()),
-        || Does::Answers("500 Error", Vec::new()),
-        || Does::Breaks(""),
-        || Does::Breaks("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"),
+fn keyed_request_that_may_have_run_is_not_retried_outside_its_deduplication_scope() {
+    for reply in [
+        || Reply::empty("503 Unavailable"),
+        || Reply::empty("500 Error"),
+        || Reply::RawThenClose(""),
+        || Reply::RawThenClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"),
     ] {
-        let first = Server::start(move |_| does());
-        let other = Server::start(|_| ok());
-        let (gateway, _agent) = Gateway::before(&[("s-1", &first, "room-a"), ("s-2", &other, "room-b")]);
-        let mut client = gateway.client();
-        let answer = client.call(&notice("x"));
-        assert_eq!(answer.status(), 502);
-        first.request();
-        assert!(other.unread().is_empty(), "another zone saw a request that may have run");
+        let first = Server::start(move |_| reply());
+        let other = Server::healthy();
+        let gateway = Deployment::with_two_zones(first.address, other.address).start();
+        let mut client = gateway.connect();
+        let response = client.call(&keyed_request("x"));
+        assert_eq!(response.status(), 502);
+        first.next_request();
+        assert!(other.unread_events().is_empty(), "another zone saw a request that may have run");
     }
 }
 
-/// A body that breaks midway is no answer: a safe request goes elsewhere, and its client sees one whole body.
+/// An attempt whose response ends early has failed; an idempotent request is retried.
 #[test]
-fn half_an_answer_never_reaches_the_client_as_a_whole_one() {
-    let breaks = Server::start(|_| Does::Breaks("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"));
-    let other = Server::start(|_| ok());
-    let (gateway, _agent) = Gateway::before(&[("s-1", &breaks, "room-a"), ("s-2", &other, "room-b")]);
-    let answer = gateway.client().call(&status());
-    assert_eq!((answer.status(), answer.body), (200, b"done".to_vec()));
-    breaks.request();
-    assert_eq!(other.request().start, "GET /api?claim=7 HTTP/1.1");
+fn truncated_response_is_retried_and_never_returned() {
+    let breaks = Server::start(|_| Reply::RawThenClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"));
+    let other = Server::healthy();
+    let gateway = Deployment::with_two_zones(breaks.address, other.address).start();
+    let response = gateway.connect().call(&idempotent_request());
+    assert_eq!((response.status(), response.body), (200, b"done".to_vec()));
+    breaks.next_request();
+    assert_eq!(other.next_request().start_line, "GET /api?claim=7 HTTP/1.1");
 }
 
-/// A silent server's connection is closed when the gateway stops waiting, and the client still hears in time.
+/// The connection to a silent server is closed when the client's time is over, and the client gets its response in time.
 #[test]
-fn an_attempt_that_is_given_up_is_closed() {
-    let server = Server::start(|_| Does::Hangs);
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let mut client = gateway.client();
-    let answer = client.call(&notice("x").replace("X-Budget-Ms: 1900", "X-Budget-Ms: 200"));
-    assert_eq!(answer.status(), 502, "a keyed request that may have run is no refusal");
-    server.request();
-    server.closed();
-    client.write(&status().replace("X-Budget-Ms: 1900", "X-Budget-Ms: 200"));
-    assert_eq!(client.answer().expect("no answer").status(), 429);
+fn abandoned_attempt_closes_its_connection() {
+    let server = Server::silent();
+    let gateway = GatewayProcess::in_front_of(&server);
+    let mut client = gateway.connect();
+    let response = client.call(&with_client_timeout(&keyed_request("x"), 200));
+    assert_eq!(response.status(), 502, "a keyed request that may have run is not rejected");
+    server.next_request();
+    server.expect_connection_closed();
+    client.write(&with_client_timeout(&idempotent_request(), 200));
+    assert_eq!(client.expect_response().status(), 429);
 }
 
-/// A connection that its server closed after an answer carries no further request, and none is sent twice.
+/// The server closes each connection after a response without having announced it.
 #[test]
-fn a_connection_known_to_be_closed_is_not_used() {
-    let server = Server::start(|_| Does::AnswersAndCloses);
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let mut client = gateway.client();
+fn connection_closed_by_its_server_is_not_reused() {
+    let server = Server::start(|_| Reply::ResponseThenClose);
+    let gateway = GatewayProcess::in_front_of(&server);
+    let mut client = gateway.connect();
     let mut served = 0;
     for _ in 0..20 {
-        served += usize::from(client.call(&notice("x")).status() == 200);
-        server.request();
+        served += usize::from(client.call(&keyed_request("x")).status() == 200);
+        server.next_request();
     }
-    // Whether the close is seen in time is a race that the gateway may lose, at the price of a reset.
-    assert!(served >= 1 && server.unread().is_empty());
-    assert!(server.connections.load(Ordering::SeqCst) > 1);
-}
-
-/// The gateway closes an idle connection before the server does: else a request could cross the close.
-#[test]
-fn an_idle_connection_is_retired_by_the_gateway() {
-    let server = Server::start(|_| ok());
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut quick = config(&agent, &known);
-    quick["settings"]["limits"]["connIdleUs"] = json!(1_000_000);
-    let gateway = Gateway::start(&quick);
-    assert_eq!(gateway.client().call(&status()).status(), 200);
-    server.request();
-    server.closed();
-    assert_eq!(gateway.client().call(&status()).status(), 200);
-    server.request();
-}
-
-/// A listener with its backlog full: connections to it never come up.
-fn unreachable() -> (TcpListener, Vec<TcpStream>) {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = listener.local_addr().unwrap();
-    let limit = Duration::from_millis(200);
-    let filling = std::iter::from_fn(|| TcpStream::connect_timeout(&address, limit).ok()).collect();
-    (listener, filling)
-}
-
-/// An attempt that waits for a connection must not reach a server that has begun to drain meanwhile.
-#[test]
-fn an_attempt_still_connecting_is_called_back_from_a_draining_server() {
-    let (listener, _filling) = unreachable();
-    let stuck = listener.local_addr().unwrap();
-    let server = Server::start(|_| ok());
-    let known = [entry("s-1", stuck, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let gateway = Gateway::start(&patient(&agent, &known));
-    let mut client = gateway.client();
-    client.write(&notice("x"));
-    // A malformed request behind it, on another connection, shows that the gateway has read the first.
-    assert_eq!(gateway.client().call("GET /other HTTP/1.1\r\nHost: a\r\n\r\n").status(), 400);
-    let changed =
-        [entry("s-1", stuck, "room-a", "draining"), entry("s-2", server.address, "room-b", "ready")];
-    agent.change(changed.to_vec());
-    assert_eq!(client.answer().expect("no answer").status(), 200);
-    server.request();
-}
-
-/// A connection that never comes up has failed by the connect timeout, and proves that nothing ran.
-#[test]
-fn a_server_that_cannot_be_reached_is_passed_over() {
-    let (listener, _filling) = unreachable();
-    let server = Server::start(|_| ok());
-    let known = [
-        entry("s-1", listener.local_addr().unwrap(), "room-a", "ready"),
-        entry("s-2", server.address, "room-b", "ready"),
-    ];
-    let agent = Agent::start(known.to_vec());
-    let gateway = Gateway::start(&config(&agent, &known));
-    assert_eq!(gateway.client().call(&notice("x")).status(), 200);
-    server.request();
+    // Whether the close is seen before the next request is a race, so that some requests may fail.
+    assert!(served >= 1 && server.unread_events().is_empty());
+    assert!(server.connection_count() > 1);
 }
 
-/// A gateway whose connections never time out by themselves, before one server.
-fn patient(agent: &Agent, known: &[serde_json::Value]) -> serde_json::Value {
-    let mut patient = config(agent, known);
-    patient["settings"]["limits"]["connectTimeoutUs"] = json!(60_000_000);
-    patient
-}
-
-/// Time ran out before a connection came up: nothing was written, so the refusal may promise that.
+/// The gateway closes an idle connection before the server does, so that no request crosses the server's close.
 #[test]
-fn a_keyed_request_that_was_never_written_is_refused_not_failed() {
-    let (listener, _filling) = unreachable();
-    let known = [entry("s-1", listener.local_addr().unwrap(), "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let gateway = Gateway::start(&patient(&agent, &known));
-    let answer = gateway.client().call(&notice("x").replace("X-Budget-Ms: 1900", "X-Budget-Ms: 200"));
-    assert_eq!(answer.status(), 429);
+fn idle_server_connection_is_closed_by_the_gateway() {
+    let server = Server::healthy();
+    let gateway = Deployment::with_server(&server).set("/settings/limits/connIdleUs", 1_000_000).start();
+    assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
+    server.next_request();
+    server.expect_connection_closed();
+    assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
+    server.next_request();
 }
 
-/// A request whose client left while its connection was coming up must not be sent once that is there, whatever
-/// else its client had sent by then.
+/// An attempt that still waits for its connection is not sent to an endpoint that is draining by then.
 #[test]
-fn nothing_is_sent_for_a_client_that_left_meanwhile() {
-    let much = format!("{}{}", notice("next"), "x".repeat(40 << 10));
-    for ahead in ["", "POST /ap", &notice("next"), &much] {
-        let (listener, filling) = unreachable();
-        let known = [entry("s-1", listener.local_addr().unwrap(), "room-a", "ready")];
-        let agent = Agent::start(known.to_vec());
-        let mut config = patient(&agent, &known);
-        config["settings"]["classes"][1]["deadlineUs"] = json!(20_000_000);
-        let gateway = Gateway::start(&config);
-        let mut leaves = gateway.client();
-        leaves.write(&notice("left").replace("X-Budget-Ms: 1900", "X-Budget-Ms: 20000"));
-        assert_eq!(gateway.client().call("GET /other HTTP/1.1\r\nHost: a\r\n\r\n").status(), 400);
-        leaves.write(ahead);
-        drop(leaves);
-        let mut stays = gateway.client();
-        stays.write(&notice("stays").replace("X-Budget-Ms: 1900", "X-Budget-Ms: 20000"));
-        assert_eq!(gateway.client().call("GET /other HTTP/1.1\r\nHost: a\r\n\r\n").status(), 400);
-        drop(filling);
-        let server = Server::on(listener, |_| ok());
-        assert_eq!(stays.answer().expect("no answer").status(), 200);
-        let seen = server.unread().into_iter().filter_map(|note| match note {
-            Note::Request(message) => Some(message.body),
-            Note::Closed => None,
-        });
-        assert_eq!(seen.collect::<Vec<_>>(), [b"stays".to_vec()], "behind {} bytes", ahead.len());
-    }
+fn connecting_attempt_moves_when_its_endpoint_starts_draining() {
+    let listener = UnreachableListener::bind();
+    let server = Server::healthy();
+    let deployment = Deployment::with_endpoint(listener.address()).unlimited_connect_timeout();
+    let gateway = deployment.start();
+    let mut client = gateway.connect();
+    client.write(&keyed_request("x"));
+    gateway.wait_until_input_read();
+    deployment.agent.publish(vec![
+        Endpoint::draining("s-1", listener.address()),
+        Endpoint::ready("s-2", server.address).in_zone(REMOTE_ZONE),
+    ]);
+    assert_eq!(client.expect_response().status(), 200);
+    server.next_request();
 }
 
-/// The same of a body so long that it is not read whole before it goes on: its client's end lies behind the rest.
+/// A connect timeout proves that nothing ran, so that even a keyed request may leave its deduplication scope.
 #[test]
-fn nothing_is_sent_of_a_long_body_whose_client_left_meanwhile() {
-    let (listener, filling) = unreachable();
-    let known = [entry("s-1", listener.local_addr().unwrap(), "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut config = patient(&agent, &known);
-    config["settings"]["classes"][1]["deadlineUs"] = json!(20_000_000);
-    let gateway = Gateway::start(&config);
-    let mut leaves = gateway.client();
-    let long = "x".repeat(150 << 10);
-    leaves.write(&notice(&long).replace("X-Budget-Ms: 1900", "X-Budget-Ms: 20000"));
-    let from = Instant::now();
-    leaves.end();
-    // It is told, or closed, and so nothing waits any more before any server is there.
-    assert!(leaves.answer().is_none_or(|answer| answer.status() == 429));
-    assert!(from.elapsed() < Duration::from_secs(10), "noticed after {:?}", from.elapsed());
-    let mut stays = gateway.client();
-    stays.write(&notice("stays").replace("X-Budget-Ms: 1900", "X-Budget-Ms: 20000"));
-    assert_eq!(gateway.client().call("GET /other HTTP/1.1\r\nHost: a\r\n\r\n").status(), 400);
-    drop(filling);
-    let server = Server::on(listener, |_| ok());
-    assert_eq!(stays.answer().expect("no answer").status(), 200);
-    assert!(seen(&server).body == b"stays", "the long body went on");
-    let more = server.unread().into_iter().filter(|note| matches!(note, Note::Request(_))).count();
-    assert_eq!(more, 0);
-}
-
-/// An attempt that fails after its client has left is followed by no other, however it failed.
-#[test]
-fn no_further_attempt_begins_for_a_client_that_left_during_the_first() {
-    for end in ["503 Full\r\nX-Rejected: 1", "500 Error"] {
-        let (release, wait) = std::sync::mpsc::channel::<()>();
-        let wait = std::sync::Mutex::new(wait);
-        let server = Server::start(move |n| {
-            if n > 0 {
-                return ok();
-            }
-            wait.lock().unwrap().recv().unwrap();
-            Does::Answers(end, Vec::new())
-        });
-        let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a"), ("s-2", &server, "room-a")]);
-        let mut leaves = gateway.client();
-        leaves.write(&status());
-        server.request();
-        leaves.end();
-        assert!(leaves.answer().is_some_and(|a| a.status() >= 400));
-        release.send(()).unwrap();
-        // One that comes after the failed answer is the next that is seen.
-        let mut stays = gateway.client();
-        for _ in 0..3 {
-            assert_eq!(stays.call(&payout("stays")).status(), 200);
-            assert_eq!(seen(&server).body, b"stays");
-        }
-    }
-}
-
-/// The next request that the server saw.
-fn seen(server: &Server) -> Message {
-    loop {
-        if let Note::Request(message) = server.note() {
-            return message;
-        }
-    }
+fn connect_timeout_is_retried_at_another_endpoint() {
+    let listener = UnreachableListener::bind();
+    let server = Server::healthy();
+    let gateway = Deployment::with_two_zones(listener.address(), server.address).start();
+    assert_eq!(gateway.connect().call(&keyed_request("x")).status(), 200);
+    server.next_request();
 }
 
-/// A client that ends its own side has gone away for all that anybody can tell, but may still read: it is told how
-/// its request ended.
+/// The client's time is over before a connection comes up, so that the response may say that nothing ran.
 #[test]
-fn a_client_that_ends_its_side_is_told_what_became_of_its_request() {
-    let (listener, _filling) = unreachable();
-    let silent = Server::start(|_| Does::Hangs);
-    for (address, code) in [(listener.local_addr().unwrap(), 429), (silent.address, 502)] {
-        let known = [entry("s-1", address, "room-a", "ready")];
-        let agent = Agent::start(known.to_vec());
-        let gateway = Gateway::start(&patient(&agent, &known));
-        let mut client = gateway.client();
-        client.write(&payout("x"));
-        if code == 502 {
-            silent.request();
-        }
-        client.end();
-        assert_eq!(client.answer().expect("no answer").status(), code);
-        assert!(client.answer().is_none());
-    }
+fn keyed_request_never_written_gets_429_instead_of_502() {
+    let listener = UnreachableListener::bind();
+    let gateway = Deployment::with_endpoint(listener.address()).unlimited_connect_timeout().start();
+    let response = gateway.connect().call(&with_client_timeout(&keyed_request("x"), 200));
+    assert_eq!(response.status(), 429);
 }
 
-/// Servers remember a key for a time only: a repeat whose connection is not up by then stays unsent.
+/// A keyed retry whose connection comes up only after the deduplication window would run twice.
 #[test]
-fn a_repeat_that_waits_for_its_connection_past_the_window_is_given_up() {
-    let (listener, _filling) = unreachable();
-    let (release, wait) = std::sync::mpsc::channel::<()>();
-    let wait = std::sync::Mutex::new(wait);
+fn retry_is_abandoned_when_the_deduplication_window_ends_while_connecting() {
+    let listener = UnreachableListener::bind();
+    let (gate, waiter) = Gate::new();
     let server = Server::start(move |_| {
-        wait.lock().unwrap().recv().unwrap();
-        Does::Answers("500 Error", Vec::new())
+        waiter.wait();
+        Reply::empty("500 Error")
     });
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut config = patient(&agent, &known);
-    for field in ["aimUs", "deadlineUs"] {
-        config["settings"]["classes"][1][field] = json!(120_000_000);
-    }
-    let gateway = Gateway::start(&config);
-    let mut client = gateway.client();
-    client.write(&notice("x").replace("X-Budget-Ms: 1900", "X-Budget-Ms: 120000"));
-    server.request();
-    agent.change(vec![entry("s-2", listener.local_addr().unwrap(), "room-a", "ready")]);
-    release.send(()).unwrap();
-    // The window is 1.5 s, the client's time two minutes: the answer comes when the window is over.
-    assert_eq!(client.answer().expect("no answer").status(), 502);
+    let deployment =
+        Deployment::with_server(&server).unlimited_connect_timeout().deadline_us(KEYED, 120_000_000);
+    let gateway = deployment.start();
+    let mut client = gateway.connect();
+    client.write(&with_client_timeout(&keyed_request("x"), 120_000));
+    server.next_request();
+    deployment.agent.publish(vec![Endpoint::ready("s-2", listener.address())]);
+    gate.release_one();
+    // The window is 1.5 s and the client's time two minutes: the response comes when the window is over.
+    assert_eq!(client.expect_response().status(), 502);
 }
 
-/// Whatever a server sends behind an answer, each request gets its own.
+/// A server that sends more than one response for a request cannot shift those of later requests.
 #[test]
-fn what_comes_behind_an_answer_never_answers_the_next_request() {
+fn bytes_after_a_response_are_not_taken_for_the_next_response() {
     let server = Server::start(|n| {
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nn{n:03}");
-        Does::Writes(match n % 3 {
-            0 => format!("{answer}{answer}"),
-            1 => format!("{answer}noise\r\n\r\n"),
-            _ => answer,
+        let response = numbered_response(n);
+        Reply::Raw(match n % 3 {
+            0 => format!("{response}{response}"),
+            1 => format!("{response}noise\r\n\r\n"),
+            _ => response,
         })
     });
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let mut client = gateway.client();
-    for n in 0..30 {
-        assert_eq!(client.call(&status()).body, format!("n{n:03}").into_bytes());
+    assert_responses_are_in_order(&server, 30);
+}
+
+/// A response with the number of its request as its body.
+fn numbered_response(number: usize) -> String {
+    format!("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nn{number:03}")
+}
+
+/// Asserts that each of a number of requests on one connection gets the response with its number.
+fn assert_responses_are_in_order(server: &Server, requests: usize) {
+    let gateway = GatewayProcess::in_front_of(server);
+    let mut client = gateway.connect();
+    for number in 0..requests {
+        let response = client.call(&idempotent_request());
+        assert_eq!(response.body, format!("n{number:03}").into_bytes());
     }
 }
 
-/// A second answer that comes some milliseconds late is none to the request that follows.
+/// The server sends its response a second time some milliseconds later.
 #[test]
-fn a_late_second_answer_never_answers_the_next_request() {
+fn late_duplicate_response_is_not_taken_for_the_next_response() {
     let server = Server::start(|n| {
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nn{n:03}");
+        let response = numbered_response(n);
         if n % 2 == 0 {
-            Does::WritesTwice(answer, Duration::from_millis(5))
+            Reply::RawTwice { text: response, delay: Duration::from_millis(5) }
         } else {
-            Does::Writes(answer)
+            Reply::Raw(response)
         }
     });
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let mut client = gateway.client();
-    for n in 0..20 {
-        assert_eq!(client.call(&status()).body, format!("n{n:03}").into_bytes());
-    }
+    assert_responses_are_in_order(&server, 20);
 }
 
-/// An answer that cannot be relied on is a failed attempt: a safe request goes elsewhere.
+/// A response that cannot be relied on is retried for an idempotent request.
 #[test]
-fn a_spoilt_answer_is_none() {
-    let spoilt = [
+fn malformed_response_is_a_failed_attempt() {
+    let malformed = [
         "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nx",
         "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nhalf",
         "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nhalf",
@@ -352,113 +207,117 @@
         "HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n",
         "\u{1}\u{2}noise\r\n\r\n",
     ];
-    for text in spoilt {
-        let bad = Server::start(move |_| Does::Writes(text.to_owned()));
-        let other = Server::start(|_| ok());
-        let (gateway, _agent) = Gateway::before(&[("s-1", &bad, "room-a"), ("s-2", &other, "room-b")]);
-        let answer = gateway.client().call(&status());
-        assert_eq!((answer.status(), answer.body), (200, b"done".to_vec()), "{text}");
-        bad.request();
-        bad.closed();
+    for text in malformed {
+        let bad = Server::start(move |_| Reply::Raw(text.to_owned()));
+        let other = Server::healthy();
+        let gateway = Deployment::with_two_zones(bad.address, other.address).start();
+        let response = gateway.connect().call(&idempotent_request());
+        assert_eq!((response.status(), response.body), (200, b"done".to_vec()), "{text}");
+        bad.next_request();
+        bad.expect_connection_closed();
     }
-    // An answer that ends with its connection may be half of one.
-    let bad = Server::start(|_| Does::Breaks("HTTP/1.1 200 OK\r\n\r\nhalf"));
-    let other = Server::start(|_| ok());
-    let (gateway, _agent) = Gateway::before(&[("s-1", &bad, "room-a"), ("s-2", &other, "room-b")]);
-    assert_eq!(gateway.client().call(&status()).body, b"done");
-    // One that says so is whole when its connection ends, and is not asked for again.
-    let ends = Server::start(|_| Does::Breaks("HTTP/1.1 200 OK\r\nConnection: x, Close\r\n\r\nwhole"));
-    let (gateway, _agent) = Gateway::before(&[("s-1", &ends, "room-a")]);
+}
+
+/// Without a length and without `Connection: close` a response that ends with its connection may be truncated.
+#[test]
+fn response_without_length_is_retried_unless_it_announces_the_close() {
+    let unannounced = Server::start(|_| Reply::RawThenClose("HTTP/1.1 200 OK\r\n\r\nhalf"));
+    let other = Server::healthy();
+    let gateway = Deployment::with_two_zones(unannounced.address, other.address).start();
+    assert_eq!(gateway.connect().call(&idempotent_request()).body, b"done");
+    let announced =
+        Server::start(|_| Reply::RawThenClose("HTTP/1.1 200 OK\r\nConnection: x, Close\r\n\r\nwhole"));
+    let gateway = GatewayProcess::in_front_of(&announced);
     for _ in 0..2 {
-        let answer = gateway.client().call(&payout("once"));
-        assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"whole"[..]));
-        ends.request();
+        let response = gateway.connect().call(&non_idempotent_request("once"));
+        assert_eq!((response.status(), response.body.as_slice()), (200, &b"whole"[..]));
+        announced.next_request();
     }
-    assert!(ends.unread().is_empty());
-    // One with something harmless ahead is whole.
+    assert!(announced.unread_events().is_empty());
+}
+
+/// An informational response ahead of the final one is skipped.
+#[test]
+fn early_hints_are_not_taken_for_the_response() {
     let hints = Server::start(|_| {
-        let ahead = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n";
-        Does::Writes(format!("{ahead}HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"))
+        let early_hints = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n";
+        Reply::Raw(format!("{early_hints}HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"))
     });
-    let (gateway, _agent) = Gateway::before(&[("s-1", &hints, "room-a")]);
-    assert_eq!(gateway.client().call(&status()).body, b"whole");
+    let gateway = GatewayProcess::in_front_of(&hints);
+    assert_eq!(gateway.connect().call(&idempotent_request()).body, b"whole");
 }
 
-/// A request that got no answer from one server is answered by another within its time, and the silent attempt
-/// is off the network by then.
+/// An idempotent request is retried before its client's time is over, and the silent attempt's connection is closed.
 #[test]
-fn a_silent_server_does_not_hold_a_request_for_all_of_its_time() {
-    let silent = Server::start(|_| Does::Hangs);
-    let other = Server::start(|_| ok());
-    let (gateway, _agent) = Gateway::before(&[("s-1", &silent, "room-a"), ("s-2", &other, "room-b")]);
-    assert_eq!(gateway.client().call(&status()).status(), 200);
-    silent.request();
-    silent.closed();
-    other.request();
-    // A keyed request may run only where its key is known: it stays with its zone's one server.
-    let (gateway, _agent) = Gateway::before(&[("s-1", &silent, "room-a"), ("s-2", &other, "room-b")]);
-    assert_eq!(gateway.client().call(&notice("x")).status(), 502);
-    assert!(other.unread().is_empty());
+fn silent_server_attempt_is_abandoned_in_time_for_a_retry() {
+    let silent = Server::silent();
+    let other = Server::healthy();
+    let gateway = Deployment::with_two_zones(silent.address, other.address).start();
+    assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
+    silent.next_request();
+    silent.expect_connection_closed();
+    other.next_request();
+    // A keyed request stays in its deduplication scope, which has no other server.
+    let gateway = Deployment::with_two_zones(silent.address, other.address).start();
+    assert_eq!(gateway.connect().call(&keyed_request("x")).status(), 502);
+    assert!(other.unread_events().is_empty());
 }
 
-/// Units that no request can have are not booked: the guess stands, and the answer reaches its client.
+/// A charge that no request can have leaves the estimate in force, and the response reaches its client.
 #[test]
-fn true_units_that_cannot_be_true_are_passed_over() {
-    for told in ["21", "1e300", "-4", "inf", "NaN", "many"] {
-        let server = Server::start(move |_| {
-            Does::Answers(["200 OK\r\nApi-Charge: ", told].concat().leak(), b"done".to_vec())
+fn implausible_charge_is_ignored_and_the_estimate_kept() {
+    for charge in ["21", "1e300", "-4", "inf", "NaN", "many"] {
+        let server = Server::start(move |_| Reply::Response {
+            head: ["200 OK\r\nApi-Charge: ", charge].concat().leak(),
+            body: b"done".to_vec(),
         });
-        let known = [entry("s-1", server.address, "room-a", "ready")];
-        let agent = Agent::start(known.to_vec());
-        let mut settles = config(&agent, &known);
-        settles["settings"]["familyInfo"]["truedUp"] = json!(true);
-        settles["settings"]["plans"][0]["rate"] = json!(0.001);
-        settles["settings"]["plans"][0]["depth"] = json!(4.0);
-        let gateway = Gateway::start(&settles);
-        let mut client = gateway.client();
+        let gateway = gateway_that_settles_charges(&server);
+        let mut client = gateway.connect();
         for _ in 0..2 {
-            let answer = client.call(&status());
-            assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"done"[..]), "{told}");
+            let response = client.call(&idempotent_request());
+            assert_eq!((response.status(), response.body.as_slice()), (200, &b"done"[..]), "{charge}");
         }
-        assert_eq!(client.call(&status()).status(), 429, "{told}");
+        assert_eq!(client.call(&idempotent_request()).status(), 429, "{charge}");
     }
 }
 
-/// A guess of one unit that turned out to be four empties a store of four: the quota counts the true units.
+/// A gateway before one server whose customers have four units in all, settled by the charge in the response.
+fn gateway_that_settles_charges(server: &Server) -> GatewayProcess {
+    Deployment::with_server(server).set("/settings/familyInfo/truedUp", true).token_bucket(0.001, 4.0).start()
+}
+
+/// A request estimated at one unit and charged four empties a bucket of four.
 #[test]
-fn the_true_units_of_a_request_are_taken_from_its_quota() {
-    let server = Server::start(|_| Does::Answers("200 OK\r\nApi-Charge: 4", b"done".to_vec()));
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut settles = config(&agent, &known);
-    settles["settings"]["familyInfo"]["truedUp"] = json!(true);
-    settles["settings"]["plans"][0]["rate"] = json!(0.001);
-    settles["settings"]["plans"][0]["depth"] = json!(4.0);
-    let gateway = Gateway::start(&settles);
-    let mut client = gateway.client();
-    let request = || status().replace("units=2", "units=1");
+fn charge_in_the_response_replaces_the_estimated_units() {
+    let server =
+        Server::start(|_| Reply::Response { head: "200 OK\r\nApi-Charge: 4", body: b"done".to_vec() });
+    let gateway = gateway_that_settles_charges(&server);
+    let mut client = gateway.connect();
+    let request = || idempotent_request().replace("units=2", "units=1");
     assert_eq!(client.call(&request()).status(), 200);
     assert_eq!(client.call(&request()).status(), 429);
-    server.request();
-    assert!(server.unread().is_empty(), "a request beyond the quota was sent on");
+    server.next_request();
+    assert!(server.unread_events().is_empty(), "a request beyond the quota was forwarded");
 }
 
-/// The time that a server is told is what its client has left as the request is written, not before its connection
-/// has rested.
+/// The forwarded timeout is taken as the request is written, also when its connection has been idle.
 #[test]
-fn a_server_is_told_no_more_time_than_the_client_has_left() {
-    let server = Server::start(|_| ok());
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let mut client = gateway.client();
-    let mut least_told = u64::MAX;
+fn forwarded_client_timeout_never_exceeds_the_time_left() {
+    let server = Server::healthy();
+    let gateway = GatewayProcess::in_front_of(&server);
+    let mut client = gateway.connect();
+    let mut shortest_forwarded = u64::MAX;
     for _ in 0..20 {
-        assert_eq!(client.call(&status()).status(), 200);
-        seen(&server);
-        // The connection of the answer before rests for 20 ms.
-        client.call(&status().replace("X-Budget-Ms: 1900", "X-Budget-Ms: 100"));
-        let told: u64 = seen(&server).header("x-budget-ms").parse().unwrap();
-        assert!(told <= 100);
-        least_told = least_told.min(told);
+        assert_eq!(client.call(&idempotent_request()).status(), 200);
+        server.next_request_on_any_connection();
+        // The connection of the previous response is not used for 20 ms.
+        client.call(&with_client_timeout(&idempotent_request(), 100));
+        let forwarded: u64 = server.next_request_on_any_connection().header("x-budget-ms").parse().unwrap();
+        assert!(forwarded <= 100);
+        shortest_forwarded = shortest_forwarded.min(forwarded);
     }
-    assert!(least_told <= 85, "at least {least_told} ms of 100 were told after a rest");
+    assert!(
+        shortest_forwarded <= 85,
+        "at least {shortest_forwarded} ms of 100 were forwarded after an idle time"
+    );
 }
--- a/crates/gateway/tests/loopback/size.rs
+++ b/crates/gateway/tests/loopback/size.rs
@@ -1,161 +1,190 @@
-//! Bodies past 64 KiB, both ways: passed on as they come, and held back by whoever takes them.
+//! Bodies of more than 64 KiB in both directions: streamed, with backpressure from the receiver.
 
-use crate::rig::*;
+use crate::rig::client::Client;
+use crate::rig::deployment::Deployment;
+use crate::rig::gateway_process::GatewayProcess;
+use crate::rig::message::read_head;
+use crate::rig::request::{idempotent_request, non_idempotent_request, with_client_timeout, with_framing};
+use crate::rig::server::Server;
 use std::io::{ErrorKind, Read, Write};
-use std::net::TcpListener;
+use std::net::{TcpListener, TcpStream};
 use std::thread;
 use std::time::Duration;
 
+/// Bytes in a mebibyte.
 const MIB: usize = 1 << 20;
+/// A short successful response.
+const DONE: &[u8] = b"HTTP/1.1 200 OK
+Content-Length: 4
+
+done";
 
 /// Bytes in which a gap or a repeat shows.
 fn pattern(length: usize) -> Vec<u8> {
-    (0..length).map(|k| (k / 251 + k) as u8).collect()
+    (0..length).map(|position| (position / 251 + position) as u8).collect()
+}
+
+/// A gateway with one client, and a listener as its server, played by the test itself.
+struct StreamRig {
+    /// Accepts the gateway's connections.
+    listener: TcpListener,
+    /// The gateway.
+    gateway: GatewayProcess,
+    /// A connection of a client.
+    client: Client,
 }
 
-/// A gateway before one server that the test plays itself.
-fn before(listener: &TcpListener) -> (Gateway, Agent) {
-    let known = [entry("s-1", listener.local_addr().unwrap(), "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    (Gateway::start(&config(&agent, &known)), agent)
+impl StreamRig {
+    /// Starts a gateway before a listener, and connects a client.
+    fn start() -> StreamRig {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let gateway = Deployment::with_endpoint(listener.local_addr().unwrap()).start();
+        let client = gateway.connect();
+        StreamRig { listener, gateway, client }
+    }
+
+    /// Accepts a connection of the gateway.
+    fn accept(&self) -> TcpStream {
+        self.listener.accept().unwrap().0
+    }
+
+    /// Sends an idempotent request and returns the connection on which its head has reached the server.
+    fn forward_request(&mut self) -> TcpStream {
+        self.client.write(&idempotent_request());
+        let mut server = self.accept();
+        read_head(&mut server);
+        server
+    }
+
+    /// Sends the head of a non-idempotent request with a body of a length.
+    fn write_head(&mut self, body_length: usize) {
+        let framing = format!("Content-Length: {body_length}");
+        self.client.write(&with_framing(&non_idempotent_request(""), &framing));
+    }
 }
 
-/// The client sends the second half only once the server has the first, so no step can wait for the whole.
+/// The client sends the rest of the body once the server has the first part.
 #[test]
-fn a_long_body_reaches_its_server_while_it_comes() {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (gateway, _agent) = before(&listener);
-    let (body, mut client) = (pattern(3 * MIB), gateway.client());
-    let (first, second) = body.split_at(MIB);
-    client.write(&payout("").replace("Content-Length: 0", &format!("Content-Length: {}", body.len())));
-    client.write_bytes(first);
-    let (mut server, _) = listener.accept().unwrap();
+fn long_request_body_is_streamed_to_its_server() {
+    let mut rig = StreamRig::start();
+    let body = pattern(3 * MIB);
+    let (first, rest) = body.split_at(MIB);
+    rig.write_head(body.len());
+    rig.client.write_bytes(first);
+    let mut server = rig.accept();
     assert!(read_head(&mut server).to_lowercase().contains("content-length: 3145728"));
-    let mut got = vec![0; first.len()];
-    server.read_exact(&mut got).unwrap();
-    let rest = second.to_vec();
-    let sends = thread::spawn(move || {
+    let mut received = vec![0; first.len()];
+    server.read_exact(&mut received).unwrap();
+    let rest = rest.to_vec();
+    let mut client = rig.client;
+    let sender = thread::spawn(move || {
         client.write_bytes(&rest);
         client
     });
-    got.resize(body.len(), 0);
-    server.read_exact(&mut got[first.len()..]).unwrap();
-    assert!(got == body, "the body changed on its way");
-    server.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone").unwrap();
-    let answer = sends.join().unwrap().answer().unwrap();
-    assert_eq!((answer.status(), answer.header("connection")), (200, ""));
+    received.resize(body.len(), 0);
+    server.read_exact(&mut received[MIB..]).unwrap();
+    assert!(received == body, "the body changed on its way");
+    server.write_all(DONE).unwrap();
+    let response = sender.join().unwrap().response().unwrap();
+    assert_eq!((response.status(), response.header("connection")), (200, ""));
 }
 
-/// The client's time for an answer begins with its last byte: a request that was asked for later, and has had
-/// all of its time, ends before.
+/// A shorter request that is sent later, and uses all of its client's time, ends before the long one.
 #[test]
-fn a_long_body_may_take_longer_than_its_answer() {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (gateway, _agent) = before(&listener);
-    let mut client = gateway.client();
-    let quick = |request: String| request.replace("X-Budget-Ms: 1900", "X-Budget-Ms: 60");
-    client.write(&quick(payout("").replace("Content-Length: 0", "Content-Length: 1048576")));
-    client.write_bytes(&pattern(MIB / 2));
-    let (mut server, _) = listener.accept().unwrap();
+fn client_timeout_of_a_long_body_starts_with_its_last_byte() {
+    let mut rig = StreamRig::start();
+    let with_short_timeout = |request: String| with_client_timeout(&request, 60);
+    let long = with_framing(&non_idempotent_request(""), "Content-Length: 1048576");
+    rig.client.write(&with_short_timeout(long));
+    rig.client.write_bytes(&pattern(MIB / 2));
+    let mut server = rig.accept();
     read_head(&mut server);
     server.read_exact(&mut vec![0; MIB / 2]).unwrap();
-    let late = gateway.client().call(&quick(payout("x")));
-    assert_eq!(late.status(), 502, "the server never takes this one up");
-    client.write_bytes(&pattern(MIB / 2));
+    let late = rig.gateway.connect().call(&with_short_timeout(non_idempotent_request("x")));
+    assert_eq!(late.status(), 502, "no server reads this one");
+    rig.client.write_bytes(&pattern(MIB / 2));
     server.read_exact(&mut vec![0; MIB / 2]).unwrap();
-    server.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone").unwrap();
-    assert_eq!(client.answer().unwrap().status(), 200);
+    server.write_all(DONE).unwrap();
+    assert_eq!(rig.client.response().unwrap().status(), 200);
 }
 
-/// One of unknown length goes on in chunks, and its server answers once the last has come.
+/// A body of unknown length.
 #[test]
-fn a_long_chunked_body_goes_on_to_its_last_chunk() {
-    let server = Server::start(|_| Does::Answers("200 OK", b"done".to_vec()));
-    let (gateway, _agent) = Gateway::before(&[("s-1", &server, "room-a")]);
-    let mut client = gateway.client();
-    client.write(&payout("").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
+fn long_chunked_body_is_forwarded_in_chunks_to_its_end() {
+    let server = Server::healthy();
+    let gateway = GatewayProcess::in_front_of(&server);
+    let mut client = gateway.connect();
+    client.write(&with_framing(&non_idempotent_request(""), "Transfer-Encoding: chunked"));
     for _ in 0..16 {
         client.write(&format!("4000\r\n{}\r\n", "x".repeat(16 << 10)));
     }
     client.write("0\r\n\r\n");
-    assert_eq!(client.answer().unwrap().status(), 200);
-    assert_eq!(server.request().header("transfer-encoding"), "chunked");
+    assert_eq!(client.response().unwrap().status(), 200);
+    assert_eq!(server.next_request().header("transfer-encoding"), "chunked");
 }
 
-/// The server gives the second half only once the client has the first.
+/// The server sends the rest of the body once the client has the first part.
 #[test]
-fn a_long_answer_reaches_its_client_while_it_comes() {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (gateway, _agent) = before(&listener);
-    let (body, mut client) = (pattern(2 * MIB), gateway.client());
-    client.write(&status());
-    let (mut server, _) = listener.accept().unwrap();
-    read_head(&mut server);
-    server
-        .write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes())
-        .unwrap();
-    let (first, second) = body.split_at(100 << 10);
+fn long_response_is_streamed_to_its_client() {
+    let mut rig = StreamRig::start();
+    let body = pattern(2 * MIB);
+    let (first, rest) = body.split_at(100 << 10);
+    let mut server = rig.forward_request();
+    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+    server.write_all(head.as_bytes()).unwrap();
     server.write_all(first).unwrap();
-    let mut got = client.bytes_of_answer(first.len());
-    let rest = second.to_vec();
-    let gives = thread::spawn(move || {
-        server.write_all(&rest).unwrap();
+    let mut received = rig.client.read_body_start(first.len());
+    let rest_to_send = rest.to_vec();
+    let sender = thread::spawn(move || {
+        server.write_all(&rest_to_send).unwrap();
         server
     });
-    got.extend(client.more_bytes(second.len()));
-    assert!(got == body, "the answer changed on its way");
-    // The connections go on on both sides.
-    let mut server = gives.join().unwrap();
-    client.write(&status());
+    received.extend(rig.client.read_bytes(rest.len()));
+    assert!(received == body, "the response changed on its way");
+    // Both connections are reused.
+    let mut server = sender.join().unwrap();
+    rig.client.write(&idempotent_request());
     read_head(&mut server);
-    server.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone").unwrap();
-    assert_eq!(client.answer().unwrap().body, b"done");
+    server.write_all(DONE).unwrap();
+    assert_eq!(rig.client.response().unwrap().body, b"done");
 }
 
-/// A client that takes nothing stops the server, not the gateway's memory: far less than the whole is on its way.
+/// The server cannot send a response of 32 MiB into buffers that hold far less.
 #[test]
-fn a_client_that_takes_nothing_holds_its_server_back() {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (gateway, _agent) = before(&listener);
-    let mut client = gateway.client();
-    client.write(&status());
-    let (mut server, _) = listener.accept().unwrap();
-    read_head(&mut server);
+fn client_that_reads_nothing_applies_backpressure_to_its_server() {
+    let mut rig = StreamRig::start();
+    let mut server = rig.forward_request();
     server.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n").unwrap();
     server.set_write_timeout(Some(Duration::from_secs(1))).unwrap();
     let blocked = server.write_all(&vec![0; 32 * MIB]).unwrap_err();
     assert_eq!(blocked.kind(), ErrorKind::WouldBlock, "{blocked}");
 }
 
-/// An answer that breaks off past the point where it can be left out reaches its client as a broken one.
+/// The response breaks off after part of it has been forwarded, so that no retry is possible.
 #[test]
-fn a_long_answer_that_breaks_off_is_not_passed_off_as_whole() {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (gateway, _agent) = before(&listener);
-    let mut client = gateway.client();
-    client.write(&status());
-    let (mut server, _) = listener.accept().unwrap();
-    read_head(&mut server);
+fn truncated_long_response_reaches_its_client_as_truncated() {
+    let mut rig = StreamRig::start();
+    let mut server = rig.forward_request();
     server.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
-    server.write_all(format!("20000\r\n{}\r\n", "x".repeat(128 << 10)).as_bytes()).unwrap();
+    let chunk = format!("20000\r\n{}\r\n", "x".repeat(128 << 10));
+    server.write_all(chunk.as_bytes()).unwrap();
     drop(server);
-    let text = client.closes();
+    let text = rig.client.read_until_closed();
     assert!(text.starts_with("HTTP/1.1 200") && !text.ends_with("0\r\n\r\n"));
 }
 
-/// Bytes that have gone on are not kept, so there is no second attempt; as none ran, it may be asked again.
+/// Forwarded bytes are not buffered for a retry; as the server did not run the request, its client may send it again.
 #[test]
-fn a_long_body_that_has_gone_on_is_not_sent_again() {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (gateway, _agent) = before(&listener);
-    let mut client = gateway.client();
-    client.write(&payout("").replace("Content-Length: 0", "Content-Length: 8388608"));
-    client.write_bytes(&pattern(MIB));
-    let (mut server, _) = listener.accept().unwrap();
+fn partly_forwarded_long_body_is_not_retried() {
+    let mut rig = StreamRig::start();
+    rig.write_head(8 * MIB);
+    rig.client.write_bytes(&pattern(MIB));
+    let mut server = rig.accept();
     server.read_exact(&mut vec![0; 512 << 10]).unwrap();
     drop(server);
-    let answer = client.answer().expect("no answer");
-    assert_eq!((answer.status(), answer.header("connection")), (429, "close"));
-    listener.set_nonblocking(true).unwrap();
-    assert_eq!(listener.accept().map(drop).unwrap_err().kind(), ErrorKind::WouldBlock, "it was sent again");
+    let response = rig.client.expect_response();
+    assert_eq!((response.status(), response.header("connection")), (429, "close"));
+    rig.listener.set_nonblocking(true).unwrap();
+    let second_attempt = rig.listener.accept().map(drop);
+    assert_eq!(second_attempt.unwrap_err().kind(), ErrorKind::WouldBlock, "it was retried");
 }
--- a/crates/gateway/tests/loopback/soak/mod.rs
+++ b/crates/gateway/tests/loopback/soak/mod.rs
@@ -1,72 +1,140 @@
-//! A soak: a gateway serves clients that misbehave, before servers that misbehave, under system calls that fail, clock
-//! steps, hold-ups, drains and signals in series, through two lives of the process. Clients use open connections until
-//! SIGKILL, which comes as early as the terms allow. The judge is the operators' terms, not what the gateway does.
+//! A soak: a gateway serves misbehaving clients before misbehaving servers under failing system calls, clock steps, pauses,
+//! drains and series of signals, through two processes. Clients use open connections until SIGKILL, which comes as early as
+//! the operators' terms allow. What it observes is checked against these terms, not against the gateway's decisions.
 //!
-//! `SOAK_SEEDS=1-50` plays those seeds; without it a few are played.
+//! `SOAK_SEEDS=1-50` runs those seeds; without it a few are run.
 
-mod judge;
-mod peers;
+mod checks;
+mod client;
 mod plan;
 mod record;
+mod server;
 
-use crate::rig::*;
+use crate::rig::deployment::Deployment;
+use crate::rig::discovery_agent::WatchFault;
+use crate::rig::endpoint::{Endpoint, EndpointStatus};
+use crate::rig::gateway_process::GatewayProcess;
+use checks::violations;
+use client::SoakClient;
 use fastrand::Rng;
-use judge::judge;
-use peers::{client, start_server};
 use plan::{zone, Plan, SERVERS};
-use record::{Life, Record};
-use serde_json::{json, Value};
-use std::net::TcpStream;
+use record::Record;
+use server::start_server;
+use std::net::{SocketAddr, TcpStream};
+use std::ops::RangeInclusive;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-const DEFAULT_SEEDS: std::ops::RangeInclusive<u64> = 1..=16;
-/// Seeds played side by side.
-const LANES: usize = 4;
+/// The seeds that are run by default.
+const DEFAULT_SEEDS: RangeInclusive<u64> = 1..=16;
+/// Seeds run in parallel.
+const PARALLEL_SEEDS: usize = 4;
+/// Clients of a run.
 const CLIENTS: usize = 8;
-const LIVES: usize = 2;
-/// How long a life serves before its first signal to stop.
-const SERVICE: Duration = Duration::from_millis(2_500);
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline and so much more.
+/// Gateway processes of a run, one after another.
+const PROCESSES: usize = 2;
+/// How long a process serves before its first signal to stop.
+const SERVICE_TIME: Duration = Duration::from_millis(2_500);
+/// SIGKILL comes this long after the longest deadline since SIGTERM.
 const KILL_GRACE: Duration = Duration::from_millis(700);
 
-/// Changes the list, the watch, the configuration and the process while it serves.
-fn trouble(
-    gateway: &Gateway,
-    agent: &Agent,
-    config: &Value,
-    record: &Record,
-    servers: &[Value],
-    rng: &mut Rng,
-) {
-    let start = Instant::now();
-    while start.elapsed() < SERVICE {
-        thread::sleep(Duration::from_millis(rng.u64(50..500)));
-        let number = rng.usize(1..SERVERS);
-        let entry = |status: &str| {
-            let mut entry = servers[number].clone();
-            entry["status"] = json!(status);
-            entry
+/// The run of one seed.
+struct SoakRun {
+    /// The source of the run's draws.
+    rng: Rng,
+    /// What was drawn at its start.
+    plan: Plan,
+    /// What it observes.
+    record: Arc<Record>,
+    /// The servers, all ready.
+    endpoints: Vec<Endpoint>,
+    /// The gateway's configuration.
+    deployment: Deployment,
+    /// Tells the clients to stop.
+    stop: Arc<AtomicBool>,
+}
+
+impl SoakRun {
+    /// Draws a plan, and starts servers and discovery.
+    fn prepare(seed: u64) -> SoakRun {
+        let mut rng = Rng::with_seed(seed);
+        let plan = Plan::draw(&mut rng, seed);
+        let record = Arc::new(Record::default());
+        let mut endpoint = |number: usize| {
+            let address = start_server(number, record.clone(), rng.u64(..));
+            Endpoint::ready(format!("s-{number}"), address).in_zone(zone(number))
         };
-        match rng.u8(..7) {
+        let endpoints: Vec<Endpoint> = (0..SERVERS).map(&mut endpoint).collect();
+        let deployment = plan.configure(Deployment::new(endpoints.clone()));
+        SoakRun { rng, plan, record, endpoints, deployment, stop: Arc::default() }
+    }
+
+    /// Runs one process after another, and returns the violations of the terms.
+    fn run(mut self, seed: u64) -> Vec<String> {
+        let mut clients: Vec<JoinHandle<()>> = Vec::new();
+        for _ in 0..PROCESSES {
+            self.record.process_started();
+            let gateway = self.deployment.start();
+            let _idle: Vec<TcpStream> = (0..self.plan.idle_connections)
+                .map_while(|_| TcpStream::connect(gateway.address).ok())
+                .collect();
+            while clients.len() < CLIENTS {
+                clients.push(self.start_client(gateway.address));
+            }
+            let successor = self.deployment.clone().listen(gateway.address);
+            self.disturb(&gateway);
+            self.stop(gateway);
+            self.deployment = successor;
+        }
+        self.stop.store(true, Ordering::SeqCst);
+        clients.into_iter().for_each(|client| client.join().unwrap());
+        self.report(seed)
+    }
+
+    /// Starts a client.
+    fn start_client(&mut self, address: SocketAddr) -> JoinHandle<()> {
+        let mut client = SoakClient {
+            address,
+            record: self.record.clone(),
+            rng: self.rng.fork(),
+            deadline: self.plan.deadline,
+            connection: None,
+        };
+        let stop = self.stop.clone();
+        thread::spawn(move || client.run(&stop))
+    }
+
+    /// Disturbs a process from time to time while it serves.
+    fn disturb(&mut self, gateway: &GatewayProcess) {
+        let start = Instant::now();
+        while start.elapsed() < SERVICE_TIME {
+            thread::sleep(Duration::from_millis(self.rng.u64(50..500)));
+            self.disturb_once(gateway);
+        }
+    }
+
+    /// Changes the endpoint list, fails the watch, reloads the configuration or pauses the process.
+    fn disturb_once(&mut self, gateway: &GatewayProcess) {
+        let number = self.rng.usize(1..SERVERS);
+        let endpoint = self.endpoints[number].clone();
+        let agent = &self.deployment.agent;
+        match self.rng.u8(..7) {
             0 | 1 => {
-                record.drains.lock().unwrap().push((number, Instant::now(), None));
-                agent.change(vec![entry("draining")]);
+                self.record.drain_started(number);
+                agent.publish(vec![endpoint.with_status(EndpointStatus::Draining)]);
             }
             2 => {
-                agent.change(vec![entry("ready")]);
-                let mut drains = record.drains.lock().unwrap();
-                let open = drains.iter_mut().filter(|drain| drain.0 == number && drain.2.is_none());
-                open.for_each(|drain| drain.2 = Some(Instant::now()));
+                agent.publish(vec![endpoint]);
+                self.record.drain_ended(number);
             }
-            3 => agent.treat(Odd::Silence),
-            4 => agent.treat(Odd::Close),
+            3 => agent.inject(WatchFault::Unanswered),
+            4 => agent.inject(WatchFault::CloseConnection),
             5 => {
-                let text = config.to_string();
-                gateway.configure(&text[..rng.usize(..text.len())]);
-                gateway.configure(&text);
+                let text = self.deployment.config_text();
+                gateway.reload_with(&text[..self.rng.usize(..text.len())]);
+                gateway.reload_with(&text);
             }
             _ => {
                 gateway.pause();
@@ -75,93 +143,58 @@
             }
         }
     }
-}
 
-/// Ends a process with signals in series, and with SIGKILL at the earliest.
-fn end(gateway: Gateway, config: &Value, record: &Record, longest: Duration, rng: &mut Rng) {
-    let told = Instant::now();
-    record
-        .lives
-        .lock()
-        .unwrap()
-        .iter_mut()
-        .for_each(|life| life.told_to_stop = life.told_to_stop.or(Some(told)));
-    gateway.terminate();
-    let killed = told + longest + KILL_GRACE;
-    for _ in 0..rng.usize(..4) {
-        thread::sleep(Duration::from_millis(rng.u64(..100)));
-        if gateway.has_ended() {
-            break;
-        }
-        match rng.u8(..3) {
-            0 => gateway.terminate(),
-            1 => gateway.interrupt(),
-            _ => gateway.configure(&config.to_string()),
+    /// Stops a process with a series of signals, and kills it as early as the terms allow.
+    fn stop(&mut self, gateway: GatewayProcess) {
+        let signaled_at = Instant::now();
+        self.record.process_signaled(signaled_at);
+        gateway.terminate();
+        let kill_at = signaled_at + self.plan.deadline + KILL_GRACE;
+        for _ in 0..self.rng.usize(..4) {
+            thread::sleep(Duration::from_millis(self.rng.u64(..100)));
+            if gateway.has_exited() {
+                break;
+            }
+            match self.rng.u8(..3) {
+                0 => gateway.terminate(),
+                1 => gateway.interrupt(),
+                _ => gateway.reload_with(&self.deployment.config_text()),
+            }
         }
+        thread::sleep(kill_at.saturating_duration_since(Instant::now()));
+        gateway.kill_unless_exited();
     }
-    thread::sleep(killed.saturating_duration_since(Instant::now()));
-    gateway.end_or_kill();
-}
 
-/// Plays one seed and returns what the terms say against it.
-fn play(seed: u64) -> Vec<String> {
-    let mut rng = Rng::with_seed(seed);
-    let plan = Plan::draw(&mut rng, seed);
-    let record = Arc::new(Record::default());
-    let servers: Vec<Value> = (0..SERVERS)
-        .map(|number| {
-            let address = start_server(number, record.clone(), rng.u64(..));
-            entry(&format!("s-{number}"), address, zone(number), "ready")
-        })
-        .collect();
-    let agent = Agent::start(servers.clone());
-    let mut listen = "127.0.0.1:0".to_owned();
-    let stop = Arc::new(AtomicBool::new(false));
-    let mut clients: Vec<JoinHandle<()>> = Vec::new();
-    for _ in 0..LIVES {
-        let config = plan.config(&agent, &servers, &listen);
-        record.lives.lock().unwrap().push(Life { started: Instant::now(), told_to_stop: None });
-        let gateway = Gateway::start_under_within(&config, &plan.faults, plan.descriptors);
-        listen = gateway.address.to_string();
-        let _crowd: Vec<_> =
-            (0..plan.crowd).map_while(|_| TcpStream::connect(gateway.address).ok()).collect();
-        while clients.len() < CLIENTS {
-            let (address, longest) = (gateway.address, plan.longest_deadline);
-            let (record, stop, rng) = (record.clone(), stop.clone(), rng.fork());
-            clients.push(thread::spawn(move || client(address, &record, &stop, rng, longest)));
-        }
-        trouble(&gateway, &agent, &config, &record, &servers, &mut rng);
-        end(gateway, &config, &record, plan.longest_deadline, &mut rng);
+    /// Prints what was observed, and returns the violations of the terms.
+    fn report(&self, seed: u64) -> Vec<String> {
+        let violations = violations(&self.record, self.plan.idle_connections > 0);
+        let requests = self.record.requests.lock().unwrap().len();
+        let receipts = self.record.receipts.lock().unwrap().len();
+        let faults = &self.plan.faults;
+        eprintln!("seed {seed} ({faults}): {requests} requests, {receipts} receipts, {violations:?}");
+        violations
     }
-    stop.store(true, Ordering::SeqCst);
-    clients.into_iter().for_each(|client| client.join().unwrap());
-    let faults = judge(&record, plan.crowd > 0);
-    let (sent, receipts) = (record.sent.lock().unwrap().len(), record.receipts.lock().unwrap().len());
-    eprintln!("seed {seed} ({}): {sent} requests, {receipts} receipts, {faults:?}", plan.faults);
-    faults
 }
 
-/// The seeds to play, from the environment or the default.
-fn seeds() -> Vec<u64> {
-    let Ok(text) = std::env::var("SOAK_SEEDS") else { return DEFAULT_SEEDS.collect() };
+/// The seeds to run, from the environment or the default.
+fn seeds() -> RangeInclusive<u64> {
+    let Ok(text) = std::env::var("SOAK_SEEDS") else { return DEFAULT_SEEDS };
     let (from, to) = text.split_once('-').unwrap_or((&text, &text));
-    (from.parse().expect("a seed")..=to.parse().expect("a seed")).collect()
+    from.parse().expect("a seed")..=to.parse().expect("a seed")
 }
 
 #[test]
 fn the_terms_hold_through_failing_system_calls_signals_and_bad_peers() {
-    let seeds = Mutex::new(seeds().into_iter());
-    let next = || seeds.lock().unwrap().next();
+    let seeds = Mutex::new(seeds());
+    let next_seed = || seeds.lock().unwrap().next();
     let broken = Mutex::new(Vec::new());
     thread::scope(|scope| {
-        for _ in 0..LANES {
+        for _ in 0..PARALLEL_SEEDS {
             scope.spawn(|| {
-                while let Some(seed) = next() {
-                    let faults = play(seed);
-                    broken
-                        .lock()
-                        .unwrap()
-                        .extend(faults.into_iter().map(|fault| format!("seed {seed}: {fault}")));
+                while let Some(seed) = next_seed() {
+                    let violations = SoakRun::prepare(seed).run(seed);
+                    let named = violations.into_iter().map(|violation| format!("seed {seed}: {violation}"));
+                    broken.lock().unwrap().extend(named);
                 }
             });
         }
