--- a/crates/gateway/tests/loopback/soak/plan.rs
+++ b/crates/gateway/tests/loopback/soak/plan.rs
@@ -1,70 +1,88 @@
-//! What is drawn for a run of the soak: faults, deadlines, limits and a crowd.
+//! What is drawn for a run of the soak: failing system calls, deadlines, limits and idle connections.
 
-use crate::rig::*;
+use crate::rig::deployment::Deployment;
+use crate::rig::endpoint::{LOCAL_ZONE, REMOTE_ZONE};
 use fastrand::Rng;
-use serde_json::{json, Value};
 use std::time::Duration;
 
+/// The number of servers; the first half is in the gateway's own zone.
 pub const SERVERS: usize = 4;
+/// The names of the request classes.
 pub const CLASSES: [&str; 3] = ["claim-status", "loss-notice", "payout"];
-/// How long servers remember a key.
-pub const WINDOW: Duration = Duration::from_millis(1_500);
+/// How long servers remember an idempotency key.
+pub const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(1_500);
 
-pub fn ms(duration: Duration) -> u64 {
-    duration.as_millis() as u64
-}
+/// The probability of each kind of fault.
+const FAULT_PERCENT: u8 = 30;
+/// The probability of idle connections that use up the descriptors.
+const CROWD_PERCENT: u8 = 25;
+/// Kinds of faults, as `syscall_faults.c` describes them.
+const FAULT_KINDS: [&str; 11] = [
+    "read=10 write=10",
+    "wait=10",
+    "accept=20",
+    "accept_full=10",
+    "socket=5",
+    "connect=5",
+    "broken=3",
+    "hold=1",
+    "wall_s=3600",
+    "wall_s=-3600",
+    "wall_step_ms=300",
+];
 
 /// What is drawn for a run.
 pub struct Plan {
+    /// The system calls that fail.
     pub faults: String,
-    pub longest_deadline: Duration,
+    /// The deadline of all classes.
+    pub deadline: Duration,
+    /// The limit of descriptors of the gateway.
     pub descriptors: u32,
-    pub crowd: usize,
+    /// The number of idle connections beside the clients.
+    pub idle_connections: usize,
 }
 
 impl Plan {
+    /// Draws a plan; the system calls have a seed of their own.
     pub fn draw(rng: &mut Rng, seed: u64) -> Plan {
-        let kinds = [
-            "read=10 write=10",
-            "wait=10",
-            "accept=20",
-            "accept_full=10",
-            "socket=5",
-            "connect=5",
-            "broken=3",
-            "hold=1",
-            "wall_s=3600",
-            "wall_s=-3600",
-            "wall_step_ms=300",
-        ];
-        let chosen: Vec<&str> = kinds.into_iter().filter(|_| rng.u8(..100) < 30).collect();
-        let crowded = rng.u8(..100) < 25;
+        let chosen: Vec<&str> = FAULT_KINDS.into_iter().filter(|_| rng.u8(..100) < FAULT_PERCENT).collect();
+        let crowded = rng.u8(..100) < CROWD_PERCENT;
         Plan {
             faults: format!("{} seed={seed}", chosen.join(" ")),
-            longest_deadline: Duration::from_millis(rng.choice([100, 300, 800, 1_500]).unwrap()),
+            deadline: Duration::from_millis(rng.choice([100, 300, 800, 1_500]).unwrap()),
             descriptors: if crowded { 256 } else { 1_024 },
-            crowd: if crowded { 300 } else { 0 },
+            idle_connections: if crowded { 300 } else { 0 },
         }
     }
 
-    pub fn config(&self, agent: &Agent, known: &[Value], listen: &str) -> Value {
-        let mut config = config(agent, known);
-        config["listen"] = json!(listen);
-        config["limits"]["sockets"] = json!(self.descriptors);
-        config["settings"]["limits"]["mayProbe"] = json!(false);
-        for class in 0..CLASSES.len() {
-            config["settings"]["classes"][class]["deadlineUs"] = json!(ms(self.longest_deadline) * 1_000);
-            config["settings"]["classes"][class]["aimUs"] = json!(ms(self.longest_deadline) * 500);
-            config["settings"]["classes"][class]["windowUs"] = json!(ms(WINDOW) * 1_000);
-        }
-        config
+    /// Configures a gateway for this plan.
+    pub fn configure(&self, deployment: Deployment) -> Deployment {
+        let deployment = deployment
+            .configured_sockets(self.descriptors)
+            .descriptors(self.descriptors)
+            .faults(&*self.faults)
+            .set("/settings/limits/mayProbe", false);
+        (0..CLASSES.len()).fold(deployment, |deployment, class| {
+            let setting = |name: &str| format!("/settings/classes/{class}/{name}");
+            deployment
+                .set(&setting("deadlineUs"), milliseconds(self.deadline) * 1_000)
+                .set(&setting("aimUs"), milliseconds(self.deadline) * 500)
+                .set(&setting("windowUs"), milliseconds(DEDUPLICATION_WINDOW) * 1_000)
+        })
     }
 }
 
+/// A duration in milliseconds.
+pub fn milliseconds(duration: Duration) -> u64 {
+    duration.as_millis() as u64
+}
+
+/// The zone of a server.
 pub fn zone(server: usize) -> &'static str {
     if server < SERVERS / 2 {
-        "room-a"
+        LOCAL_ZONE
     } else {
-        "room-b"
+        REMOTE_ZONE
     }
 }
--- a/crates/gateway/tests/loopback/soak/record.rs
+++ b/crates/gateway/tests/loopback/soak/record.rs
@@ -1,71 +1,126 @@
-//! What a run of the soak saw, from outside the gateway.
+//! What a run of the soak observed, from outside the gateway.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// A request that reached a server whole.
+/// A request that reached a server completely.
 #[derive(Debug)]
 pub struct Receipt {
-    pub call: String,
+    /// The id of the request.
+    pub request_id: String,
+    /// The number of the server.
     pub server: usize,
-    pub first_byte: Instant,
-    pub whole: Instant,
-    /// The time that the gateway said it would wait.
-    pub told: Duration,
-    /// The server's answer proves that it has not run.
+    /// When its first byte arrived.
+    pub first_byte_at: Instant,
+    /// When it had arrived completely.
+    pub complete_at: Instant,
+    /// How long the client waits according to the gateway.
+    pub forwarded_timeout: Duration,
+    /// Whether the server's response proves that it did not run.
     pub rejected: bool,
 }
 
 /// How a request ended for its client.
 #[derive(Debug)]
-pub enum End {
-    Answer {
+pub enum RequestEnd {
+    /// The client got a response.
+    Response {
+        /// Its status code.
         status: u16,
-        whole: bool,
+        /// Whether its body had the announced length.
+        complete: bool,
+        /// When it had arrived.
         at: Instant,
     },
-    /// The gateway closed the connection with no answer.
+    /// The gateway closed the connection without a response.
     Closed,
-    /// The client left.
-    Left(Instant),
+    /// The client disconnected at this time.
+    Disconnected(Instant),
 }
 
+/// A request as its client saw it.
 #[derive(Debug)]
-pub struct Sent {
-    pub call: String,
+pub struct ClientRequest {
+    /// Its id.
+    pub id: String,
+    /// The number of its class.
     pub class: usize,
-    pub budget: Duration,
-    /// Its last byte was written.
-    pub written: Instant,
+    /// How long its client waits.
+    pub timeout: Duration,
+    /// When its last byte had been written.
+    pub written_at: Instant,
+    /// Whether it is the first request on its connection.
     pub first_on_connection: bool,
-    pub end: End,
+    /// How it ended.
+    pub end: RequestEnd,
 }
 
-/// What a run saw, for the judge.
-#[derive(Default)]
-pub struct Record {
-    pub receipts: Mutex<Vec<Receipt>>,
-    pub sent: Mutex<Vec<Sent>>,
-    /// From when to when a server was told to drain.
-    pub drains: Mutex<Vec<(usize, Instant, Option<Instant>)>>,
-    pub lives: Mutex<Vec<Life>>,
+/// A time during which discovery published a server as draining.
+pub struct Drain {
+    /// The number of the server.
+    pub server: usize,
+    /// When the change was published.
+    pub published_at: Instant,
+    /// When the server was published as ready again.
+    pub ended_at: Option<Instant>,
 }
 
-/// When a process was started, and told to stop.
+/// One gateway process.
 #[derive(Clone, Copy, Debug)]
-pub struct Life {
-    pub started: Instant,
-    pub told_to_stop: Option<Instant>,
+pub struct ProcessRun {
+    /// When it was started.
+    pub started_at: Instant,
+    /// When it got its first signal to stop.
+    pub signaled_at: Option<Instant>,
+}
+
+/// All that a run observed.
+#[derive(Default)]
+pub struct Record {
+    /// The requests that reached servers.
+    pub receipts: Mutex<Vec<Receipt>>,
+    /// The requests that clients sent.
+    pub requests: Mutex<Vec<ClientRequest>>,
+    /// The drains.
+    pub drains: Mutex<Vec<Drain>>,
+    /// The gateway processes in their order.
+    pub processes: Mutex<Vec<ProcessRun>>,
 }
 
 impl Record {
-    /// The process that was there at a time.
-    pub fn life_at(&self, at: Instant) -> Option<Life> {
-        self.lives.lock().unwrap().iter().rfind(|life| life.started <= at).copied()
+    /// Records that a server is published as draining.
+    pub fn drain_started(&self, server: usize) {
+        let drain = Drain { server, published_at: Instant::now(), ended_at: None };
+        self.drains.lock().unwrap().push(drain);
+    }
+
+    /// Records that a server has been published as ready.
+    pub fn drain_ended(&self, server: usize) {
+        let mut drains = self.drains.lock().unwrap();
+        let open = drains.iter_mut().filter(|drain| drain.server == server && drain.ended_at.is_none());
+        open.for_each(|drain| drain.ended_at = Some(Instant::now()));
+    }
+
+    /// Records that a process is about to start.
+    pub fn process_started(&self) {
+        let process = ProcessRun { started_at: Instant::now(), signaled_at: None };
+        self.processes.lock().unwrap().push(process);
+    }
+
+    /// Records that the running process gets its first signal to stop.
+    pub fn process_signaled(&self, signaled_at: Instant) {
+        for process in self.processes.lock().unwrap().iter_mut() {
+            process.signaled_at.get_or_insert(signaled_at);
+        }
+    }
+
+    /// The process that was running at a time.
+    pub fn process_at(&self, at: Instant) -> Option<ProcessRun> {
+        self.processes.lock().unwrap().iter().rfind(|process| process.started_at <= at).copied()
     }
 
-    /// How long after the signal to stop, if that had come, a time was.
+    /// How long after the signal to stop a time was, if the process had got it.
     pub fn since_signal(&self, at: Instant) -> Option<Duration> {
-        self.life_at(at)?.told_to_stop.and_then(|told| at.checked_duration_since(told))
+        self.process_at(at)?.signaled_at.and_then(|signaled_at| at.checked_duration_since(signaled_at))
     }
 }
--- a/crates/gateway/tests/loopback/takeover.rs
+++ b/crates/gateway/tests/loopback/takeover.rs
@@ -1,148 +1,156 @@
-//! One process takes the place of another.
+//! Takeover: a successor process gets the listener and the state of the process that serves.
+//!
+//! Over the control socket in `$TMPDIR` the predecessor sends its listener, the length of its state and the state: the text
+//! that the decision core writes (`crates/core/src/handover.rs`), whose first line is its version, `grebehook-2`. Both
+//! processes of these tests are of the same build.
 
-use crate::rig::*;
-use serde_json::{json, Value};
+use crate::rig::client::operator_get;
+use crate::rig::deployment::Deployment;
+use crate::rig::files::{write_config, TemporaryFolder};
+use crate::rig::gateway_process::GatewayProcess;
+use crate::rig::launch::send_signal;
+use crate::rig::request::{idempotent_request, non_idempotent_request};
+use crate::rig::server::{Reply, Server};
 use std::io::Read;
 use std::os::unix::net::UnixListener;
-use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// A gateway before one server, and the configuration of the process that follows it at the same address.
-fn first(server: &Server, folder: &Path) -> (Gateway, Agent, Value) {
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut config = config(&agent, &known);
-    config["ops"] = json!("127.0.0.1:0");
-    let gateway = Gateway::start_in(&config, folder);
-    config["listen"] = json!(gateway.address.to_string());
-    (gateway, agent, config)
+/// A process that serves, and what its successor is started from.
+struct Predecessor {
+    /// The process.
+    process: GatewayProcess,
+    /// The same deployment at the address of the process.
+    successor: Deployment,
 }
 
-/// Who comes is the new process's from its yes on, and a request that is open is seen out by the old one.
+impl Predecessor {
+    /// Starts a process whose control socket is in a folder.
+    fn start(deployment: Deployment, folder: &TemporaryFolder) -> Predecessor {
+        let deployment = deployment.control_folder(folder.path());
+        let process = deployment.start();
+        let successor = deployment.listen(process.address);
+        Predecessor { process, successor }
+    }
+}
+
+/// A gateway before one server that answers operators.
+fn deployment_with_operators(server: &Server) -> Deployment {
+    Deployment::with_server(server).operator_interface()
+}
+
+/// New connections go to the successor once it has the listener; the predecessor answers its requests in flight.
 #[test]
-fn clients_go_to_the_process_that_follows() {
-    let server =
-        Server::start(|n| if n == 1 { Does::Hangs } else { Does::Answers("200 OK", b"done".to_vec()) });
-    let folder = folder();
-    let (old, _agent, config) = first(&server, &folder);
-    let old_ops = old.ops();
-    let (mut kept, mut busy) = (old.client(), old.client());
-    assert_eq!(kept.call(&status()).status(), 200);
-    server.request();
-    busy.write(&payout("held"));
-    server.request();
-    let new = Gateway::start_in(&config, &folder);
-    let new_ops = new.ops();
-    assert_eq!(operator(new_ops, "/admin/health").status(), 200);
-    assert_eq!(operator(old_ops, "/admin/health").status(), 503);
+fn new_clients_are_served_by_the_successor_process() {
+    let server = Server::start(|n| if n == 1 { Reply::Hang } else { Reply::ok("done") });
+    let folder = TemporaryFolder::create();
+    let Predecessor { process: old, successor } =
+        Predecessor::start(deployment_with_operators(&server), &folder);
+    let old_ops = old.operator_address();
+    let mut idle = old.connect();
+    let mut busy = old.connect();
+    assert_eq!(idle.call(&idempotent_request()).status(), 200);
+    server.next_request();
+    busy.write(&non_idempotent_request("in flight"));
+    server.next_request();
+    let new = successor.start();
+    let new_ops = new.operator_address();
+    assert_eq!(operator_get(new_ops, "/admin/health").status(), 200);
+    assert_eq!(operator_get(old_ops, "/admin/health").status(), 503);
     for _ in 0..9 {
-        assert_eq!(new.client().call(&status()).status(), 200);
+        assert_eq!(new.connect().call(&idempotent_request()).status(), 200);
     }
-    let figures = String::from_utf8(operator(new_ops, "/admin/stats").body).unwrap();
-    assert!(figures.contains("{kind=\"claim-status\",result=\"ok\"} 9\n"), "{figures}");
+    let stats = String::from_utf8(operator_get(new_ops, "/admin/stats").body).unwrap();
+    assert!(stats.contains("{kind=\"claim-status\",result=\"ok\"} 9\n"), "{stats}");
     old.terminate();
-    assert_eq!(busy.answer().expect("a request that was open got no answer").status(), 502);
-    assert!(kept.answer().is_none(), "an idle connection stays open");
+    assert_eq!(busy.response().expect("a request in flight got no response").status(), 502);
+    assert!(idle.response().is_none(), "an idle connection stays open");
     assert!(old.wait().success());
-    // It gives way in turn.
-    let third = Gateway::start_in(&config, &folder);
+    // The successor hands over in turn.
+    let third = successor.start();
     new.terminate();
     assert!(new.wait().success());
-    assert_eq!(third.client().call(&status()).status(), 200);
+    assert_eq!(third.connect().call(&idempotent_request()).status(), 200);
 }
 
-/// If the process that was to follow dies before the old one was told to stop, the old one goes on.
+/// The successor dies before the predecessor gets SIGTERM.
 #[test]
-fn the_old_process_goes_on_if_the_new_one_dies() {
-    let server = Server::start(|_| Does::Answers("200 OK", b"done".to_vec()));
-    let folder = folder();
-    let (old, _agent, config) = first(&server, &folder);
-    Gateway::start_in(&config, &folder).kill();
-    old.logged("this one goes on");
-    assert_eq!(old.client().call(&status()).status(), 200);
+fn predecessor_resumes_when_its_successor_dies() {
+    let server = Server::healthy();
+    let folder = TemporaryFolder::create();
+    let Predecessor { process: old, successor } =
+        Predecessor::start(deployment_with_operators(&server), &folder);
+    successor.start().kill();
+    old.wait_for_log("this one goes on");
+    assert_eq!(old.connect().call(&idempotent_request()).status(), 200);
     old.kill();
-    // What a killed process leaves behind is no process to take over from.
-    let next = Gateway::start_in(&config, &folder);
-    assert_eq!(next.client().call(&status()).status(), 200);
+    // The control socket of a killed process is ignored.
+    let next = successor.start();
+    assert_eq!(next.connect().call(&idempotent_request()).status(), 200);
 }
 
-/// What was used of a quota is not granted again by the process that follows.
+/// The successor reads from the `grebehook-2` text what its customers have used of their quota.
 #[test]
-fn a_quota_outlives_the_process() {
-    let server = Server::start(|_| Does::Answers("200 OK", b"done".to_vec()));
-    let folder = folder();
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let mut config = config(&agent, &known);
-    config["settings"]["plans"][0]["rate"] = json!(0.001);
-    config["settings"]["plans"][0]["depth"] = json!(4.0);
-    let old = Gateway::start_in(&config, &folder);
-    config["listen"] = json!(old.address.to_string());
-    let mut client = old.client();
-    assert_eq!((client.call(&status()).status(), client.call(&status()).status()), (200, 200));
-    assert_eq!(client.call(&status()).status(), 429);
-    let new = Gateway::start_in(&config, &folder);
-    assert_eq!(new.client().call(&status()).status(), 429, "the store is full again");
+fn quota_usage_is_handed_over_to_the_successor() {
+    let server = Server::healthy();
+    let folder = TemporaryFolder::create();
+    let deployment = Deployment::with_server(&server).token_bucket(0.001, 4.0);
+    let Predecessor { process: old, successor } = Predecessor::start(deployment, &folder);
+    let mut client = old.connect();
+    for _ in 0..2 {
+        assert_eq!(client.call(&idempotent_request()).status(), 200);
+    }
+    assert_eq!(client.call(&idempotent_request()).status(), 429);
+    let new = successor.start();
+    assert_eq!(new.connect().call(&idempotent_request()).status(), 429, "the bucket is full again");
 }
 
-/// Nothing lasts but a control socket for a successor: a folder where none can be made keeps no process from serving.
+/// A process that cannot create its control socket serves without one.
 #[test]
-fn a_folder_that_cannot_be_written_keeps_nobody_from_serving() {
-    let server = Server::start(|_| Does::Answers("200 OK", b"done".to_vec()));
-    let missing = folder().join("missing");
-    let known = [entry("s-1", server.address, "room-a", "ready")];
-    let agent = Agent::start(known.to_vec());
-    let gateway = Gateway::start_in(&config(&agent, &known), &missing);
-    assert_eq!(gateway.client().call(&status()).status(), 200);
+fn unwritable_control_folder_does_not_prevent_serving() {
+    let server = Server::healthy();
+    let folder = TemporaryFolder::create();
+    let missing = folder.path().join("missing");
+    let gateway = Deployment::with_server(&server).control_folder(&missing).start();
+    assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
     gateway.terminate();
     assert!(gateway.wait().success());
 }
 
-/// What is left of a quota, and how fast it fills again, do not depend on a wall clock that was stepped between the
-/// starts of the two processes.
+/// The times in the `grebehook-2` text are moved to the successor's clock: a wall clock that was stepped between the two
+/// starts changes neither the level of a bucket nor the speed at which it fills.
 #[test]
-fn a_quota_outlives_a_step_of_the_wall_clock() {
+fn handed_over_quota_is_unaffected_by_wall_clock_steps() {
     for (rate, faults) in [(0.001, "wall_s=3600"), (4.0, "wall_s=-3600")] {
-        let server = Server::start(|_| Does::Answers("200 OK", b"done".to_vec()));
-        let folder = folder();
-        let known = [entry("s-1", server.address, "room-a", "ready")];
-        let agent = Agent::start(known.to_vec());
-        let mut config = config(&agent, &known);
-        config["settings"]["plans"][0]["rate"] = json!(rate);
-        config["settings"]["plans"][0]["depth"] = json!(4.0);
-        let old = Gateway::start_in(&config, &folder);
-        config["listen"] = json!(old.address.to_string());
-        let mut client = old.client();
-        while client.call(&status()).status() == 200 {}
-        let new = Gateway::start_in_under(&config, &folder, faults);
-        let mut client = new.client();
-        assert_eq!(client.call(&status()).status(), 429, "{faults}: the store is full again");
+        let server = Server::healthy();
+        let folder = TemporaryFolder::create();
+        let deployment = Deployment::with_server(&server).token_bucket(rate, 4.0);
+        let Predecessor { process: old, successor } = Predecessor::start(deployment, &folder);
+        let mut client = old.connect();
+        while client.call(&idempotent_request()).status() == 200 {}
+        let new = successor.faults(faults).start();
+        let mut client = new.connect();
+        assert_eq!(client.call(&idempotent_request()).status(), 429, "{faults}: the bucket is full again");
         if rate > 1.0 {
-            let refilled = Instant::now() + Duration::from_secs(10);
-            while client.call(&status()).status() == 429 {
-                assert!(Instant::now() < refilled, "{faults}: the store does not fill");
+            let deadline = Instant::now() + Duration::from_secs(10);
+            while client.call(&idempotent_request()).status() == 429 {
+                assert!(Instant::now() < deadline, "{faults}: the bucket does not fill");
                 std::thread::sleep(Duration::from_millis(50));
             }
         }
-        std::fs::remove_dir_all(folder).unwrap();
     }
 }
 
-/// A signal to stop that comes while the old process is asked for its place ends the start: nobody is taken in by a
-/// process whose time is running.
+/// SIGTERM while the predecessor has not yet answered ends the start: a process that is about to stop accepts nobody.
 #[test]
-fn a_process_told_to_stop_while_it_takes_over_never_listens() {
-    let agent = Agent::start(Vec::new());
-    let folder = folder();
-    let old = UnixListener::bind(folder.join("takeover-127.0.0.1:0")).unwrap();
-    let mut child = launch_in(&config(&agent, &[]).to_string(), &folder);
-    // Asked, and silent from then on.
-    let (_asked, _) = old.accept().unwrap();
-    let id = child.id().to_string();
-    assert!(std::process::Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
+fn sigterm_during_takeover_exits_without_listening() {
+    let folder = TemporaryFolder::create();
+    let predecessor = UnixListener::bind(folder.path().join("takeover-127.0.0.1:0")).unwrap();
+    let deployment = Deployment::new(Vec::new()).control_folder(folder.path());
+    let mut child = deployment.launch().spawn(&write_config(&deployment.config_text()));
+    let (_unanswered, _) = predecessor.accept().unwrap();
+    send_signal(&child, "-TERM");
     let mut log = String::new();
     child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
     assert!(child.wait().unwrap().success());
     assert!(!log.contains("listens on"), "{log}");
-    std::fs::remove_dir_all(folder).unwrap();
 }
