--- /dev/null
+++ b/crates/gateway/src/bodies/buffering.rs
@@ -0,0 +1,29 @@
+//! Reads the beginning of a body into memory.
+
+use crate::bodies::size::MAX_BUFFERED_BODY_BYTES;
+use bytes::{Bytes, BytesMut};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+
+/// A body whose beginning has been read.
+pub struct PartlyReadBody {
+    /// What has been read.
+    pub buffered: Bytes,
+    /// What is still to be read of a body that is longer than the buffer's limit.
+    pub remainder: Option<Incoming>,
+}
+
+/// Reads a body until it ends or exceeds [`MAX_BUFFERED_BODY_BYTES`].
+pub async fn read_up_to_limit(mut body: Incoming) -> Result<PartlyReadBody, hyper::Error> {
+    let expected = body.size_hint().lower().min(MAX_BUFFERED_BODY_BYTES as u64);
+    let mut buffered = BytesMut::with_capacity(expected as usize);
+    while let Some(frame) = body.frame().await {
+        if let Ok(data) = frame?.into_data() {
+            buffered.extend_from_slice(&data);
+        }
+        if buffered.len() > MAX_BUFFERED_BODY_BYTES {
+            return Ok(PartlyReadBody { buffered: buffered.freeze(), remainder: Some(body) });
+        }
+    }
+    Ok(PartlyReadBody { buffered: buffered.freeze(), remainder: None })
+}
--- a/crates/gateway/src/bodies/mod.rs
+++ b/crates/gateway/src/bodies/mod.rs
@@ -1,4 +1,12 @@
-//! Bodies of requests and responses on their way through.
+//! Bodies of requests and responses: short ones are buffered, longer ones are forwarded as they arrive, at the pace of
+//! the slower side. The memory that forwarding takes is bounded over all bodies together.
 
-pub mod forwarding;
+pub mod buffering;
+pub mod download;
+pub mod error;
 pub mod size;
+pub mod stall;
+pub mod upload;
+
+/// The path by which the driver names [`download::ResponseContent`].
+pub use self::download as forwarding;
--- a/crates/gateway/src/clients/request_head.rs
+++ b/crates/gateway/src/clients/request_head.rs
@@ -1,101 +1,101 @@
-//! Reads from a request's headers what the decisions need: class, plan, customer, units and time.
+//! Reads from a request's headers what the decision core needs: class, plan, customer, units and time limit.
 
-use crate::clients::response::RequestError;
+use crate::clients::request_error::RequestError;
 use crate::config::names::WireNames;
 use crate::driver::request::RequestHead;
-use grebehook_core::{CustomerId, Idempotency, Settings};
-use hyper::header::{HeaderMap, HeaderValue};
+use crate::network::headers::{self, InvalidHeader, QuotaTerms};
+use grebehook_core::{Class, Idempotency, Micros, Settings};
+use hyper::header::{HeaderMap, HeaderName};
 use hyper::Method;
 
-/// Longest id of a request.
-const MAX_ID_LENGTH: usize = 64;
-/// Customers are numbers below this.
-const CUSTOMERS: u64 = 1 << 33;
+/// Longest id of a request, in bytes.
+const MAX_REQUEST_ID_LENGTH: usize = 64;
 
-/// Reads requests by the settings and the names that they give to classes and plans.
+/// Reads request heads by the settings and the names that they give to classes and plans.
 pub struct RequestHeadReader {
     /// The settings.
     pub settings: Settings,
     /// The names of classes and plans.
     pub names: WireNames,
-    /// The most units that a request may count.
+    /// The most units that a request may take.
     pub max_units: f64,
 }
 
 impl RequestHeadReader {
-    /// What a request asks for, or what is wrong with its headers.
+    /// What a request asks for, or what is wrong with its head.
     pub fn read(&self, method: &Method, headers: &HeaderMap) -> Result<RequestHead, RequestError> {
-        let text = |name| one(headers, name)?.to_str().map_err(|_| RequestError::Header(name));
-        let place = |names: &[String], name| {
-            let text = text(name)?;
-            names.iter().position(|n| n == text).ok_or(RequestError::Header(name))
-        };
-        if !(1..=MAX_ID_LENGTH).contains(&text("x-call-id")?.len()) {
-            return Err(RequestError::Header("x-call-id"));
+        let id_length = headers::single_text(headers, headers::REQUEST_ID)?.len();
+        if !(1..=MAX_REQUEST_ID_LENGTH).contains(&id_length) {
+            return Err(InvalidHeader(headers::REQUEST_ID).into());
         }
-        let class = place(&self.names.classes, "x-call-class")?;
-        let settings = self.settings.classes.get(class).ok_or(RequestError::Header("x-call-class"))?;
-        let safe = settings.idempotency == Idempotency::Idempotent;
-        if *method != if safe { Method::GET } else { Method::POST } {
-            return Err(RequestError::Method);
+        let class = index_of_name(&self.names.classes, headers, headers::REQUEST_CLASS)?;
+        let class_settings = self.settings.classes.get(class).ok_or(InvalidHeader(headers::REQUEST_CLASS))?;
+        check_idempotency(class_settings, method, headers)?;
+        let plan = index_of_name(&self.names.plans, headers, headers::PLAN)?;
+        let time_budget = headers::single_text(headers, headers::TIME_BUDGET)?;
+        let terms = headers::quota_terms(headers)?;
+        if !self.accepts(&terms) {
+            return Err(InvalidHeader(headers::QUOTA_TERMS).into());
         }
-        // Without its key a server could not tell a repeat; what must never run twice is not repeated and has none.
-        let keyed = matches!(settings.idempotency, Idempotency::IdempotencyKey { .. });
-        if keyed && text("idempotency-key")?.is_empty() {
-            return Err(RequestError::Header("idempotency-key"));
-        }
-        let plan = place(&self.names.plans, "api-plan")?;
-        // A client waits no longer for one try than its class lets it wait for all of them. One with no time left
-        // is refused by the module like any that comes too late.
-        let budget = text("x-budget-ms")?.parse().ok();
-        let budget = budget.filter(|ms| (0..=settings.deadline.div_ceil(1_000)).contains(ms));
-        let (units, spread, first) =
-            self.api_terms(text("api-terms")?).ok_or(RequestError::Header("api-terms"))?;
         Ok(RequestHead {
             class,
             plan,
-            customer: customer(text("api-customer")?).ok_or(RequestError::Header("api-customer"))?,
-            client_timeout: budget.ok_or(RequestError::Header("x-budget-ms"))? * 1_000,
-            units,
-            customer_gateway_count: spread,
-            first_gateway: first,
-            deduplication_window: match settings.idempotency {
+            customer: headers::customer(headers)?,
+            client_timeout: parse_client_timeout(time_budget, class_settings)?,
+            units: terms.units,
+            customer_gateway_count: terms.gateway_count,
+            first_gateway: terms.first_gateway,
+            deduplication_window: match class_settings.idempotency {
                 Idempotency::IdempotencyKey { window, .. } => Some(window),
                 Idempotency::Idempotent | Idempotency::NonIdempotent => None,
             },
-            is_retry: headers.get("x-again").is_some_and(|v| v == "1"),
+            is_retry: headers::is_retry(headers),
         })
     }
 
-    /// Units, spread and first of `units=2,spread=3,first=1`, as far as the settings know such.
-    fn api_terms(&self, text: &str) -> Option<(f64, usize, usize)> {
-        let (mut units, mut spread, mut first) = (None, None, None);
-        for (name, value) in text.split(',').map(|pair| pair.split_once('=')).collect::<Option<Vec<_>>>()? {
-            match name.trim() {
-                "units" => units = value.trim().parse().ok(),
-                "spread" => spread = value.trim().parse().ok(),
-                "first" => first = value.trim().parse().ok(),
-                _ => {}
-            }
+    /// Whether the terms are possible by the settings, and this gateway is one of those that share the quota.
+    fn accepts(&self, terms: &QuotaTerms) -> bool {
+        let all_gateways = self.settings.gateway_count;
+        let is_possible = terms.units > 0.0
+            && terms.units <= self.max_units
+            && (1..=all_gateways).contains(&terms.gateway_count)
+            && terms.first_gateway < all_gateways;
+        if !is_possible {
+            return false;
         }
-        let gateways = self.settings.gateway_count;
-        let units = units.filter(|u: &f64| *u > 0.0 && *u <= self.max_units)?;
-        let spread = spread.filter(|s| (1..=gateways).contains(s))?;
-        let first = first.filter(|f| *f < gateways)?;
-        // Only the gateways of its set have a part of the customer's quota.
-        let mine = (self.settings.gateway_index + gateways - first) % gateways < spread;
-        mine.then_some((units, spread, first))
+        let position = (self.settings.gateway_index + all_gateways - terms.first_gateway) % all_gateways;
+        position < terms.gateway_count
+    }
+}
+
+/// Checks that the method and the idempotency key are those of the class. Without a key a server could not recognize a
+/// repeat; a request that is never repeated has none.
+fn check_idempotency(class: &Class, method: &Method, headers: &HeaderMap) -> Result<(), RequestError> {
+    let expected_method = match class.idempotency {
+        Idempotency::Idempotent => Method::GET,
+        Idempotency::IdempotencyKey { .. } | Idempotency::NonIdempotent => Method::POST,
+    };
+    if *method != expected_method {
+        return Err(RequestError::Method);
+    }
+    let needs_key = matches!(class.idempotency, Idempotency::IdempotencyKey { .. });
+    if needs_key && headers::single_text(headers, headers::IDEMPOTENCY_KEY)?.is_empty() {
+        return Err(InvalidHeader(headers::IDEMPOTENCY_KEY).into());
     }
+    Ok(())
 }
 
-fn customer(text: &str) -> Option<CustomerId> {
-    let hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    let number = u64::from_str_radix(text, 16).ok().filter(|_| hex)?;
-    (number < CUSTOMERS).then_some(CustomerId(number))
+/// How long the client waits: no longer for one attempt than its class allows for all of them. A client
+/// with no time left is rejected by the decision core, like any request that comes too late.
+fn parse_client_timeout(time_budget: &str, class: &Class) -> Result<Micros, InvalidHeader> {
+    let max_ms = class.deadline.div_ceil(1_000);
+    let budget_ms = time_budget.parse().ok().filter(|budget_ms| *budget_ms <= max_ms);
+    let budget_ms: Micros = budget_ms.ok_or(InvalidHeader(headers::TIME_BUDGET))?;
+    Ok(budget_ms * 1_000)
 }
 
-/// The one header of a name: of two, a server might believe the other.
-pub fn one<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a HeaderValue, RequestError> {
-    let mut all = headers.get_all(name).iter();
-    all.next().filter(|_| all.next().is_none()).ok_or(RequestError::Header(name))
+/// The index of the name that a header gives.
+fn index_of_name(names: &[String], headers: &HeaderMap, header: HeaderName) -> Result<usize, InvalidHeader> {
+    let given = headers::single_text(headers, header.clone())?;
+    names.iter().position(|name| name == given).ok_or(InvalidHeader(header))
 }
--- a/crates/gateway/src/clients/response.rs
+++ b/crates/gateway/src/clients/response.rs
@@ -1,7 +1,9 @@
 //! What a client is answered: a server's answer, a refusal, a failure, or what is wrong with its request.
 
-use crate::bodies::forwarding::{BodyError, ResponseContent};
+use crate::bodies::download::ResponseContent;
+use crate::bodies::error::BodyError;
 use crate::clients::connection::ClientConnection;
+use crate::clients::request_error::RequestError;
 use crate::driver::request::Answer;
 use crate::operations::request_counts::{RequestCounterGuard, RequestOutcome};
 use bytes::Bytes;
@@ -35,18 +37,18 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        let piece = ready!(self.body.poll_piece(cx));
+        let piece = ready!(self.body.poll_chunk(cx));
         if let (Some(Err(_)), Some(taken)) = (&piece, &self.taken) {
             taken.set_outcome(RequestOutcome::Failed);
         }
-        if self.body.is_over() {
+        if self.body.is_complete() {
             self.taken.take();
         }
         Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.body.is_over()
+        self.body.is_complete()
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -63,41 +65,9 @@
     }
 }
 
-/// Why a client's request is not taken up.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestError {
-    /// A header is missing, malformed or names what the settings do not know.
-    Header(&'static str),
-    /// The method is not the one that follows from the class.
-    Method,
-    /// The body is longer than the protocol allows.
-    TooLarge,
-    /// The body broke off or took too long to come.
-    Body,
-    /// The body's length is told in two ways, of which a server could believe the other.
-    Framing,
-    /// A request of this id is still open here.
-    Repeated,
-    /// Its client has ended the connection, or at least its own side of it.
-    Departed,
-}
-
-impl RequestError {
-    /// The answer that tells the client.
-    pub fn response(self) -> Response<ResponseBody> {
-        let (status, text) = match self {
-            RequestError::Header(name) => {
-                (StatusCode::BAD_REQUEST, format!("{name} is missing or malformed\n"))
-            }
-            RequestError::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n".to_owned()),
-            RequestError::Method => (StatusCode::METHOD_NOT_ALLOWED, "not this class's method\n".to_owned()),
-            RequestError::Body => (StatusCode::REQUEST_TIMEOUT, "the body did not arrive\n".to_owned()),
-            RequestError::Framing => (StatusCode::BAD_REQUEST, "the body's length is ambiguous\n".to_owned()),
-            RequestError::Repeated => (StatusCode::CONFLICT, "a request of this id is open\n".to_owned()),
-            RequestError::Departed => (StatusCode::TOO_MANY_REQUESTS, REFUSED.to_owned()),
-        };
-        plain(status, text)
-    }
+/// The response to a request that is not accepted.
+pub fn error_response(error: &RequestError) -> Response<ResponseBody> {
+    plain(error.status(), format!("{error}\n"))
 }
 
 /// An answer of our own, with a line of text.
--- a/crates/gateway/src/clients/server.rs
+++ b/crates/gateway/src/clients/server.rs
@@ -1,22 +1,25 @@
 //! Clients: takes their connections in, reads their requests and writes the one answer to each.
 
-use crate::bodies::forwarding::{self, ResponseContent, Upload};
+use crate::bodies::buffering::read_up_to_limit;
+use crate::bodies::download::ResponseContent;
 use crate::bodies::size::MAX_BUFFERED_BODY_BYTES;
+use crate::bodies::upload::Upload;
 use crate::clients::connection::ClientConnection;
 use crate::clients::eviction::{self, Candidate};
-use crate::clients::request_head::{one, RequestHeadReader};
-use crate::clients::response::{plain, reply, RequestError, ResponseBody};
+use crate::clients::request_error::RequestError;
+use crate::clients::request_head::RequestHeadReader;
+use crate::clients::response::{error_response, plain, reply, ResponseBody};
 use crate::clients::stream::{ClientStreamIo, Framing};
 use crate::driver::decision_driver::DecisionDriver;
 use crate::driver::request::Answer;
-use crate::network::headers::strip;
+use crate::network::headers::{self, InvalidHeader};
 use crate::network::repeat_limiter::RepeatLimiter;
 use crate::network::system_error::{is_descriptor_limit, is_exhaustion};
 use crate::operations::request_counts::RequestCounterGuard;
 use crate::servers::attempt::OutgoingRequest;
 use grebehook_core::RequestId;
 use hyper::body::{Body, Incoming};
-use hyper::header::{HeaderValue, CONNECTION, EXPECT, TRANSFER_ENCODING};
+use hyper::header::{HeaderValue, CONNECTION, CONTENT_LENGTH, EXPECT, TRANSFER_ENCODING};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode, Uri};
@@ -306,9 +309,13 @@
                 }
                 Err(fault) => {
                     // What is left of a body is not read, so no further request can be found behind it.
-                    let close = !bare || matches!(fault, RequestError::Framing | RequestError::Departed);
+                    let close = !bare
+                        || matches!(
+                            fault,
+                            RequestError::AmbiguousBodyLength | RequestError::ClientDisconnected
+                        );
                     client.input_unreadable.set(close);
-                    (fault.response(), close)
+                    (error_response(&fault), close)
                 }
             }
         };
@@ -335,29 +342,29 @@
         // hyper has dropped one of the two headers by now, but not from the bytes as they came.
         let coded = head.headers.contains_key(TRANSFER_ENCODING);
         match client.stream.framing() {
-            Some(Framing { length: true, coding: true }) => return Err(RequestError::Framing),
-            None if coded => return Err(RequestError::Framing),
+            Some(Framing { length: true, coding: true }) => return Err(RequestError::AmbiguousBodyLength),
+            None if coded => return Err(RequestError::AmbiguousBodyLength),
             _ => {}
         }
         let terms = self.head_reader.read(&head.method, &head.headers)?;
         let length = body.size_hint().exact();
         if length.is_some_and(|n| n > MAX_REQUEST_BODY_BYTES) {
-            return Err(RequestError::TooLarge);
+            return Err(RequestError::BodyTooLarge);
         }
         let body = if body.is_end_stream() {
-            Upload::none()
+            Upload::empty()
         } else {
             let read = timeout_at(client.request_deadline().into(), self.upload(body)).await;
-            read.map_err(|_| RequestError::Body)?.ok_or(RequestError::Body)?
+            read.map_err(|_| RequestError::BodyIncomplete)?.ok_or(RequestError::BodyIncomplete)?
         };
         if head.method == Method::GET && body.length() != Some(0) {
-            return Err(RequestError::Header("content-length"));
+            return Err(InvalidHeader(CONTENT_LENGTH).into());
         }
         let body = Rc::new(body);
-        let call = one(&head.headers, "x-call-id")?.clone();
-        let mut headers = head.headers;
-        strip(&mut headers);
-        headers.remove(EXPECT);
+        let call = headers::single(&head.headers, headers::REQUEST_ID)?.clone();
+        let mut outgoing_headers = head.headers;
+        headers::remove_hop_by_hop(&mut outgoing_headers);
+        outgoing_headers.remove(EXPECT);
         let uri = match head.uri.path_and_query().filter(|_| head.uri.authority().is_some()) {
             Some(path) => Uri::from(path.clone()),
             None => head.uri,
@@ -367,11 +374,17 @@
         let client_has_left =
             Box::new(move || if coming.is_read_to_end() { wire.has_left() } else { wire.end_is_announced() });
         if client_has_left() {
-            return Err(RequestError::Departed);
+            return Err(RequestError::ClientDisconnected);
         }
-        let outgoing =
-            OutgoingRequest { method: head.method, uri, headers, body: body.clone(), client_has_left };
-        let (id, answer, taken) = self.driver.submit(call, terms, outgoing).ok_or(RequestError::Repeated)?;
+        let outgoing = OutgoingRequest {
+            method: head.method,
+            uri,
+            headers: outgoing_headers,
+            body: body.clone(),
+            client_has_left,
+        };
+        let (id, answer, taken) =
+            self.driver.submit(call, terms, outgoing).ok_or(RequestError::DuplicateId)?;
         client.request_in_progress.set(true);
         client.has_sent_request.set(true);
         // hyper drops this future when it finds the connection closed.
@@ -400,8 +413,8 @@
             0..=SMALL => None,
             _ => Some(self.body_memory.clone().acquire_many_owned(held.div_ceil(1 << 10) as u32).await.ok()?),
         };
-        let (head, rest) = forwarding::begin(body).await.ok()?;
-        Some(Upload::new(head, rest, length, room))
+        let body = read_up_to_limit(body).await.ok()?;
+        Some(Upload::new(body, length, room))
     }
 }
 
--- a/crates/gateway/src/network/mod.rs
+++ b/crates/gateway/src/network/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets, headers and system errors, used throughout.
+//! Sockets, headers and errors of system calls, as all other modules use them.
 
 pub mod headers;
 pub mod repeat_limiter;
--- a/crates/gateway/src/network/socket.rs
+++ b/crates/gateway/src/network/socket.rs
@@ -1,10 +1,10 @@
-//! Stream sockets whose short reads and writes say nothing of what follows. Every connection of the gateway is read and
-//! written through [`Socket`].
+//! Stream sockets that do not take a short read or write for a sign of what follows. Every connection of the gateway is
+//! read and written through [`Socket`].
 //!
 //! The streams of tokio take a read or write of fewer bytes than were asked for as a sign that the socket is empty or
-//! full, and wait for the next event of the system before they try again. A call may be short for other reasons; no
-//! event follows then, and the connection would stand still for ever. A [`Socket`] waits only once the system has
-//! said that a call would block.
+//! full, and wait for the next event of the system before they try again. A call may be short for other reasons, such as
+//! a signal; then no event follows, and the connection would hang. A [`Socket`] waits only once the system has reported
+//! that a call would block.
 
 use std::io;
 use std::pin::Pin;
@@ -12,20 +12,22 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpStream, UnixStream};
 
-/// A stream that tells when it may be ready, and whose calls fail with [`io::ErrorKind::WouldBlock`] where it is not.
+/// A non-blocking stream that reports when it may be ready, and whose calls fail with [`io::ErrorKind::WouldBlock`] while
+/// it is not.
 pub trait ReadyStream: Unpin {
     /// Waits until the stream may be readable.
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
     /// Waits until the stream may be writable.
     fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// Reads what is there.
+    /// Reads what has arrived.
     fn try_read(&self, buf: &mut ReadBuf<'_>) -> io::Result<usize>;
-    /// Writes as much as there is room for.
+    /// Writes as much as the system accepts.
     fn try_write(&self, data: &[u8]) -> io::Result<usize>;
-    /// Ends the sending side.
+    /// Shuts down the sending side.
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
 }
 
+/// Implements [`ReadyStream`] for a stream of tokio.
 macro_rules! ready_stream {
     ($stream:ty) => {
         impl ReadyStream for $stream {
@@ -55,16 +57,16 @@
 ready_stream!(TcpStream);
 ready_stream!(UnixStream);
 
-/// A connection.
+/// A stream that waits only once the system has reported that a call would block.
 pub struct Socket<S>(S);
 
 impl<S> Socket<S> {
-    /// A connection over a stream.
+    /// A socket over a stream.
     pub fn new(stream: S) -> Socket<S> {
         Socket(stream)
     }
 
-    /// The stream, for what is asked of the system directly.
+    /// The stream, for direct system calls.
     pub fn get_ref(&self) -> &S {
         &self.0
     }
@@ -74,7 +76,7 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
-            if let Some(read) = settled(self.0.try_read(buf)) {
+            if let Some(read) = unless_retried(self.0.try_read(buf)) {
                 return Poll::Ready(read.map(drop));
             }
         }
@@ -85,7 +87,7 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(cx))?;
-            if let Some(written) = settled(self.0.try_write(data)) {
+            if let Some(written) = unless_retried(self.0.try_write(data)) {
                 return Poll::Ready(written);
             }
         }
@@ -100,10 +102,10 @@
     }
 }
 
-/// How a call ended; `None` where it has to be made again, at once or when the stream may be ready.
-fn settled(result: io::Result<usize>) -> Option<io::Result<usize>> {
+/// The result of a system call; `None` if it has to be made again, at once or when the stream may be ready.
+fn unless_retried(result: io::Result<usize>) -> Option<io::Result<usize>> {
     match result {
-        Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => None,
-        settled => Some(settled),
+        Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => None,
+        result => Some(result),
     }
 }
--- a/crates/gateway/src/network/system_error/tests.rs
+++ b/crates/gateway/src/network/system_error/tests.rs
@@ -1,11 +1,14 @@
-use super::*;
+use super::{is_exhaustion, may_pass};
+use rustix::io::Errno;
+use std::io;
 
+/// The error of a system call that failed with a number.
 fn error(errno: Errno) -> io::Error {
     io::Error::from_raw_os_error(errno.raw_os_error())
 }
 
 #[test]
-fn exhaustion_is_told_from_errors_of_a_connection() {
+fn exhausted_resources_are_distinguished_from_errors_of_one_connection() {
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
         assert!(is_exhaustion(&error(errno)) && may_pass(&error(errno)), "{errno}");
     }
@@ -15,7 +18,7 @@
 }
 
 #[test]
-fn what_no_wait_mends_is_no_passing_error() {
+fn only_transient_errors_may_pass() {
     for errno in [Errno::ACCESS, Errno::INVAL, Errno::NOENT, Errno::AFNOSUPPORT] {
         assert!(!may_pass(&error(errno)), "{errno}");
     }
--- a/crates/gateway/src/servers/attempt.rs
+++ b/crates/gateway/src/servers/attempt.rs
@@ -1,6 +1,7 @@
-//! One attempt at a request: what goes out, what its owner can see of it meanwhile, and how it ended.
+//! One attempt at a request: what is sent, what its owner can see of its connection, and how it ended.
 
-use crate::bodies::forwarding::{ResponseContent, Upload};
+use crate::bodies::download::ResponseContent;
+use crate::bodies::upload::Upload;
 use crate::servers::connection::ServerConnection;
 use grebehook_core::{AttemptReport, AttemptStatus, Event, LoadReport, Micros, RequestId, ServerId};
 use hyper::{HeaderMap, Method, Response, Uri};
@@ -8,45 +9,45 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A client's request as it goes on to servers.
+/// A client's request as it is forwarded to servers.
 pub struct OutgoingRequest {
-    /// Its method, unchanged.
+    /// The client's method.
     pub method: Method,
-    /// Its path and query, unchanged.
+    /// The client's path and query.
     pub uri: Uri,
-    /// Its end-to-end headers.
+    /// The client's end-to-end headers.
     pub headers: HeaderMap,
-    /// Its body, unchanged.
+    /// The client's body.
     pub body: Rc<Upload>,
-    /// Whether its client has gone away: nothing more is sent for it then.
+    /// Whether the client has disconnected, so that nothing more is sent.
     pub client_has_left: Box<dyn Fn() -> bool>,
 }
 
-/// The times that an attempt has to keep.
+/// The time limits of an attempt.
 #[derive(Clone, Copy)]
 pub struct AttemptTimes {
-    /// Its first byte goes out by then, or none does.
+    /// Its first byte is written by then, or none is.
     pub send_by: Instant,
-    /// It is given up then: its server is told what is left until that time as the request is written.
+    /// It is given up then. Its server learns how much of this time is left.
     pub answer_by: Instant,
 }
 
 /// How an attempt ended.
 pub struct AttemptResponse {
-    /// By the protocol's table.
+    /// What the response, or its absence, means for the request.
     pub status: AttemptStatus,
-    /// The customer's use, where the answer told it.
+    /// The customer's usage of its quota, where the response reports it.
     pub reported_usage: Option<f64>,
-    /// The request's true units, where a good answer told them.
+    /// The units that the request really took, where a successful response reports them.
     pub settled_units: Option<f64>,
-    /// The server's load, where the answer told it.
+    /// The server's load, where the response reports it.
     pub load_report: Option<LoadReport>,
-    /// The answer to pass on, if it was served.
+    /// The response to forward, if the attempt succeeded.
     pub response: Option<Response<ResponseContent>>,
 }
 
 impl AttemptResponse {
-    /// An end without an answer.
+    /// The end of an attempt without a response.
     pub fn without_response(status: AttemptStatus) -> AttemptResponse {
         AttemptResponse {
             status,
@@ -57,56 +58,56 @@
         }
     }
 
-    /// What the decision core is told of the attempt; `closed` where its request is over.
+    /// The event that reports the attempt's end to the decision core.
     pub fn into_event(
         self,
         id: RequestId,
         attempt: u32,
         server: ServerId,
-        took: Micros,
-        closed: bool,
+        elapsed: Micros,
+        request_finished: bool,
     ) -> Event {
-        let AttemptResponse {
-            status, reported_usage: used, settled_units: settled, load_report: load, ..
-        } = self;
         Event::AttemptCompleted(AttemptReport {
             id,
             attempt,
             server,
-            status,
-            elapsed: took,
-            request_finished: closed,
-            reported_usage: used,
-            settled_units: settled,
-            load_report: load,
+            status: self.status,
+            elapsed,
+            request_finished,
+            reported_usage: self.reported_usage,
+            settled_units: self.settled_units,
+            load_report: self.load_report,
         })
     }
 }
 
-/// What the owner of an attempt can see of its connection: none while it is being established.
+/// The connection of an attempt, as its owner sees it: none while it is being established.
 #[derive(Default)]
-pub struct AttemptConnection(RefCell<Option<Rc<ServerConnection>>>);
+pub struct AttemptConnection {
+    /// The connection, once the attempt has one.
+    connection: RefCell<Option<Rc<ServerConnection>>>,
+}
 
 impl AttemptConnection {
-    /// Whether no connection has been given to the attempt yet.
+    /// Whether the attempt still waits for its connection.
     pub fn is_connecting(&self) -> bool {
-        self.0.borrow().is_none()
+        self.connection.borrow().is_none()
     }
 
     /// Gives the attempt its connection, or takes it away again.
-    pub fn set(&self, link: Option<Rc<ServerConnection>>) {
-        self.0.replace(link);
+    pub fn set(&self, connection: Option<Rc<ServerConnection>>) {
+        self.connection.replace(connection);
     }
 
-    /// Whether the attempt's request has been written whole.
+    /// Whether the attempt's request has been written completely.
     pub fn request_written(&self) -> bool {
-        self.0.borrow().as_ref().is_some_and(|link| link.request_written())
+        self.connection.borrow().as_ref().is_some_and(|connection| connection.request_written())
     }
 
     /// Closes the attempt's connection, if it has one.
     pub fn close(&self) {
-        if let Some(link) = self.0.borrow().as_ref() {
-            link.close();
+        if let Some(connection) = self.connection.borrow().as_ref() {
+            connection.close();
         }
     }
 }
--- a/crates/gateway/src/servers/exchange.rs
+++ b/crates/gateway/src/servers/exchange.rs
@@ -1,217 +1,259 @@
-//! Attempts at servers: one exchange for each, and how it ended.
+//! Sends attempts over the connections of a pool and reads their responses.
 
-use crate::bodies::forwarding::{self, Download, RequestBody, ResponseContent, Upload};
+use crate::bodies::buffering::{read_up_to_limit, PartlyReadBody};
+use crate::bodies::download::{Download, ResponseContent};
 use crate::bodies::size::{FORWARDING_BUFFER_BYTES, MAX_BUFFERED_BODY_BYTES};
+use crate::bodies::upload::RequestBody;
 use crate::network::headers;
 use crate::servers::attempt::{AttemptConnection, AttemptResponse, AttemptTimes, OutgoingRequest};
-use crate::servers::pool::{Connection, Pool};
+use crate::servers::connection::ServerConnection;
+use crate::servers::pool::{Pool, PooledConnection};
 use bytes::Bytes;
-use grebehook_core::{AttemptStatus, LoadReport, ServerId};
+use grebehook_core::{AttemptStatus, ServerId};
 use hyper::body::{Body, Incoming};
-use hyper::header::{HeaderMap, HeaderValue, HOST};
-use hyper::{Method, Request, Response, Uri};
+use hyper::header::HeaderValue;
+use hyper::http::response;
+use hyper::{Request, Response, StatusCode};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
-use tokio::time::{sleep, timeout, timeout_at};
+use tokio::time::{sleep, timeout_at};
 
-/// An answer said to be longer is none. Servers answer with more than they take in.
-const ANSWER_MOST: u64 = 64 << 20;
+/// Longest response that is forwarded. Servers answer with more than they accept.
+const MAX_RESPONSE_BODY_BYTES: u64 = 64 << 20;
 
 /// Sends attempts over the connections of a pool.
 pub struct Upstream {
     /// The servers and the connections to them.
     pub pool: Pool,
-    /// Room for answers that are passed on as they come, one permit each.
+    /// Memory for responses that are forwarded as they arrive, one permit each.
     body_memory: Arc<Semaphore>,
-    /// The most units that a request can count.
+    /// The most units that a request can take.
     max_units: f64,
 }
 
-/// The request could not be written to this connection, which had ended before its first byte.
-struct Unwritten;
+/// One attempt: the request and where it goes.
+struct Attempt<'a> {
+    /// The server.
+    server: ServerId,
+    /// Shows the owner of the attempt its connection.
+    connection: &'a AttemptConnection,
+    /// The request.
+    request: &'a OutgoingRequest,
+    /// When it is given up.
+    answer_by: Instant,
+    /// Counts the attempts that have been written completely.
+    written_counter: Option<&'a Rc<Cell<u64>>>,
+}
+
+/// The connection had ended before the first byte of the request was written to it.
+struct ConnectionWasClosed;
+
+/// The body of a response, as far as it was read before its head is passed on.
+enum ReceivedBody {
+    /// Read completely.
+    Complete(Bytes),
+    /// Too long to be buffered, with the memory that forwarding it takes.
+    Partial {
+        /// What has been read.
+        buffered: Bytes,
+        /// What the server is still sending.
+        remainder: Incoming,
+        /// Its part of the memory for forwarding.
+        body_memory: OwnedSemaphorePermit,
+    },
+}
 
 impl Upstream {
-    /// So many bytes of room for what is held of answers that are passed on as they come.
-    pub fn new(pool: Pool, room: usize, most_units: f64) -> Upstream {
-        let room = (room / FORWARDING_BUFFER_BYTES).max(1);
-        Upstream { pool, body_memory: Arc::new(Semaphore::new(room)), max_units: most_units }
+    /// Sends over a pool, with this much memory for responses that are forwarded as they arrive.
+    pub fn new(pool: Pool, body_memory_bytes: usize, max_units: f64) -> Upstream {
+        let max_forwarded = (body_memory_bytes / FORWARDING_BUFFER_BYTES).max(1);
+        Upstream { pool, body_memory: Arc::new(Semaphore::new(max_forwarded)), max_units }
     }
 
-    /// Sends a request once, within the times given, and tells how that ended. `tries` counts it once it is written
-    /// whole.
+    /// Sends a request once, within the times given. `written_counter` is incremented once it is written completely.
     pub async fn exchange(
         self: &Rc<Self>,
         server: ServerId,
-        slot: &AttemptConnection,
-        out: &OutgoingRequest,
+        connection: &AttemptConnection,
+        request: &OutgoingRequest,
         times: AttemptTimes,
-        tries: Option<&Rc<Cell<u64>>>,
+        written_counter: Option<&Rc<Cell<u64>>>,
     ) -> AttemptResponse {
-        while let Some(connection) = self.pool.take_idle(server) {
-            // Whatever a server sends behind an answer has come by then, and ended the connection.
-            if let Some(rest) = connection.rest_left() {
-                sleep(rest).await;
-            }
-            if Instant::now() >= times.send_by {
-                self.pool.restore(server, connection);
-                return AttemptResponse::without_response(AttemptStatus::NotSent);
+        let attempt = Attempt { server, connection, request, answer_by: times.answer_by, written_counter };
+        while let Some(idle) = self.pool.take_idle(server) {
+            // A surplus response to the last request has arrived by then, and ended the connection.
+            if let Some(delay) = idle.remaining_reuse_delay() {
+                sleep(delay).await;
             }
-            if (out.client_has_left)() {
-                self.pool.restore(server, connection);
+            if Instant::now() >= times.send_by || (request.client_has_left)() {
+                self.pool.restore(server, idle);
                 return AttemptResponse::without_response(AttemptStatus::NotSent);
             }
-            // Nothing was written to a connection that hyper found closed, so nothing has been sent yet.
-            if let Ok(reply) = self.over(server, connection, slot, out, times.answer_by, tries).await {
-                return reply;
+            if let Ok(response) = self.send_over(idle, &attempt).await {
+                return response;
             }
         }
-        if (out.client_has_left)() {
+        if (request.client_has_left)() {
             return AttemptResponse::without_response(AttemptStatus::NotSent);
         }
-        let connection = match timeout_at(times.send_by.into(), self.pool.connect(server)).await {
-            Ok(Ok(connection)) => connection,
+        let connected = match timeout_at(times.send_by.into(), self.pool.connect(server)).await {
+            Ok(Ok(connected)) => connected,
             Ok(Err(status)) => return AttemptResponse::without_response(status),
             Err(_) => return AttemptResponse::without_response(AttemptStatus::NotSent),
         };
-        if (out.client_has_left)() {
-            self.pool.restore(server, connection);
+        if (request.client_has_left)() {
+            self.pool.restore(server, connected);
             return AttemptResponse::without_response(AttemptStatus::NotSent);
         }
-        let reply = self.over(server, connection, slot, out, times.answer_by, tries).await;
-        reply.unwrap_or_else(|Unwritten| AttemptResponse::without_response(AttemptStatus::ConnectFailed))
+        let response = self.send_over(connected, &attempt).await;
+        response.unwrap_or_else(|ConnectionWasClosed| {
+            AttemptResponse::without_response(AttemptStatus::ConnectFailed)
+        })
     }
 
-    async fn over(
+    /// Sends an attempt over a connection and reads its response.
+    async fn send_over(
         self: &Rc<Self>,
-        server: ServerId,
-        mut connection: Connection,
-        slot: &AttemptConnection,
-        out: &OutgoingRequest,
-        answer_by: Instant,
-        tries: Option<&Rc<Cell<u64>>>,
-    ) -> Result<AttemptResponse, Unwritten> {
-        let mut request = Request::new(RequestBody::new(&out.body, connection.link.clone()));
-        *request.method_mut() = out.method.clone();
-        *request.uri_mut() = out.uri.clone();
-        *request.headers_mut() = out.headers.clone();
-        let left = answer_by.saturating_duration_since(Instant::now());
-        request.headers_mut().insert(headers::BUDGET, HeaderValue::from(left.as_millis() as u64));
-        slot.set(Some(connection.link.clone()));
-        connection.link.begin_request(out.body.length());
-        connection.link.count_written(tries);
-        let response = match connection.sender.try_send_request(request).await {
-            Ok(response) => response,
-            Err(_) => {
-                connection.link.close();
-                return match (connection.link.request_written(), connection.link.has_begun_writing()) {
-                    // What its client broke off says nothing of the server.
-                    _ if out.body.is_broken() => {
-                        Ok(AttemptResponse::without_response(AttemptStatus::NotSent))
-                    }
-                    (true, _) => Ok(AttemptResponse::without_response(AttemptStatus::ConnectionReset)),
-                    (false, true) => Ok(AttemptResponse::without_response(AttemptStatus::ConnectFailed)),
-                    (false, false) => {
-                        slot.set(None);
-                        Err(Unwritten)
-                    }
-                };
-            }
+        mut pooled: PooledConnection,
+        attempt: &Attempt<'_>,
+    ) -> Result<AttemptResponse, ConnectionWasClosed> {
+        let request = attempt.to_request(&pooled.connection);
+        attempt.connection.set(Some(pooled.connection.clone()));
+        pooled.connection.begin_request(attempt.request.body.length());
+        pooled.connection.count_written(attempt.written_counter);
+        let Ok(response) = pooled.sender.try_send_request(request).await else {
+            pooled.connection.close();
+            return attempt.end_without_response(&pooled.connection);
         };
-        connection.link.response_received();
+        pooled.connection.response_received();
         let (head, body) = response.into_parts();
-        // An answer that changes the protocol or does not tell where it ends is none.
-        let status = head.status.as_u16();
-        let sound = status > 199 && (status != 200 || headers::ends(&head.headers));
-        let body = if sound { self.read(body).await } else { None };
-        let Some((body, rest)) = body.filter(|(_, rest)| rest.is_none() || status == 200) else {
-            connection.link.close();
+        let Some(body) = self.read_response_body(&head, body).await else {
+            pooled.connection.close();
             return Ok(AttemptResponse::without_response(AttemptStatus::ConnectionReset));
         };
-        let (used, load) = (headers::usage(&head.headers), headers::load(head.headers.get(headers::LOAD)));
-        let status = match status {
-            200 => AttemptStatus::Ok,
-            503 | 504 if head.headers.get(headers::REJECTED).is_some_and(|v| v == "1") => {
-                AttemptStatus::Rejected
-            }
-            _ => AttemptStatus::Error,
+        Ok(self.complete(attempt.server, pooled, head, body))
+    }
+
+    /// Reads the body of a response as far as it is buffered. A longer one waits for the memory to forward it, and so
+    /// does its server. `None` if the response is not sound.
+    async fn read_response_body(&self, head: &response::Parts, body: Incoming) -> Option<ReceivedBody> {
+        let is_ok = head.status == StatusCode::OK;
+        // An interim response, or one that does not tell where it ends, is not sound.
+        if head.status.is_informational() || is_ok && !headers::has_body_end(&head.headers) {
+            return None;
+        }
+        let length = body.size_hint().exact();
+        if length.is_some_and(|length| length > MAX_RESPONSE_BODY_BYTES) {
+            return None;
+        }
+        let is_known_long = length.is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES as u64);
+        let PartlyReadBody { buffered, remainder } = if is_known_long {
+            PartlyReadBody { buffered: Bytes::new(), remainder: Some(body) }
+        } else {
+            read_up_to_limit(body).await.ok()?
         };
-        let settled = headers::charge(&head.headers, self.max_units).filter(|_| status == AttemptStatus::Ok);
-        let link = connection.link.clone();
+        let Some(remainder) = remainder else { return Some(ReceivedBody::Complete(buffered)) };
+        let body_memory = self.body_memory.clone().acquire_owned().await.ok()?;
+        // Only successful responses are forwarded.
+        is_ok.then_some(ReceivedBody::Partial { buffered, remainder, body_memory })
+    }
+
+    /// Evaluates a response, and returns its connection to the pool once its body is complete.
+    fn complete(
+        self: &Rc<Self>,
+        server: ServerId,
+        pooled: PooledConnection,
+        head: response::Parts,
+        body: ReceivedBody,
+    ) -> AttemptResponse {
+        let status = attempt_status(&head);
+        let reported_usage = headers::usage(&head.headers);
+        let load_report = headers::load_report(head.headers.get(headers::LOAD_REPORT));
+        let charged_units = headers::charged_units(&head.headers, self.max_units);
+        let connection = pooled.connection.clone();
         let upstream = self.clone();
-        let done = move || match connection.link.request_written() {
-            true => upstream.pool.keep_idle(server, connection),
-            false => connection.link.close(),
-        };
-        let body = match rest {
-            Some((rest, room)) => {
-                ResponseContent::Forwarded(Download::new((body, rest), link, Box::new(done), room))
+        let release = move || {
+            if pooled.connection.request_written() {
+                upstream.pool.keep_idle(server, pooled);
+            } else {
+                pooled.connection.close();
             }
-            None => {
-                done();
+        };
+        let content = match body {
+            ReceivedBody::Complete(body) => {
+                release();
                 ResponseContent::Buffered(body)
             }
+            ReceivedBody::Partial { buffered, remainder, body_memory } => ResponseContent::Forwarded(
+                Download::new(buffered, remainder, connection, Box::new(release), body_memory),
+            ),
         };
-        let answer = (status == AttemptStatus::Ok).then(|| {
-            let mut head = head;
-            headers::strip(&mut head.headers);
-            head.headers.remove(headers::LOAD);
-            Response::from_parts(head, body)
-        });
-        Ok(AttemptResponse {
+        let is_ok = status == AttemptStatus::Ok;
+        AttemptResponse {
             status,
-            reported_usage: used,
-            settled_units: settled,
-            load_report: load,
-            response: answer,
-        })
+            reported_usage,
+            settled_units: charged_units.filter(|_| is_ok),
+            load_report,
+            response: is_ok.then(|| response_to_client(head, content)),
+        }
     }
+}
 
-    /// Reads a short answer's body whole. A long one waits until there is room for what is held of it on its
-    /// way, and is then passed on as it comes; meanwhile its server waits in turn.
-    async fn read(&self, body: Incoming) -> Option<(Bytes, Option<(Incoming, OwnedSemaphorePermit)>)> {
-        let length = body.size_hint().exact();
-        if length.is_some_and(|n| n > ANSWER_MOST) {
-            return None;
-        }
-        let long = length.is_some_and(|n| n > MAX_BUFFERED_BODY_BYTES as u64);
-        let (head, rest) =
-            if long { (Bytes::new(), Some(body)) } else { forwarding::begin(body).await.ok()? };
-        let Some(rest) = rest else { return Some((head, None)) };
-        let room = self.body_memory.clone().acquire_owned().await.ok()?;
-        Some((head, Some((rest, room))))
+impl Attempt<'_> {
+    /// The request as it is written to a connection.
+    fn to_request(&self, connection: &Rc<ServerConnection>) -> Request<RequestBody> {
+        let mut request = Request::new(RequestBody::new(&self.request.body, connection.clone()));
+        *request.method_mut() = self.request.method.clone();
+        *request.uri_mut() = self.request.uri.clone();
+        *request.headers_mut() = self.request.headers.clone();
+        let remaining = self.answer_by.saturating_duration_since(Instant::now());
+        let remaining_ms = HeaderValue::from(remaining.as_millis() as u64);
+        request.headers_mut().insert(headers::TIME_BUDGET, remaining_ms);
+        request
     }
 
-    /// Looks at a server.
-    pub async fn probe(
-        self: &Rc<Self>,
-        server: ServerId,
-        path: &'static str,
-        limit: Duration,
-    ) -> (AttemptStatus, Option<LoadReport>) {
-        let probe = OutgoingRequest {
-            method: Method::GET,
-            uri: Uri::from_static(path),
-            headers: HeaderMap::from_iter([(HOST, HeaderValue::from_static("server"))]),
-            body: Rc::new(Upload::none()),
-            client_has_left: Box::new(|| false),
-        };
-        let slot = AttemptConnection::default();
-        let end = Instant::now() + limit;
-        let times = AttemptTimes { send_by: end, answer_by: end };
-        let Ok(reply) = timeout(limit, self.exchange(server, &slot, &probe, times, None)).await else {
-            slot.close();
-            return (AttemptStatus::Timeout, None);
+    /// What it means that no response came over a connection, by how much of the request had been written.
+    fn end_without_response(
+        &self,
+        connection: &ServerConnection,
+    ) -> Result<AttemptResponse, ConnectionWasClosed> {
+        let status = if self.request.body.has_failed() {
+            // The client is at fault, not the server.
+            AttemptStatus::NotSent
+        } else if connection.request_written() {
+            AttemptStatus::ConnectionReset
+        } else if connection.has_begun_writing() {
+            AttemptStatus::ConnectFailed
+        } else {
+            self.connection.set(None);
+            return Err(ConnectionWasClosed);
         };
-        let told = reply.response.as_ref().and_then(|a| match a.body() {
-            ResponseContent::Buffered(body) => HeaderValue::from_bytes(body).ok(),
-            ResponseContent::Forwarded(_) => None,
-        });
-        (reply.status, reply.load_report.or_else(|| headers::load(told.as_ref())))
+        Ok(AttemptResponse::without_response(status))
     }
 }
 
+/// What a response means for its request.
+fn attempt_status(head: &response::Parts) -> AttemptStatus {
+    match head.status {
+        StatusCode::OK => AttemptStatus::Ok,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
+            if headers::is_rejection(&head.headers) =>
+        {
+            AttemptStatus::Rejected
+        }
+        _ => AttemptStatus::Error,
+    }
+}
+
+/// A server's response as it is passed on to the client.
+fn response_to_client(mut head: response::Parts, content: ResponseContent) -> Response<ResponseContent> {
+    headers::remove_hop_by_hop(&mut head.headers);
+    head.headers.remove(headers::LOAD_REPORT);
+    Response::from_parts(head, content)
+}
+
 #[cfg(test)]
 mod tests;
