--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -1,38 +1,40 @@
 //! Actions, written on the wire.
 
-use crate::Instance;
+use crate::instance::Instance;
 use base64::{prelude::BASE64_STANDARD, Engine};
-use grebehook_core::Action;
+use grebehook_core::{Action, RequestId};
 use serde_json::{json, Value};
 
 /// The wire's form of an action; `None` if it names something the wire never named.
-pub(crate) fn write(instance: &mut Instance, i: u64, action: &Action) -> Option<Value> {
-    let named = |instance: &Instance, id| Some(instance.requests.get(id)?.text.clone());
+pub(crate) fn write(instance: &mut Instance, instance_id: u64, action: &Action) -> Option<Value> {
+    let name = |id: RequestId| instance.request_name(id);
     Some(match action {
         Action::Send { id, server, timeout } => {
-            let request = instance.requests.get_mut(id)?;
-            let to = instance.servers.get(server)?;
-            request.out += 1;
-            json!(["send", i, request.text, to, timeout])
+            let server = instance.server_names.get(server)?;
+            let message = json!(["send", instance_id, name(*id)?, server, timeout]);
+            instance.attempt_started(*id);
+            message
         }
         Action::Reject { id, retry_after } => {
-            let text = named(instance, id)?;
-            instance.release(*id, 0, true);
-            json!(["shed", i, text, retry_after.unwrap_or(0)])
+            let message = json!(["shed", instance_id, name(*id)?, retry_after.unwrap_or(0)]);
+            instance.finish(*id);
+            message
         }
         Action::Fail { id } => {
-            let text = named(instance, id)?;
-            instance.release(*id, 0, true);
-            json!(["reportFailure", i, text])
+            let message = json!(["reportFailure", instance_id, name(*id)?]);
+            instance.finish(*id);
+            message
         }
-        Action::Cancel { id, attempt } => json!(["cancel", i, named(instance, id)?, attempt]),
-        Action::Timer { at, timer } => json!(["wakeAt", i, at, timer.0.to_string()]),
-        Action::CheckHealth { server } => json!(["probe", i, instance.servers.get(server)?]),
-        Action::SendGossip { to, message: data } => json!(["publish", i, to, BASE64_STANDARD.encode(data)]),
-        Action::PollEndpoints => json!(["watch", i, true]),
+        Action::Cancel { id, attempt } => json!(["cancel", instance_id, name(*id)?, attempt]),
+        Action::Timer { at, timer } => json!(["wakeAt", instance_id, at, timer.0.to_string()]),
+        Action::CheckHealth { server } => json!(["probe", instance_id, instance.server_names.get(server)?]),
+        Action::SendGossip { to, message } => {
+            json!(["publish", instance_id, to, BASE64_STANDARD.encode(message)])
+        }
+        Action::PollEndpoints => json!(["watch", instance_id, true]),
         Action::AddToCounter { counter, amount, ttl } => {
-            json!(["bump", i, format!("{:x}", counter.0), amount, ttl])
+            json!(["bump", instance_id, format!("{:x}", counter.0), amount, ttl])
         }
-        Action::Log { text } => json!(["debug", i, text]),
+        Action::Log { text } => json!(["debug", instance_id, text]),
     })
 }
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,47 +1,187 @@
-//! Events, read off the wire.
+//! Events, read off the wire: a function for each message, beside the names of its columns. `-` stands for a
+//! column that is not read.
 
-use crate::Instance;
+use crate::instance::Instance;
+use crate::row::{ColumnError, Row};
+use crate::settings::LoadColumn;
 use base64::{prelude::BASE64_STANDARD, Engine};
+use fnv::FnvHasher;
 use grebehook_core::{
     AttemptReport, AttemptStatus, CounterId, CounterResult, CustomerId, Endpoint, EndpointState, Event,
     LoadReport, RequestArrival, ServerId, TimerId, WatchEvent,
 };
 use serde_json::Value;
+use std::hash::Hasher;
+use std::net::SocketAddrV4;
 
-type Read<T> = Result<T, &'static str>;
+/// The columns of `targets`.
+const ENDPOINTS_CHANGED: &[&str] = &["mode", "-", "records"];
+/// The columns of one of its records.
+const ENDPOINT: &[&str] = &["pod", "readiness", "readyAtUs", "size", "-", "locality", "server"];
+/// The columns of `demand`.
+const REQUEST_ARRIVED: &[&str] =
+    &["call", "tierClass", "tier", "apiKey", "graceUs", "units", "setSize", "firstDoor", "flags"];
+/// The columns of `finished`.
+const ATTEMPT_COMPLETED: &[&str] =
+    &["call", "hop", "server", "verdict", "costTimeUs", "closed", "usage", "settled", "stats"];
+/// The column that `established` and `gone` are read for.
+const REQUEST: &[&str] = &["call"];
+/// The columns of `due`.
+const TIMER: &[&str] = &["name"];
+/// The columns of `checkResult`.
+const HEALTH_CHECK_COMPLETED: &[&str] = &["-", "server", "verdict", "stats"];
+/// The columns of `peerData`.
+const GOSSIP_RECEIVED: &[&str] = &["who", "body"];
+/// The columns of `counterReply`.
+const COUNTER_REPLIED: &[&str] = &["entryName", "verdict", "total", "costTimeUs"];
 
-/// A number for a text that is the same everywhere (FNV-1a).
-fn hash(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+/// The bit of `flags` that marks a retry.
+const RETRY_FLAG: u64 = 2;
+/// The bit that keeps servers named by a text apart from those named by an address.
+const HASHED_SERVER: u64 = 1 << 63;
+
+/// A message's event, or the column at fault.
+type Read<T> = Result<T, ColumnError>;
+
+/// The event of an item; `None` if its name is not known.
+pub(crate) fn read(instance: &mut Instance, name: &str, fields: &[Value]) -> Read<Option<Event>> {
+    let row = |columns| Row::new(columns, fields);
+    Ok(Some(match name {
+        "targets" => endpoints_changed(instance, row(ENDPOINTS_CHANGED))?,
+        "demand" => request_arrived(instance, row(REQUEST_ARRIVED))?,
+        "established" => response_started(instance, row(REQUEST))?,
+        "finished" => attempt_completed(instance, row(ATTEMPT_COMPLETED))?,
+        "gone" => Event::ClientDisconnected { id: instance.request_id(row(REQUEST).text("call")?) },
+        "due" => timer(row(TIMER))?,
+        "checkResult" => health_check_completed(instance, row(HEALTH_CHECK_COMPLETED))?,
+        "peerData" => gossip_received(row(GOSSIP_RECEIVED))?,
+        "counterReply" => counter_replied(row(COUNTER_REPLIED))?,
+        _ => return Ok(None),
+    }))
 }
 
-fn text<'a>(fields: &'a [Value], k: usize, name: &'static str) -> Read<&'a str> {
-    fields.get(k).and_then(Value::as_str).ok_or(name)
+/// The endpoint list changed, or a watch of it failed.
+fn endpoints_changed(instance: &mut Instance, row: Row) -> Read<Event> {
+    let watch_event = match row.unsigned_or_zero("mode")? {
+        0 => WatchEvent::Snapshot,
+        2 => WatchEvent::Failed,
+        3 => WatchEvent::Delta,
+        4 => WatchEvent::CachedSnapshot,
+        _ => return Err(ColumnError { column: "mode" }),
+    };
+    let records = row.list("records")?;
+    let endpoints = records.iter().map(|record| endpoint(instance, record)).collect::<Read<_>>()?;
+    Ok(Event::EndpointsChanged { watch_event, endpoints })
 }
 
-fn whole(fields: &[Value], k: usize, name: &'static str) -> Read<u64> {
-    match fields.get(k) {
-        None | Some(Value::Null) => Ok(0),
-        Some(v) => v.as_u64().or_else(|| v.as_f64().map(|f| f.max(0.0) as u64)).ok_or(name),
-    }
+/// One entry of the endpoint list.
+fn endpoint(instance: &mut Instance, record: &Value) -> Read<Endpoint> {
+    let record = record.as_array().ok_or(ColumnError { column: "records" })?;
+    let row = Row::new(ENDPOINT, record);
+    Ok(Endpoint {
+        cell: row.unsigned_or_zero("pod")? as u32,
+        state: match row.unsigned_or_zero("readiness")? {
+            0 => EndpointState::Gone,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Draining,
+            _ => return Err(ColumnError { column: "readiness" }),
+        },
+        started_at: row.positive("readyAtUs")?,
+        relative_size: row.optional_number("size").unwrap_or(1.0),
+        zone: row.unsigned_or_zero("locality")? as u32,
+        server: server(instance, row)?,
+    })
+}
+
+/// A client's request.
+fn request_arrived(instance: &mut Instance, row: Row) -> Read<Event> {
+    let id = instance.request_id(row.text("call")?);
+    let customer = row.text("apiKey")?;
+    Ok(Event::RequestArrived(RequestArrival {
+        id,
+        class: row.unsigned_or_zero("tierClass")? as usize,
+        plan: row.unsigned_or_zero("tier")? as usize,
+        customer: CustomerId(u64::from_str_radix(customer, 16).unwrap_or_else(|_| hash(customer))),
+        client_timeout: row.unsigned_or_zero("graceUs")?,
+        units: row.number("units")?,
+        customer_gateway_count: row.unsigned_or_zero("setSize")? as usize,
+        first_gateway: row.unsigned_or_zero("firstDoor")? as usize,
+        is_retry: row.unsigned_or_zero("flags")? & RETRY_FLAG != 0,
+        body_incomplete: false,
+    }))
 }
 
-fn number(fields: &[Value], k: usize, name: &'static str) -> Read<f64> {
-    fields.get(k).and_then(Value::as_f64).ok_or(name)
+/// A streamed response has begun.
+fn response_started(instance: &Instance, row: Row) -> Read<Event> {
+    let id = instance.known_request_id(row.text("call")?);
+    Ok(Event::ResponseStarted { id: id.ok_or(ColumnError { column: "call" })? })
 }
 
-fn server(instance: &mut Instance, fields: &[Value], k: usize) -> Read<ServerId> {
-    let text = text(fields, k, "server")?;
-    let id = ServerId(match text.parse::<std::net::SocketAddrV4>() {
-        Ok(a) => u64::from(u32::from(*a.ip())) << 16 | u64::from(a.port()),
-        Err(_) => hash(text) | 1 << 63,
+/// An attempt ended.
+fn attempt_completed(instance: &mut Instance, row: Row) -> Read<Event> {
+    Ok(Event::AttemptCompleted(AttemptReport {
+        id: instance.request_id(row.text("call")?),
+        attempt: row.unsigned_or_zero("hop")? as u32,
+        server: server(instance, row)?,
+        status: status(row)?,
+        elapsed: row.unsigned_or_zero("costTimeUs")?,
+        request_finished: row.flag("closed"),
+        reported_usage: row.positive("usage")?.map(usage_share),
+        settled_units: row.optional_number("settled").filter(|units| *units > 0.0),
+        load_report: load_report(instance, row),
+    }))
+}
+
+/// A timer fell due.
+fn timer(row: Row) -> Read<Event> {
+    let timer = row.text("name")?.parse().map_err(|_| ColumnError { column: "name" })?;
+    Ok(Event::Timer { timer: TimerId(timer) })
+}
+
+/// A health check ended.
+fn health_check_completed(instance: &mut Instance, row: Row) -> Read<Event> {
+    Ok(Event::HealthCheckCompleted {
+        server: server(instance, row)?,
+        status: status(row)?,
+        load_report: load_report(instance, row),
+    })
+}
+
+/// A gossip message of another gateway.
+fn gossip_received(row: Row) -> Read<Event> {
+    let from = row.unsigned_or_zero("who")? as usize;
+    let message = BASE64_STANDARD.decode(row.text("body")?);
+    Ok(Event::GossipReceived { from, message: message.map_err(|_| ColumnError { column: "body" })? })
+}
+
+/// A call of the shared counter ended.
+fn counter_replied(row: Row) -> Read<Event> {
+    let status = row.text("verdict")?;
+    let counter = u64::from_str_radix(row.text("entryName")?, 16);
+    let counter = counter.map_err(|_| ColumnError { column: "entryName" })?;
+    let result = match status {
+        "OK" => CounterResult::Total(row.number("total")?),
+        "DEADLINE_EXCEEDED" => CounterResult::Unknown,
+        _ => CounterResult::Refused,
+    };
+    let elapsed = row.unsigned_or_zero("costTimeUs")?;
+    Ok(Event::CounterReplied { counter: CounterId(counter), result, elapsed })
+}
+
+/// The server that a message names; its name is kept for actions that name it.
+fn server(instance: &mut Instance, row: Row) -> Read<ServerId> {
+    let name = row.text("server")?;
+    let id = ServerId(match name.parse::<SocketAddrV4>() {
+        Ok(address) => u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port()),
+        Err(_) => hash(name) | HASHED_SERVER,
     });
-    instance.servers.entry(id).or_insert_with(|| text.to_owned());
+    instance.server_names.entry(id).or_insert_with(|| name.to_owned());
     Ok(id)
 }
 
-fn status(fields: &[Value], k: usize) -> Read<AttemptStatus> {
-    Ok(match text(fields, k, "verdict")? {
+/// How an attempt or a health check ended.
+fn status(row: Row) -> Read<AttemptStatus> {
+    Ok(match row.text("verdict")? {
         "OK" => AttemptStatus::Ok,
         "INTERNAL" => AttemptStatus::Error,
         "RESOURCE_EXHAUSTED" => AttemptStatus::Rejected,
@@ -50,122 +190,34 @@
         "ABORTED" => AttemptStatus::ConnectionReset,
         "CANCELLED" => AttemptStatus::Cancelled,
         "TOO_LATE" => AttemptStatus::NotSent,
-        _ => return Err("verdict"),
+        _ => return Err(ColumnError { column: "verdict" }),
     })
 }
 
-fn load(instance: &Instance, value: Option<&Value>) -> Option<LoadReport> {
-    let row = value?.as_array()?;
-    let mut load = LoadReport::default();
-    for (column, value) in instance.columns.iter().zip(row) {
-        match column.as_str() {
-            "outstanding" => load.in_flight = value.as_f64(),
-            "backlog" => load.queued = value.as_f64(),
-            "utilization" => load.utilization = value.as_f64(),
-            "recent_ms" => load.latency_ms = value.as_f64(),
-            _ => {}
+/// The load report that came along; `None` if there is none.
+fn load_report(instance: &Instance, row: Row) -> Option<LoadReport> {
+    let values = row.value("stats")?.as_array()?;
+    let mut report = LoadReport::default();
+    for (column, value) in instance.load_columns.iter().zip(values) {
+        match column {
+            LoadColumn::InFlight => report.in_flight = value.as_f64(),
+            LoadColumn::Queued => report.queued = value.as_f64(),
+            LoadColumn::Utilization => report.utilization = value.as_f64(),
+            LoadColumn::LatencyMs => report.latency_ms = value.as_f64(),
+            LoadColumn::Unknown => {}
         }
     }
-    Some(load)
+    Some(report)
 }
 
-fn entry(instance: &mut Instance, row: &Value) -> Read<Endpoint> {
-    let row = row.as_array().ok_or("records")?;
-    Ok(Endpoint {
-        cell: whole(row, 0, "pod")? as u32,
-        state: match whole(row, 1, "readiness")? {
-            0 => EndpointState::Gone,
-            1 => EndpointState::Ready,
-            2 => EndpointState::Draining,
-            _ => return Err("readiness"),
-        },
-        started_at: Some(whole(row, 2, "readyAtUs")?).filter(|at| *at > 0),
-        relative_size: number(row, 3, "size").unwrap_or(1.0),
-        zone: whole(row, 5, "locality")? as u32,
-        server: server(instance, row, 6)?,
-    })
+/// Use of a customer's rate as a share; the wire gives it in percent and adds 1, since 0 stands for none.
+fn usage_share(reported: u64) -> f64 {
+    (reported - 1) as f64 / 100.0
 }
 
-/// The event of a message whose name and instance are read; `None` for a name that is not known.
-pub(crate) fn read(instance: &mut Instance, name: &str, f: &[Value]) -> Read<Option<Event>> {
-    Ok(Some(match name {
-        "targets" => {
-            let kind = match whole(f, 0, "mode")? {
-                0 => WatchEvent::Snapshot,
-                2 => WatchEvent::Failed,
-                3 => WatchEvent::Delta,
-                4 => WatchEvent::CachedSnapshot,
-                _ => return Err("mode"),
-            };
-            let empty = Vec::new();
-            let rows = match f.get(2) {
-                None | Some(Value::Null) => &empty,
-                Some(v) => v.as_array().ok_or("records")?,
-            };
-            Event::EndpointsChanged {
-                watch_event: kind,
-                endpoints: rows.iter().map(|row| entry(instance, row)).collect::<Read<_>>()?,
-            }
-        }
-        "demand" => {
-            let id = instance.request(text(f, 0, "call")?);
-            let customer = text(f, 3, "apiKey")?;
-            Event::RequestArrived(RequestArrival {
-                id,
-                class: whole(f, 1, "tierClass")? as usize,
-                plan: whole(f, 2, "tier")? as usize,
-                customer: CustomerId(u64::from_str_radix(customer, 16).unwrap_or_else(|_| hash(customer))),
-                client_timeout: whole(f, 4, "graceUs")?,
-                units: number(f, 5, "units")?,
-                customer_gateway_count: whole(f, 6, "setSize")? as usize,
-                first_gateway: whole(f, 7, "firstDoor")? as usize,
-                is_retry: whole(f, 8, "flags")? & 2 != 0,
-                body_incomplete: false,
-            })
-        }
-        "established" => match instance.ids.get(text(f, 0, "call")?) {
-            Some(id) => Event::ResponseStarted { id: *id },
-            None => return Err("call"),
-        },
-        "finished" => Event::AttemptCompleted(AttemptReport {
-            id: instance.request(text(f, 0, "call")?),
-            attempt: whole(f, 1, "hop")? as u32,
-            server: server(instance, f, 2)?,
-            status: status(f, 3)?,
-            elapsed: whole(f, 4, "costTimeUs")?,
-            request_finished: f.get(5).and_then(Value::as_bool).unwrap_or(false),
-            reported_usage: Some(whole(f, 6, "usage")?).filter(|u| *u > 0).map(|u| (u - 1) as f64 / 100.0),
-            settled_units: f.get(7).and_then(Value::as_f64).filter(|u| *u > 0.0),
-            load_report: load(instance, f.get(8)),
-        }),
-        "gone" => Event::ClientDisconnected { id: instance.request(text(f, 0, "call")?) },
-        "due" => match text(f, 0, "name")?.parse() {
-            Ok(timer) => Event::Timer { timer: TimerId(timer) },
-            Err(_) => return Err("name"),
-        },
-        "checkResult" => Event::HealthCheckCompleted {
-            server: server(instance, f, 1)?,
-            status: status(f, 2)?,
-            load_report: load(instance, f.get(3)),
-        },
-        "peerData" => Event::GossipReceived {
-            from: whole(f, 0, "who")? as usize,
-            message: BASE64_STANDARD.decode(text(f, 1, "body")?).map_err(|_| "body")?,
-        },
-        "counterReply" => {
-            let status = text(f, 1, "verdict")?;
-            Event::CounterReplied {
-                counter: CounterId(
-                    u64::from_str_radix(text(f, 0, "entryName")?, 16).map_err(|_| "entryName")?,
-                ),
-                result: match status {
-                    "OK" => CounterResult::Total(number(f, 2, "total")?),
-                    "DEADLINE_EXCEEDED" => CounterResult::Unknown,
-                    _ => CounterResult::Refused,
-                },
-                elapsed: whole(f, 3, "costTimeUs")?,
-            }
-        }
-        _ => return Ok(None),
-    }))
+/// A number for a text that is the same at every gateway (64-bit FNV-1a).
+fn hash(text: &str) -> u64 {
+    let mut hasher = FnvHasher::default();
+    hasher.write(text.as_bytes());
+    hasher.finish()
 }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -15,29 +15,40 @@
 }
 
 impl FieldError {
-    fn new(path: String, message: &str) -> FieldError {
-        // serde gives the path of the object that lacks a field, and the field in its message alone.
+    /// An error of the field at a path.
+    pub(crate) fn new(path: &str, reason: &str) -> FieldError {
+        FieldError { path: path.to_owned(), reason: reason.to_owned() }
+    }
+
+    /// The same error, named from the object whose list holds the one that was read.
+    pub(crate) fn below(&self, list: &str, index: usize) -> FieldError {
+        FieldError { path: format!("{list}[{index}].{}", self.path), reason: self.reason.clone() }
+    }
+
+    /// An error that serde found at a path; `.` is the object that was read.
+    fn from_serde(path: &str, message: &str) -> FieldError {
+        // For a missing field, serde's path is that of the object that lacks it, and its message names the field.
         let missing = message.strip_prefix("missing field `").and_then(|rest| rest.strip_suffix('`'));
+        let at_root = path == ".";
         match missing {
-            Some(field) if path == "." => {
-                FieldError { path: field.to_owned(), reason: "is missing".to_owned() }
-            }
-            Some(field) => FieldError { path: format!("{path}.{field}"), reason: "is missing".to_owned() },
-            None if path == "." => {
-                FieldError { path: "the object".to_owned(), reason: format!("is not valid: {message}") }
-            }
-            None if message.starts_with("is ") || message.starts_with("has ") => {
-                FieldError { path, reason: message.to_owned() }
-            }
-            None => FieldError { path, reason: format!("is not valid: {message}") },
+            Some(field) if at_root => FieldError::new(field, "is missing"),
+            Some(field) => FieldError::new(&format!("{path}.{field}"), "is missing"),
+            None if at_root => FieldError::new("the object", &format!("is not valid: {message}")),
+            None if is_own_reason(message) => FieldError::new(path, message),
+            None => FieldError::new(path, &format!("is not valid: {message}")),
         }
     }
 }
 
+/// Whether a message was written by a reader of this project, to follow the field's path.
+fn is_own_reason(message: &str) -> bool {
+    message.starts_with("is ") || message.starts_with("has ")
+}
+
 /// Reads a type from JSON.
 pub fn read<T: DeserializeOwned>(value: &Value) -> Result<T, FieldError> {
     serde_path_to_error::deserialize(value)
-        .map_err(|e| FieldError::new(e.path().to_string(), &e.inner().to_string()))
+        .map_err(|error| FieldError::from_serde(&error.path().to_string(), &error.inner().to_string()))
 }
 
 /// A number.
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,35 +1,47 @@
 //! Plays the simulator's wire: batches on standard input, replies on standard output.
 
-use std::io::{BufRead, Write};
+use grebehook_simulator_adapter::{BatchError, Host};
+use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
+/// Why the program ends before its input does.
+#[derive(Debug, thiserror::Error)]
+enum RunError {
+    /// Standard input fails.
+    #[error("standard input cannot be read: {0}")]
+    Input(#[source] io::Error),
+    /// A line is no batch.
+    #[error(transparent)]
+    Batch(#[from] BatchError),
+    /// The reader of the replies is gone.
+    #[error("standard output cannot be written: {0}")]
+    Output(#[source] io::Error),
+}
+
 fn main() -> ExitCode {
+    // A panic of the decision core is reported to the simulator instead.
     std::panic::set_hook(Box::new(|_| {}));
-    let mut host = grebehook_simulator_adapter::Host::default();
-    let mut input = std::io::stdin().lock();
-    let mut output = std::io::stdout().lock();
-    let mut line = String::new();
-    loop {
-        line.clear();
-        match input.read_line(&mut line) {
-            Ok(0) => return ExitCode::SUCCESS,
-            Ok(_) if line.trim().is_empty() => continue,
-            Ok(_) => {}
-            Err(e) => {
-                eprintln!("standard input cannot be read: {e}");
-                return ExitCode::FAILURE;
-            }
+    match run() {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("{error}");
+            ExitCode::FAILURE
         }
-        match host.batch(&line) {
-            Ok(reply) => {
-                if writeln!(output, "{reply}").and_then(|()| output.flush()).is_err() {
-                    return ExitCode::FAILURE;
-                }
-            }
-            Err(message) => {
-                eprintln!("{message}");
-                return ExitCode::FAILURE;
-            }
+    }
+}
+
+/// Answers every batch, until the input ends.
+fn run() -> Result<(), RunError> {
+    let mut host = Host::default();
+    let mut input = io::stdin().lock();
+    let mut output = io::stdout().lock();
+    let mut line = String::new();
+    while input.read_line(&mut line).map_err(RunError::Input)? > 0 {
+        if !line.trim().is_empty() {
+            let reply = host.batch(&line)?;
+            writeln!(output, "{reply}").and_then(|()| output.flush()).map_err(RunError::Output)?;
         }
+        line.clear();
     }
+    Ok(())
 }
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/simulator-adapter/tests/settings.rs
@@ -1,9 +1,11 @@
 //! The settings object: what is read of it, and how an error names its field.
 
-use grebehook_core::{DeduplicationScope, Idempotency, LoadReports};
-use grebehook_simulator_adapter::settings::read;
+use grebehook_core::{DeduplicationScope, Gateway, Idempotency, LoadReports, SettingsError};
+use grebehook_simulator_adapter::fields::FieldError;
+use grebehook_simulator_adapter::settings::{read, wire_path, LaunchSettings, LoadColumn};
 use serde_json::{json, Value};
 
+/// A settings object that can be read.
 fn settings() -> Value {
     json!({
         "az": 1, "me": 0, "siblings": 2, "tickUs": 2000.7, "unheard_of": [1],
@@ -28,7 +30,7 @@
 
 #[test]
 fn known_fields_are_read_and_unknown_ones_ignored() {
-    let (settings, columns) = read(&settings()).unwrap();
+    let LaunchSettings { core: settings, load_columns } = read(&settings()).unwrap();
     assert_eq!((settings.gateway_count, settings.zone, settings.batch_interval), (2, 1, 2_000));
     let keyed = Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: 1_000_000 };
     assert_eq!((settings.classes[0].idempotency, settings.plans[0].max_concurrency), (keyed, Some(3)));
@@ -41,11 +43,11 @@
             && settings.capabilities.shared_counter
             && !settings.capabilities.polls_discovery
     );
-    assert_eq!(columns, ["outstanding", ""]);
+    assert_eq!(load_columns, [LoadColumn::InFlight, LoadColumn::Unknown]);
 }
 
 #[test]
-fn an_error_names_the_field_by_its_path() {
+fn error_names_the_field_by_its_path() {
     assert_eq!(error_with("/classes/0/aimUs", json!("soon")), "classes[0].aimUs is no number");
     assert_eq!(error_with("/classes/0/semantics", json!("odd")), "classes[0].semantics is not known");
     assert_eq!(error_with("/classes/0/windowUs", json!(-1)), "classes[0].windowUs is negative");
@@ -64,10 +66,76 @@
     odd["stats"] = Value::Null;
     odd["familyInfo"] = json!([1]);
     odd["limits"]["cancel"] = json!("yes");
-    let (settings, columns) = read(&odd).unwrap();
+    let LaunchSettings { core: settings, load_columns } = read(&odd).unwrap();
     assert_eq!(
         (settings.capabilities.load_reports, settings.capabilities.gossip_messages_per_s),
         (LoadReports::None, 0.0)
     );
-    assert!(!settings.capabilities.cancellation && columns.is_empty());
+    assert!(!settings.capabilities.cancellation && load_columns.is_empty());
+}
+
+#[test]
+fn load_columns_are_known_by_their_names_on_the_wire() {
+    let mut named = settings();
+    named["stats"]["columns"] = json!(["recent_ms", "backlog", "utilization", "novel", "outstanding"]);
+    let columns = [
+        LoadColumn::LatencyMs,
+        LoadColumn::Queued,
+        LoadColumn::Utilization,
+        LoadColumn::Unknown,
+        LoadColumn::InFlight,
+    ];
+    assert_eq!(read(&named).unwrap().load_columns, columns);
+}
+
+/// The core's error for settings in which a value was replaced.
+fn refusal_with(pointer: &str, value: Value) -> SettingsError {
+    let mut settings = settings();
+    settings["prices"] = json!({"peer": 0.0, "probe": 0.0});
+    settings["familyInfo"]["countFee"] = json!(0.0);
+    *settings.pointer_mut(pointer).expect(pointer) = value;
+    Gateway::new(read(&settings).expect("it can be read").core, 1, 0).err().expect(pointer)
+}
+
+/// Every field that the core's check of settings names, by the place of its value on the wire.
+#[test]
+fn field_that_the_core_refuses_is_named_by_its_path_on_the_wire() {
+    let cases = [
+        ("/classes", json!([]), "classes", "classes"),
+        ("/plans", json!([]), "plans", "plans"),
+        ("/siblings", json!(0), "gateway_count", "siblings"),
+        ("/me", json!(2), "gateway_index", "me"),
+        ("/tickUs", json!(0), "batch_interval", "tickUs"),
+        ("/classes/0/aimUs", json!(0), "classes[0].latency_objective", "classes[0].aimUs"),
+        ("/classes/0/value", json!(-1), "classes[0].priority_weight", "classes[0].value"),
+        ("/plans/0/rate", json!(-1), "plans[0].rate", "plans[0].rate"),
+        ("/plans/0/depth", json!(-1), "plans[0].burst", "plans[0].depth"),
+        ("/plans/0/valueFactor", json!(-1), "plans[0].weight_multiplier", "plans[0].valueFactor"),
+        ("/plans/0/excessWorth", json!(-1), "plans[0].overage_weight", "plans[0].excessWorth"),
+        ("/plans/0/excessCost", json!(-1), "plans[0].overage_cost", "plans[0].excessCost"),
+        ("/plans/0/ceilingRate", json!(-1), "plans[0].hard_limit_rate", "plans[0].ceilingRate"),
+        ("/plans/0/neverOverDepth", json!(-1), "plans[0].hard_limit_burst", "plans[0].neverOverDepth"),
+        ("/plans/0/tolerance", json!(-1), "plans[0].hard_limit_overdraft", "plans[0].tolerance"),
+        ("/familyInfo/mailPerS", json!(-1), "capabilities.gossip_messages_per_s", "familyInfo.mailPerS"),
+        ("/prices/peer", json!(-1), "capabilities.gossip_cost", "prices.peer"),
+        ("/prices/probe", json!(-1), "capabilities.health_check_cost", "prices.probe"),
+        ("/familyInfo/countFee", json!(-1), "capabilities.counter_call_cost", "familyInfo.countFee"),
+        ("/rules/coldFrom", json!(-1), "rules.initial_capacity", "rules.coldFrom"),
+        ("/rules/fallMultiple", json!(-1), "rules.overload_multiple", "rules.fallMultiple"),
+    ];
+    for (pointer, value, core_path, on_the_wire) in cases {
+        let refusal = refusal_with(pointer, value);
+        assert_eq!(refusal.field, core_path);
+        assert_eq!(wire_path(&refusal.field), on_the_wire);
+        let error = FieldError::from(refusal.clone());
+        assert_eq!(error.to_string(), format!("{on_the_wire} {}", refusal.reason));
+    }
+}
+
+#[test]
+fn wire_path_keeps_the_index_of_a_list() {
+    assert_eq!(wire_path("classes[12].latency_objective"), "classes[12].aimUs");
+    assert_eq!(wire_path("plans[3].rate"), "plans[3].rate");
+    assert_eq!(wire_path("plans[3]"), "plans[3]");
+    assert_eq!(wire_path("unheard_of"), "unheard_of");
 }
