--- a/crates/gateway/src/config/command_line.rs
+++ b/crates/gateway/src/config/command_line.rs
@@ -3,9 +3,12 @@
 use clap::Parser;
 use std::path::PathBuf;
 
-/// A gateway that holds customers to their quotas before a shared back end.
+/// The environment variable that names the configuration where the command line does not.
+pub const CONFIG_VARIABLE: &str = "GW_CONFIG";
+
+/// An HTTP/1.1 gateway that enforces customers' quotas for a shared back end.
 ///
-/// Without arguments it serves with the configuration that the variable GW_CONFIG names.
+/// Without arguments it serves with the configuration that the environment variable GW_CONFIG names.
 #[derive(Debug, Parser)]
 #[command(name = "grebehook", version)]
 pub struct CommandLine {
@@ -13,7 +16,14 @@
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
 
-    /// Say in one line each what is wrong with a configuration, and end: with code 2 if anything is, else with 0
+    /// Print each fault of a configuration on a line, and exit with code 2 if there is any, else with 0
     #[arg(long, value_name = "FILE", conflicts_with = "config")]
     pub check: Option<PathBuf>,
 }
+
+impl CommandLine {
+    /// The path of the configuration to serve with.
+    pub fn config_path(self) -> Option<PathBuf> {
+        self.config.or_else(|| std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from))
+    }
+}
--- a/crates/gateway/src/config/document.rs
+++ b/crates/gateway/src/config/document.rs
@@ -1,6 +1,6 @@
-//! What a gateway is told at its start, by the JSON file of its configuration and the environment.
+//! The configuration of a gateway, read from its JSON file and the environment.
 
-use crate::config::file::{ConfigFile, Named, TransportFile, TransportSettings};
+use crate::config::file::{ConfigFile, NamedItem, TransportFile, TransportSettings};
 use crate::config::names::WireNames;
 use crate::control::endpoint_list::EndpointList;
 use grebehook_core::{Settings, SettingsError};
@@ -11,20 +11,26 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The variable that names where operators call, where the file does not.
+/// The environment variable that names the operators' address where the file does not.
 const OPS_VARIABLE: &str = "GW_OPS";
-/// Descriptors, where the configuration does not limit them, and the bounds of what it may say.
-const DEFAULT_SOCKETS: f64 = 1_024.0;
-const MIN_SOCKETS: f64 = 64.0;
-const MAX_SOCKETS: f64 = 65_536.0;
-/// The same of memory, in millions of bytes.
+/// The gateway's name where the file gives none.
+const DEFAULT_NAME: &str = "gateway";
+/// File descriptors where the file gives no limit.
+const DEFAULT_DESCRIPTORS: f64 = 1_024.0;
+/// A lower limit in the file counts as this one.
+const MIN_DESCRIPTORS: f64 = 64.0;
+/// A higher limit in the file counts as this one.
+const MAX_DESCRIPTORS: f64 = 65_536.0;
+/// Memory where the file gives no limit.
 const DEFAULT_MEMORY_MB: f64 = 64.0;
+/// A lower limit in the file counts as this one.
 const MIN_MEMORY_MB: f64 = 16.0;
+/// A higher limit in the file counts as this one.
 const MAX_MEMORY_MB: f64 = 65_536.0;
+/// The file gives memory in megabytes.
 const BYTES_PER_MB: usize = 1_000_000;
-/// As many units as the decision core can count, for settings that name no bound.
+/// The units of one request where the file gives no limit: as many as the decision core can count.
 const DEFAULT_MAX_UNITS: f64 = 1e6;
-const DEFAULT_NAME: &str = "gateway";
 
 /// Everything that the gateway reads at its start.
 pub struct Config {
@@ -32,41 +38,41 @@
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where operators call; absent where nobody does.
+    /// Where operators connect; `None` where nobody does.
     pub ops: Option<SocketAddr>,
     /// The discovery agent.
     pub discovery: SocketAddr,
-    /// The shared counter; absent where there is none.
+    /// The shared counter, where there is one.
     pub counter: Option<SocketAddr>,
-    /// Where messages of other gateways arrive; absent where they are not allowed.
+    /// Where gossip arrives; `None` where it is not allowed.
     pub peer_listen: Option<SocketAddr>,
-    /// One address for each gateway of the tier, by its number.
+    /// The gossip addresses of all gateways, by their numbers.
     pub peers: Vec<SocketAddr>,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
     /// Most file descriptors.
-    pub sockets: usize,
-    /// Most memory, in bytes.
-    pub memory: usize,
-    /// The servers as this gateway last knew them.
-    pub known: EndpointList,
+    pub max_descriptors: usize,
+    /// Most memory.
+    pub max_memory_bytes: usize,
+    /// The endpoint list as this gateway last knew it.
+    pub known_endpoints: EndpointList,
     /// Most units that one request may take.
-    pub most_units: f64,
-    /// What the decision module is told.
+    pub max_units: f64,
+    /// The settings of the decision core.
     pub settings: Settings,
-    /// WireNames on the wire, by their place in the settings.
+    /// The names that messages carry.
     pub names: WireNames,
-    /// Connections not established by then have failed.
+    /// How long a connection to a server may take to be established.
     pub connect_timeout: Duration,
-    /// Servers close connections that stood idle for so long.
-    pub server_idle: Duration,
+    /// After how long servers close idle connections.
+    pub server_idle_timeout: Duration,
 }
 
 /// Why the configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
-    #[error("{} cannot be read: {source}", path.display())]
+    #[error("{} cannot be read", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
@@ -74,21 +80,21 @@
         source: io::Error,
     },
     /// The file is not JSON.
-    #[error("the configuration is not JSON: {0}")]
-    NotJson(serde_json::Error),
+    #[error("the configuration is not JSON")]
+    NotJson(#[source] serde_json::Error),
     /// A field of the file is missing or malformed.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// The decision core does not take the settings.
+    /// The decision core rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The environment names no address for operators.
-    #[error("{OPS_VARIABLE} is not valid: {0}")]
-    OpsVariable(AddrParseError),
+    /// The environment names no valid address for operators.
+    #[error("{OPS_VARIABLE} is not valid")]
+    OpsVariable(#[source] AddrParseError),
 }
 
 impl Config {
-    /// Reads a file. The environment adds where operators call, if the file does not say it.
+    /// Reads a file. The environment adds the operators' address if the file does not name it.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
         let unreadable = |source| ConfigError::Unreadable { path: path.to_owned(), source };
         let text = std::fs::read_to_string(path).map_err(unreadable)?;
@@ -104,12 +110,10 @@
     pub fn from_document(document: &Value) -> Result<Config, ConfigError> {
         let file: ConfigFile = fields::read(document)?;
         let transport = fields::read::<TransportFile>(document)?.settings;
-        let in_settings = |e: FieldError| FieldError { path: format!("settings.{}", e.path), ..e };
+        let in_settings =
+            |error: FieldError| FieldError { path: format!("settings.{}", error.path), ..error };
         let settings = file.settings.settings().map_err(in_settings)?;
-        let most_units = transport.family_info.max_units.filter(|units| units.is_finite() && *units > 0.0);
         let limits = file.limits.unwrap_or_default();
-        let sockets = limits.sockets.unwrap_or(DEFAULT_SOCKETS).clamp(MIN_SOCKETS, MAX_SOCKETS);
-        let memory_mb = limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB).clamp(MIN_MEMORY_MB, MAX_MEMORY_MB);
         let names = names(&transport);
         Ok(Config {
             name: file.name.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
@@ -120,19 +124,51 @@
             peer_listen: file.peer_listen,
             peers: file.peers.unwrap_or_default(),
             seed: file.seed,
-            sockets: sockets as usize,
-            memory: memory_mb as usize * BYTES_PER_MB,
-            known: file.known.into_list(&names),
-            most_units: most_units.unwrap_or(DEFAULT_MAX_UNITS),
+            max_descriptors: max_descriptors(limits.max_descriptors),
+            max_memory_bytes: max_memory_bytes(limits.max_memory_mb),
+            known_endpoints: file.known_endpoints.into_list(&names),
+            max_units: max_units(transport.customer_interface.max_units),
             settings,
             names,
             connect_timeout: transport.limits.connect_timeout,
-            server_idle: transport.limits.server_idle,
+            server_idle_timeout: transport.limits.server_idle_timeout,
         })
     }
+
+    /// The longest time that the settings let a client wait.
+    pub fn longest_deadline(&self) -> Duration {
+        let deadlines = self.settings.classes.iter().map(|class| Duration::from_micros(class.deadline));
+        deadlines.max().unwrap_or_default()
+    }
+
+    /// How long a call of the shared counter may take: as long as the settings say, or else as a connection.
+    pub fn counter_timeout(&self) -> Duration {
+        let configured = self.settings.capabilities.counter_timeout;
+        configured.map_or(self.connect_timeout, Duration::from_micros)
+    }
 }
 
+/// The limit on file descriptors, within its bounds.
+fn max_descriptors(configured: Option<f64>) -> usize {
+    configured.unwrap_or(DEFAULT_DESCRIPTORS).clamp(MIN_DESCRIPTORS, MAX_DESCRIPTORS) as usize
+}
+
+/// The limit on memory, within its bounds.
+fn max_memory_bytes(configured_mb: Option<f64>) -> usize {
+    configured_mb.unwrap_or(DEFAULT_MEMORY_MB).clamp(MIN_MEMORY_MB, MAX_MEMORY_MB) as usize * BYTES_PER_MB
+}
+
+/// The limit on the units of one request, if it is usable.
+fn max_units(configured: Option<f64>) -> f64 {
+    configured.filter(|units| units.is_finite() && *units > 0.0).unwrap_or(DEFAULT_MAX_UNITS)
+}
+
+/// The names that the settings define.
 fn names(settings: &TransportSettings) -> WireNames {
-    let all = |named: &[Named]| named.iter().map(|Named(name)| name.clone()).collect();
-    WireNames { classes: all(&settings.classes), plans: all(&settings.plans), zones: all(&settings.zones) }
+    let names_of = |items: &[NamedItem]| items.iter().map(|NamedItem(name)| name.clone()).collect();
+    WireNames {
+        classes: names_of(&settings.classes),
+        plans: names_of(&settings.plans),
+        zones: names_of(&settings.zones),
+    }
 }
--- a/crates/gateway/src/config/names.rs
+++ b/crates/gateway/src/config/names.rs
@@ -1,6 +1,6 @@
-//! The names of classes, plans and zones: the wire has them, the decision core has their numbers.
+//! The names of classes, plans and zones. Messages carry the names; the decision core knows their indices.
 
-/// WireNames on the wire whose place in the settings is what the module knows.
+/// The names that the settings define, in the order of their indices.
 #[derive(Clone)]
 pub struct WireNames {
     /// Classes.
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control plane: service discovery, the shared counter and the other gateways.
+//! The control plane: service discovery, the shared counter and gossip with the other gateways.
 
 pub mod counter;
 pub mod discovery;
--- /dev/null
+++ b/crates/gateway/src/driver/decision_driver/attempts.rs
@@ -0,0 +1,126 @@
+//! The attempts of a request: their start, their end by themselves, and their abort.
+
+use super::{DecisionDriver, DriverState};
+use crate::driver::request::Answer;
+use crate::driver::request_table::InFlightAttempt;
+use crate::driver::timers::DueTimer;
+use crate::servers::attempt::{AttemptConnection, AttemptResponse, AttemptTimes, OutgoingRequest};
+use grebehook_core::{AttemptStatus, Event, Micros, RequestId, ServerId};
+use std::rc::Rc;
+
+impl DecisionDriver {
+    /// Starts an attempt; a timeout of 0 leaves it all of the request's time.
+    pub(super) fn start_attempt(
+        self: &Rc<Self>,
+        state: &mut DriverState,
+        now: Micros,
+        id: RequestId,
+        server: ServerId,
+        timeout: Micros,
+    ) {
+        let Some(request) = state.requests.get_mut(id) else { return };
+        let attempt = request.attempts;
+        request.attempts += 1;
+        if !request.may_start_attempt(now) {
+            let not_sent = AttemptResponse::without_response(AttemptStatus::NotSent);
+            let request_finished = request.answer.is_none();
+            state.events.push_back(not_sent.into_event(id, attempt, server, 0, request_finished));
+            return;
+        }
+        let deadline = request.attempt_deadline(now, Some(timeout).filter(|timeout| *timeout > 0));
+        let connection = Rc::new(AttemptConnection::default());
+        let times = AttemptTimes {
+            send_by: self.clock.instant_at(request.send_by(deadline)),
+            answer_by: self.clock.instant_at(deadline),
+        };
+        let exchange = self.clone().exchange(server, connection.clone(), request.outgoing.clone(), times);
+        let driver = self.clone();
+        let task = tokio::task::spawn_local(async move {
+            let response = exchange.await;
+            driver.attempt_ended(id, attempt, response);
+        });
+        let task = task.abort_handle();
+        request.in_flight = Some(InFlightAttempt { attempt, server, sent_at: now, connection, task });
+        if !request.outgoing.body.is_incomplete() {
+            self.arm(state, deadline, DueTimer::AttemptTimeout { id, attempt });
+        }
+    }
+
+    /// Exchanges one attempt with a server, and counts it once it is written completely.
+    async fn exchange(
+        self: Rc<Self>,
+        server: ServerId,
+        connection: Rc<AttemptConnection>,
+        outgoing: Rc<OutgoingRequest>,
+        times: AttemptTimes,
+    ) -> AttemptResponse {
+        let written_attempts = Some(&self.request_counters.attempts);
+        self.transports.upstream.exchange(server, &connection, &outgoing, times, written_attempts).await
+    }
+
+    /// An attempt ended by itself. A successful response goes to the client at once and ends the request.
+    fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: u32, mut response: AttemptResponse) {
+        let mut state = self.state.borrow_mut();
+        let Some(request) = state.requests.get_mut(id) else { return };
+        let Some(ended) = request.in_flight.take_if(|in_flight| in_flight.attempt == attempt) else { return };
+        if response.status == AttemptStatus::NotSent {
+            request.answer_if_client_left();
+        }
+        if let Some(served) = response.response.take() {
+            state.requests.answer(id, Answer::Served(served));
+        }
+        self.record_end(&mut state, id, &ended, response);
+        self.process_events(&mut state);
+    }
+
+    /// Aborts the attempts that still wait for a connection to a server that is draining or gone: they would be sent
+    /// once the connection is established, perhaps after the grace period of a drain.
+    pub(super) fn abort_attempts_to_unready_servers(&self, state: &mut DriverState) {
+        let pool = &self.transports.upstream.pool;
+        let is_affected =
+            |attempt: &InFlightAttempt| attempt.connection.is_connecting() && !pool.is_ready(attempt.server);
+        for id in state.requests.with_attempt(is_affected) {
+            self.abort_attempt(state, id, AttemptStatus::ConnectFailed);
+        }
+    }
+
+    /// Aborts an attempt if it is still the one in flight.
+    pub(super) fn abort_attempt_in_flight(
+        &self,
+        state: &mut DriverState,
+        id: RequestId,
+        attempt: u32,
+        status: AttemptStatus,
+    ) {
+        if state.requests.is_in_flight(id, attempt) {
+            self.abort_attempt(state, id, status);
+        }
+    }
+
+    /// Aborts a request's attempt in flight: none of it is on the network when this returns.
+    pub(super) fn abort_attempt(&self, state: &mut DriverState, id: RequestId, status: AttemptStatus) {
+        let Some(request) = state.requests.get_mut(id) else { return };
+        let Some(in_flight) = request.in_flight.take() else { return };
+        let status = in_flight.abort(status);
+        self.record_end(state, id, &in_flight, AttemptResponse::without_response(status));
+    }
+
+    /// Queues the events by which the decision core learns how an attempt ended.
+    fn record_end(
+        &self,
+        state: &mut DriverState,
+        id: RequestId,
+        ended: &InFlightAttempt,
+        response: AttemptResponse,
+    ) {
+        let elapsed = self.clock.now().saturating_sub(ended.sent_at);
+        let request = state.requests.get_mut(id);
+        if request.is_some_and(|request| request.record_end(ended, response.status)) {
+            state.events.push_back(Event::BodyConsumed { id });
+        }
+        let request_finished = !state.requests.is_open(id);
+        let event = response.into_event(id, ended.attempt, ended.server, elapsed, request_finished);
+        state.events.push_back(event);
+        state.requests.remove_if_finished(id);
+    }
+}
--- a/crates/gateway/src/driver/decision_log.rs
+++ b/crates/gateway/src/driver/decision_log.rs
@@ -1,33 +1,36 @@
-//! What the log says of the decision core.
+//! Log lines about the decision core.
 
 use crate::network::repeat_limiter::RepeatLimiter;
 use std::time::Instant;
 use tracing::{error, info, warn};
 
-/// Lines about the decision core, each kind limited by itself.
+/// Writes the log lines about the decision core; each kind has a rate limit of its own.
 #[derive(Default)]
 pub struct DecisionLog {
+    /// Limits the lines about panics.
     panics: RepeatLimiter,
-    left_open: RepeatLimiter,
+    /// Limits the lines about requests without an answer.
+    unanswered: RepeatLimiter,
+    /// Limits the decision core's own lines.
     messages: RepeatLimiter,
 }
 
 impl DecisionLog {
-    /// It panicked on an event.
+    /// The decision core panicked while it handled an event.
     pub fn panicked(&self) {
         if let Some(suppressed) = self.panics.admit(Instant::now()) {
-            error!(suppressed, "the decision core panicked; it goes on with the next event");
+            error!(suppressed, "the decision core panicked; continuing with the next event");
         }
     }
 
-    /// A request's client waits no longer, and it has not answered.
-    pub fn left_open(&self) {
-        if let Some(suppressed) = self.left_open.admit(Instant::now()) {
-            warn!(suppressed, "the decision core left a request open at its client's limit");
+    /// The decision core gave a request no answer before its deadline.
+    pub fn left_unanswered(&self) {
+        if let Some(suppressed) = self.unanswered.admit(Instant::now()) {
+            warn!(suppressed, "the decision core left a request unanswered at its deadline; answering 504");
         }
     }
 
-    /// A line of its own.
+    /// A line that the decision core asked for.
     pub fn message(&self, text: &str) {
         if let Some(suppressed) = self.messages.admit(Instant::now()) {
             info!(suppressed, "decision core: {text}");
--- a/crates/gateway/src/driver/mod.rs
+++ b/crates/gateway/src/driver/mod.rs
@@ -1,4 +1,4 @@
-//! Drives the decision core: events in, actions out.
+//! Drives the decision core: events go in, actions come out.
 
 pub mod clock;
 pub mod decision_driver;
--- a/crates/gateway/src/driver/request.rs
+++ b/crates/gateway/src/driver/request.rs
@@ -1,22 +1,22 @@
 //! A client's request as the decision core needs it, and its final answer.
 
 use crate::bodies::forwarding::ResponseContent;
-use grebehook_core::{CustomerId, Micros};
+use grebehook_core::{CustomerId, Micros, RequestArrival, RequestId};
 use hyper::Response;
 
 /// The final answer of a request.
 pub enum Answer {
-    /// A server's answer, passed on.
+    /// A server's response, passed on.
     Served(Response<ResponseContent>),
-    /// Refused: trying again is harmless, after a time if one is advised.
+    /// Rejected: a retry is harmless, after this delay if one is advised.
     Rejected(Option<Micros>),
-    /// Failed: nothing is promised.
+    /// Failed: the request may or may not have taken effect.
     Failed,
-    /// The client's time ran out before the module answered.
+    /// The deadline passed before the decision core answered.
     TimedOut,
 }
 
-/// What a client asks for, as the module needs it.
+/// What a client asks for.
 pub struct RequestHead {
     /// Index of the class.
     pub class: usize,
@@ -26,14 +26,32 @@
     pub customer: CustomerId,
     /// How long the client waits.
     pub client_timeout: Micros,
-    /// Units that the request takes.
+    /// Units of quota that the request uses.
     pub units: f64,
-    /// How many gateways the customer comes through.
+    /// How many gateways serve the customer.
     pub customer_gateway_count: usize,
     /// The first of them.
     pub first_gateway: usize,
-    /// The client marked it as a repeat.
+    /// The client marked it as a retry.
     pub is_retry: bool,
-    /// How long servers drop its repeats, if it is keyed.
+    /// How long servers deduplicate its retries, if it has an idempotency key.
     pub deduplication_window: Option<Micros>,
 }
+
+impl RequestHead {
+    /// The event that reports the request to the decision core.
+    pub fn arrival(&self, id: RequestId, body_incomplete: bool) -> RequestArrival {
+        RequestArrival {
+            id,
+            class: self.class,
+            plan: self.plan,
+            customer: self.customer,
+            client_timeout: self.client_timeout,
+            units: self.units,
+            customer_gateway_count: self.customer_gateway_count,
+            first_gateway: self.first_gateway,
+            is_retry: self.is_retry,
+            body_incomplete,
+        }
+    }
+}
--- a/crates/gateway/src/driver/request_table.rs
+++ b/crates/gateway/src/driver/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests that are open, or of which an attempt is out.
+//! The requests that wait for an answer or have an attempt in flight.
 
 use crate::driver::request::Answer;
 use crate::driver::timers::DueTimer;
@@ -10,147 +10,169 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// An attempt that is out.
+/// An attempt in flight.
 pub struct InFlightAttempt {
-    /// Its number among those of its request.
+    /// Its number among the attempts of its request.
     pub attempt: u32,
-    /// Where it went.
+    /// The server that it is sent to.
     pub server: ServerId,
-    /// When.
+    /// When it was sent.
     pub sent_at: Micros,
     /// Its connection.
     pub connection: Rc<AttemptConnection>,
-    /// Its task.
+    /// The task that carries it out.
     pub task: AbortHandle,
 }
 
-/// A request in the table. Its final answer goes through a sender that is used up by the first, so that a
-/// second cannot be given.
-pub struct PendingRequest {
-    /// The client's id for it, among those that are open.
-    call: HeaderValue,
-    /// Where its one answer goes, until it is given.
-    pub answer: Option<oneshot::Sender<Answer>>,
-    /// What goes out.
-    pub outgoing: Rc<OutgoingRequest>,
-    /// When its client waits no longer.
-    pub client_deadline: Micros,
-    /// Attempts so far.
-    pub attempts: u32,
-    /// The module knows that its body cannot be sent again.
-    body_consumed: bool,
-    /// The attempt that is out.
-    pub in_flight: Option<InFlightAttempt>,
-    /// How long servers drop repeats, for a keyed class.
-    deduplication_window: Option<Micros>,
-    /// When the first attempt that may have run was sent.
-    pub may_have_run_at: Option<Micros>,
-}
-
 impl InFlightAttempt {
-    /// Gives the attempt up: nothing of it is on the network when this returns. How it ended thereby.
+    /// Aborts the attempt: none of it is on the network when this returns. Returns the status with which it ended.
     pub fn abort(&self, status: AttemptStatus) -> AttemptStatus {
-        let unsent = !self.connection.request_written();
+        let request_written = self.connection.request_written();
         self.connection.close();
         self.task.abort();
         match status {
-            // What was not written whole cannot have run, whatever it was given up for.
-            AttemptStatus::Timeout | AttemptStatus::Cancelled if unsent => AttemptStatus::NotSent,
+            // A request that was not written completely cannot have run.
+            AttemptStatus::Timeout | AttemptStatus::Cancelled if !request_written => AttemptStatus::NotSent,
             status => status,
         }
     }
 }
 
+/// A request in the table. Its final answer goes through a sender that the first answer consumes, so that there can
+/// be no second one.
+pub struct PendingRequest {
+    /// The id that the client gave it.
+    client_request_id: HeaderValue,
+    /// Takes the final answer; `None` once it was given.
+    pub answer: Option<oneshot::Sender<Answer>>,
+    /// What is sent to servers.
+    pub outgoing: Rc<OutgoingRequest>,
+    /// When the client stops waiting.
+    pub deadline: Micros,
+    /// How many attempts were made.
+    pub attempts: u32,
+    /// The decision core was notified that the body cannot be sent again.
+    body_consumption_reported: bool,
+    /// The attempt in flight.
+    pub in_flight: Option<InFlightAttempt>,
+    /// How long servers deduplicate retries of a request with an idempotency key.
+    deduplication_window: Option<Micros>,
+    /// When the first attempt that may have run was sent.
+    may_have_run_at: Option<Micros>,
+}
+
 impl PendingRequest {
-    /// Ends a request whose client has gone away. One that ended only its own side can still read the answer.
-    pub fn end_if_client_left(&mut self) {
+    /// Whether an attempt may start now: never a second one at a time, nor one for a request that is over.
+    pub fn may_start_attempt(&self, now: Micros) -> bool {
+        self.in_flight.is_none() && self.answer.is_some() && now < self.deadline
+    }
+
+    /// Answers a request whose client has disconnected.
+    pub fn answer_if_client_left(&mut self) {
         if self.answer.is_none() || !(self.outgoing.client_has_left)() {
             return;
         }
         let answer = if self.cannot_have_run() { Answer::Rejected(None) } else { Answer::Failed };
         if let Some(sender) = self.answer.take() {
+            // A client that shut down only its sending side still receives the answer.
             let _ = sender.send(answer);
         }
     }
 
-    /// Whether no server can have run it: no attempt that may have, and none written whole that is still out.
+    /// Whether no server can have run it: every ended attempt surely did not run, and none in flight is written
+    /// completely.
     pub fn cannot_have_run(&self) -> bool {
-        self.may_have_run_at.is_none()
-            && self.in_flight.as_ref().is_none_or(|running| !running.connection.request_written())
+        let attempt_written =
+            self.in_flight.as_ref().is_some_and(|attempt| attempt.connection.request_written());
+        self.may_have_run_at.is_none() && !attempt_written
     }
 
-    /// When an attempt that is sent now ends; a time-out of 0 leaves it the whole limit.
-    pub fn deadline(&self, now: Micros, timeout: Micros) -> Micros {
+    /// When an attempt that is sent now times out; without a timeout of its own, at the request's deadline.
+    pub fn attempt_deadline(&self, now: Micros, timeout: Option<Micros>) -> Micros {
         match timeout {
-            0 => self.client_deadline,
-            _ => now.saturating_add(timeout).min(self.client_deadline),
+            None => self.deadline,
+            Some(timeout) => now.saturating_add(timeout).min(self.deadline),
         }
     }
 
-    /// Until when an attempt may go out. The decision core holds a repeat to the window as it decides; one whose
-    /// connection comes up later than that must not go out, or its effect could happen twice.
-    pub fn send_by(&self, deadline: Micros) -> Micros {
-        let window_end =
-            self.may_have_run_at.zip(self.deduplication_window).map(|(ran, window)| ran + window);
-        window_end.map_or(deadline, |end| deadline.min(end))
+    /// The latest time at which an attempt may be written. The decision core checks the deduplication window when it
+    /// decides; an attempt whose connection is established after the window has ended must not be sent, since the
+    /// request could take effect twice.
+    pub fn send_by(&self, attempt_deadline: Micros) -> Micros {
+        let first_run = self.may_have_run_at.zip(self.deduplication_window);
+        let window_end = first_run.map(|(sent_at, window)| sent_at + window);
+        window_end.map_or(attempt_deadline, |end| attempt_deadline.min(end))
     }
 
-    /// The last of a long body has gone on: its time begins now. The attempt that is out.
-    pub fn restart(&mut self, now: Micros, limit: Micros) -> Option<u32> {
-        self.client_deadline = limit;
-        let running = self.in_flight.as_mut()?;
-        running.sent_at = now;
-        Some(running.attempt)
+    /// Restarts the request's time once the last of a long body is forwarded. Returns the attempt in flight.
+    pub fn restart(&mut self, now: Micros, deadline: Micros) -> Option<u32> {
+        self.deadline = deadline;
+        let attempt = self.in_flight.as_mut()?;
+        attempt.sent_at = now;
+        Some(attempt.attempt)
     }
 
-    /// Notes how an attempt ended. Whether the module is to learn that the body cannot be sent again.
+    /// Records how an attempt ended. Returns whether the decision core has yet to be notified that the body cannot
+    /// be sent again.
     pub fn record_end(&mut self, ended: &InFlightAttempt, status: AttemptStatus) -> bool {
-        let never_ran =
+        let cannot_have_run =
             matches!(status, AttemptStatus::Rejected | AttemptStatus::ConnectFailed | AttemptStatus::NotSent);
-        if !never_ran {
+        if !cannot_have_run {
             self.may_have_run_at.get_or_insert(ended.sent_at);
         }
-        self.outgoing.body.is_consumed() && !std::mem::replace(&mut self.body_consumed, true)
+        let unreported = self.outgoing.body.is_consumed() && !self.body_consumption_reported;
+        self.body_consumption_reported |= unreported;
+        unreported
     }
 }
 
-/// The table. The clients' ids of its requests are all different.
+/// A request that was just entered in the table.
+pub struct OpenedRequest {
+    /// Its number.
+    pub id: RequestId,
+    /// Receives its final answer.
+    pub answer: oneshot::Receiver<Answer>,
+}
+
+/// The table of pending requests; no two have the same client's id.
 #[derive(Default)]
 pub struct RequestTable {
+    /// The requests by their numbers.
     requests: HashMap<RequestId, PendingRequest>,
-    calls: HashSet<HeaderValue>,
-    last: u64,
+    /// The ids that clients gave them.
+    client_request_ids: HashSet<HeaderValue>,
+    /// The number of the newest request.
+    last_id: u64,
 }
 
 impl RequestTable {
-    /// A new request, open until the limit; where its answer will arrive. `None` while another with its client's
-    /// id is in the table.
+    /// Enters a request. `None` while another one with the same client's id is in the table.
     pub fn open(
         &mut self,
-        call: HeaderValue,
+        client_request_id: HeaderValue,
         outgoing: OutgoingRequest,
-        limit: Micros,
-        window: Option<Micros>,
-    ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
-        if !self.calls.insert(call.clone()) {
+        deadline: Micros,
+        deduplication_window: Option<Micros>,
+    ) -> Option<OpenedRequest> {
+        if !self.client_request_ids.insert(client_request_id.clone()) {
             return None;
         }
-        self.last += 1;
-        let id = RequestId(self.last);
+        self.last_id += 1;
+        let id = RequestId(self.last_id);
         let (sender, receiver) = oneshot::channel();
-        let held = PendingRequest {
-            call,
+        let request = PendingRequest {
+            client_request_id,
             answer: Some(sender),
             outgoing: Rc::new(outgoing),
-            client_deadline: limit,
+            deadline,
             attempts: 0,
-            body_consumed: false,
+            body_consumption_reported: false,
             in_flight: None,
-            deduplication_window: window,
+            deduplication_window,
             may_have_run_at: None,
         };
-        self.requests.insert(id, held);
-        Some((id, receiver))
+        self.requests.insert(id, request);
+        Some(OpenedRequest { id, answer: receiver })
     }
 
     /// A request.
@@ -163,21 +185,21 @@
         self.requests.get_mut(&id)
     }
 
-    /// Whether this attempt of a request is out.
-    pub fn is_running(&self, id: RequestId, attempt: u32) -> bool {
-        let running = self.get(id).and_then(|held| held.in_flight.as_ref());
-        running.is_some_and(|running| running.attempt == attempt)
+    /// Whether this attempt of a request is in flight.
+    pub fn is_in_flight(&self, id: RequestId, attempt: u32) -> bool {
+        let in_flight = self.get(id).and_then(|request| request.in_flight.as_ref());
+        in_flight.is_some_and(|in_flight| in_flight.attempt == attempt)
     }
 
     /// Whether a request waits for its answer.
     pub fn is_open(&self, id: RequestId) -> bool {
-        self.get(id).is_some_and(|held| held.answer.is_some())
+        self.get(id).is_some_and(|request| request.answer.is_some())
     }
 
-    /// The requests whose attempt answers to this, in their order.
-    pub fn with_attempt(&self, select: impl Fn(&InFlightAttempt) -> bool) -> Vec<RequestId> {
-        let selected = |held: &PendingRequest| held.in_flight.as_ref().is_some_and(&select);
-        let selected = self.requests.iter().filter(|(_, held)| selected(held));
+    /// The requests whose attempt in flight satisfies a condition, in the order of their numbers.
+    pub fn with_attempt(&self, condition: impl Fn(&InFlightAttempt) -> bool) -> Vec<RequestId> {
+        let satisfies = |request: &PendingRequest| request.in_flight.as_ref().is_some_and(&condition);
+        let selected = self.requests.iter().filter(|(_, request)| satisfies(request));
         let mut ids: Vec<RequestId> = selected.map(|(id, _)| *id).collect();
         ids.sort_unstable();
         ids
@@ -185,29 +207,29 @@
 
     /// Gives a request its final answer, unless it has one.
     pub fn answer(&mut self, id: RequestId, answer: Answer) {
-        if let Some(sender) = self.get_mut(id).and_then(|held| held.answer.take()) {
-            // A client that left a moment ago needs no answer.
+        if let Some(sender) = self.get_mut(id).and_then(|request| request.answer.take()) {
+            // A client that has just disconnected needs no answer.
             let _ = sender.send(answer);
-            self.forget(id);
+            self.remove_if_finished(id);
         }
     }
 
-    /// Drops a request once it is over and no attempt is out.
-    pub fn forget(&mut self, id: RequestId) {
-        let over = |held: &PendingRequest| held.answer.is_none() && held.in_flight.is_none();
-        if self.get(id).is_some_and(over) {
-            if let Some(held) = self.requests.remove(&id) {
-                self.calls.remove(&held.call);
+    /// Removes a request that has its answer and no attempt in flight.
+    pub fn remove_if_finished(&mut self, id: RequestId) {
+        let is_finished = |request: &PendingRequest| request.answer.is_none() && request.in_flight.is_none();
+        if self.get(id).is_some_and(is_finished) {
+            if let Some(request) = self.requests.remove(&id) {
+                self.client_request_ids.remove(&request.client_request_id);
             }
         }
     }
 
-    /// Whether nothing is left to do when this falls due, since the request or its attempt has ended.
-    pub fn is_spent(&self, due: DueTimer) -> bool {
-        match due {
-            DueTimer::Decision(_) | DueTimer::RetireIdleConnections => false,
-            DueTimer::Attempt(id, attempt) => !self.is_running(RequestId(id), attempt),
-            DueTimer::RequestLimit(id) => !self.is_open(RequestId(id)),
+    /// Whether a timer has nothing left to do, since its request or attempt has ended.
+    pub fn is_obsolete(&self, timer: DueTimer) -> bool {
+        match timer {
+            DueTimer::Decision(_) | DueTimer::CloseExpiredConnections => false,
+            DueTimer::AttemptTimeout { id, attempt } => !self.is_in_flight(id, attempt),
+            DueTimer::RequestDeadline(id) => !self.is_open(id),
         }
     }
 }
--- a/crates/gateway/src/driver/timers.rs
+++ b/crates/gateway/src/driver/timers.rs
@@ -1,56 +1,77 @@
-//! What falls due, and when.
+//! The timers of the process, ordered by the time at which they fall due.
 
-use grebehook_core::Micros;
+use grebehook_core::{Micros, RequestId, TimerId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What falls due; of several at one time the first listed goes first. The module hears how an attempt ended
-/// before its own deadline timer, which would find it open and have to say that it may have run.
+/// What falls due. Of several timers at one time the variant listed first fires first: the decision core must be
+/// notified of the end of an attempt before its own deadline timer fires, which would find the attempt in flight and
+/// have to assume that it may have run.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DueTimer {
-    /// An attempt, by the numbers of its request and its own.
-    Attempt(u64, u32),
+    /// The timeout of an attempt.
+    AttemptTimeout {
+        /// Its request.
+        id: RequestId,
+        /// The attempt.
+        attempt: u32,
+    },
     /// A timer of the decision core.
-    Decision(u64),
-    /// The limit of a request.
-    RequestLimit(u64),
-    /// The look at idle connections.
-    RetireIdleConnections,
+    Decision(TimerId),
+    /// The deadline of a request.
+    RequestDeadline(RequestId),
+    /// The periodic closing of connections that have been idle for too long.
+    CloseExpiredConnections,
 }
 
-/// All that is to come, by its time.
+/// A timer with its time; ordered by time first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledTimer {
+    /// When it falls due.
+    at: Micros,
+    /// What falls due.
+    timer: DueTimer,
+}
+
+/// All pending timers, the earliest first.
 #[derive(Default)]
 pub struct Timers {
-    pending: BinaryHeap<Reverse<(Micros, DueTimer)>>,
-    /// The time for which the next wake-up is set.
+    /// The timers that have not fired.
+    pending: BinaryHeap<Reverse<ScheduledTimer>>,
+    /// The time for which the next wake-up is scheduled; 0 before the first one.
     wake_at: Micros,
 }
 
 impl Timers {
-    /// One more. Whether the next wake-up comes too late for it.
-    pub fn arm(&mut self, at: Micros, due: DueTimer) -> bool {
-        self.pending.push(Reverse((at, due)));
+    /// Adds a timer. Returns whether the next wake-up is too late for it.
+    pub fn arm(&mut self, at: Micros, timer: DueTimer) -> bool {
+        self.pending.push(Reverse(ScheduledTimer { at, timer }));
         at < self.wake_at
     }
 
-    /// The next that is due at a time, if any is.
+    /// Removes the earliest timer if it is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<DueTimer> {
-        let is_due = self.pending.peek().is_some_and(|Reverse((at, _))| *at <= now);
-        let next = is_due.then(|| self.pending.pop()).flatten();
-        next.map(|Reverse((_, due))| due)
+        let is_due = self.earliest().is_some_and(|scheduled| scheduled.at <= now);
+        let popped = is_due.then(|| self.pending.pop()).flatten();
+        popped.map(|Reverse(scheduled)| scheduled.timer)
     }
 
-    /// Drops the next ones as long as they are spent, so that nearly every request does not wake the gateway twice
-    /// more for nothing.
-    pub fn skip(&mut self, is_spent: impl Fn(DueTimer) -> bool) {
-        while self.pending.peek().is_some_and(|Reverse((_, due))| is_spent(*due)) {
+    /// Removes the earliest timers for as long as they are obsolete. Otherwise nearly every request would wake the
+    /// process twice more after its end.
+    pub fn discard_obsolete(&mut self, is_obsolete: impl Fn(DueTimer) -> bool) {
+        while self.earliest().is_some_and(|scheduled| is_obsolete(scheduled.timer)) {
             self.pending.pop();
         }
     }
 
-    /// When the next falls due; the wake-up is set for it from now on.
-    pub fn set_wake(&mut self) -> Micros {
-        self.wake_at = self.pending.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
+    /// Schedules the next wake-up for the earliest timer and returns its time.
+    pub fn schedule_wake(&mut self) -> Micros {
+        self.wake_at = self.earliest().map_or(Micros::MAX, |scheduled| scheduled.at);
         self.wake_at
     }
+
+    /// The timer that falls due next.
+    fn earliest(&self) -> Option<ScheduledTimer> {
+        self.pending.peek().map(|Reverse(scheduled)| *scheduled)
+    }
 }
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -1,8 +1,9 @@
-//! Reads the configuration again at SIGHUP. Another discovery agent and another address of the counter are taken up;
-//! the rest of the file holds from the next start on.
+//! Reads the configuration again at SIGHUP. New addresses of the discovery agent and of the shared counter take effect at
+//! once, everything else at the next start.
 
-use crate::config::document::Config;
+use crate::config::document::{Config, ConfigError};
 use crate::control::counter::SharedCounter;
+use crate::logging::ErrorChain;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -12,53 +13,75 @@
 use tokio::time::{timeout, Instant};
 use tracing::{info, warn};
 
-/// A file that cannot be read, or used, as the signal comes may only be half written: it is read again for so long.
-/// What discovery tells at the new address counts 4 s after the signal.
-const RETRY_FOR: Duration = Duration::from_millis(3_000);
-/// The pause before it is read again.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// How long a file that cannot be used is read again: it may be written only in part when the signal arrives. Changes at
+/// the new discovery agent must be learnt within 4 s of the signal.
+const RETRY_TIME: Duration = Duration::from_millis(3_000);
+/// The delay before the file is read again.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What a new configuration changes.
+/// Applies a changed configuration.
 pub struct Reload {
     /// The file.
     pub path: PathBuf,
-    /// The address of the discovery agent.
-    pub agent: watch::Sender<SocketAddr>,
+    /// Takes the address of the discovery agent.
+    pub discovery_agent: watch::Sender<SocketAddr>,
     /// The shared counter, where there is one.
     pub counter: Option<Rc<SharedCounter>>,
 }
 
 impl Reload {
-    /// Reads the file again at every signal, for as long as the gateway lives.
-    pub async fn run(self, mut hangup: Signal) {
-        while hangup.recv().await.is_some() {
-            let mut signalled = Instant::now();
-            let mut tells_failure = true;
-            while !self.take_up(tells_failure) && signalled.elapsed() < RETRY_FOR {
-                tells_failure = timeout(RETRY_PAUSE, hangup.recv()).await.is_ok();
-                if tells_failure {
-                    signalled = Instant::now();
-                }
-            }
+    /// Reads the file at every signal, for as long as the process lives.
+    pub async fn run(self, mut signal: Signal) {
+        while signal.recv().await.is_some() {
+            self.reload(&mut signal).await;
         }
     }
 
-    /// Reads the file once and takes up what it says; whether it could be used.
-    fn take_up(&self, tells_failure: bool) -> bool {
-        let config = match Config::load(&self.path) {
-            Ok(config) => config,
-            Err(e) if tells_failure => {
-                warn!("configuration: {e}; the old one stays in use");
-                return false;
+    /// Reads the file until it can be used or the time for retries has passed since the last signal. A failure is logged
+    /// once for each signal.
+    async fn reload(&self, signal: &mut Signal) {
+        let mut signalled_at = Instant::now();
+        let mut is_new_signal = true;
+        loop {
+            match Config::load(&self.path) {
+                Ok(config) => return self.apply(&config),
+                Err(error) if is_new_signal => self.log_failure(&error),
+                Err(_) => {}
+            }
+            if signalled_at.elapsed() >= RETRY_TIME {
+                return;
+            }
+            is_new_signal = timeout(RETRY_DELAY, signal.recv()).await.is_ok();
+            if is_new_signal {
+                signalled_at = Instant::now();
             }
-            Err(_) => return false,
-        };
-        let describe = |moved| if moved { "moves" } else { "stays" };
-        let replace = |old: &mut SocketAddr| std::mem::replace(old, config.discovery) != config.discovery;
-        let agent = describe(self.agent.send_if_modified(replace));
+        }
+    }
+
+    /// Moves to the addresses of a configuration.
+    fn apply(&self, config: &Config) {
+        let replace =
+            |current: &mut SocketAddr| std::mem::replace(current, config.discovery) != config.discovery;
+        let discovery = describe(self.discovery_agent.send_if_modified(replace));
         let counter = self.counter.as_ref().zip(config.counter);
-        let counter = describe(counter.is_some_and(|(counter, at)| counter.relocate(at)));
-        info!("configuration read again; discovery {agent}, the counter {counter}");
-        true
+        let counter = describe(counter.is_some_and(|(counter, address)| counter.relocate(address)));
+        let file = self.path.display();
+        info!(%file, "configuration read again; discovery {discovery}, the counter {counter}");
+    }
+
+    /// Logs that the file cannot be used.
+    fn log_failure(&self, error: &ConfigError) {
+        let file = self.path.display();
+        let error = ErrorChain(error);
+        warn!(%file, %error, "configuration cannot be used; the old one stays in use");
+    }
+}
+
+/// The word for a new address, or for an unchanged one.
+fn describe(is_changed: bool) -> &'static str {
+    if is_changed {
+        "moves"
+    } else {
+        "stays"
     }
 }
--- /dev/null
+++ b/crates/gateway/src/lifecycle/services.rs
@@ -0,0 +1,79 @@
+//! What the gateway runs before it accepts clients: the decision driver, its transports and the control plane.
+
+use crate::config::document::Config;
+use crate::control::counter::SharedCounter;
+use crate::control::discovery::EndpointWatch;
+use crate::control::peers::Peers;
+use crate::driver::clock::Clock;
+use crate::driver::decision_driver::{DecisionDriver, Transports};
+use crate::lifecycle::error::RunError;
+use crate::lifecycle::resources::ResourceBudget;
+use crate::lifecycle::startup;
+use crate::operations::request_counts::RequestCounters;
+use crate::servers::exchange::Upstream;
+use crate::servers::pool::Pool;
+use grebehook_core::{Gateway, LoadReports, WatchEvent};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+
+/// The path of health checks where servers report their load.
+const LOAD_REPORT_PATH: &str = "/_load";
+/// The path of health checks where they do not.
+const PING_PATH: &str = "/ping";
+
+/// The running services.
+pub struct Services {
+    /// The decision driver.
+    pub driver: Rc<DecisionDriver>,
+    /// The shared counter, where there is one.
+    pub counter: Option<Rc<SharedCounter>>,
+    /// Moves the endpoint watch to another discovery agent.
+    pub discovery_agent: watch::Sender<SocketAddr>,
+}
+
+/// Starts the services with the endpoint list of the configuration, which is moved out of it.
+pub async fn start(config: &mut Config, resources: &ResourceBudget) -> Result<Services, RunError> {
+    let clock = Clock::start();
+    let gateway = Gateway::new(config.settings.clone(), config.seed, clock.now())?;
+    let transports = transports(config, resources).await?;
+    let counter = transports.counter.clone();
+    let peers = transports.peers.clone();
+    let request_counters = RequestCounters::new(config.names.classes.clone());
+    let driver = DecisionDriver::new(gateway, clock, transports, request_counters);
+    let known_endpoints = std::mem::take(&mut config.known_endpoints.endpoints);
+    driver.endpoints_changed(WatchEvent::CachedSnapshot, known_endpoints);
+    spawn_local(driver.clone().run_timers());
+    if let Some(peers) = peers {
+        let driver = driver.clone();
+        spawn_local(peers.receive(move |from, message| driver.gossip_received(from, message)));
+    }
+    let (discovery_agent, addresses) = watch::channel(config.discovery);
+    let known_index = config.known_endpoints.index;
+    let names = config.names.clone();
+    let watch = EndpointWatch::new(addresses, names, known_index, &config.settings, config.seed);
+    spawn_local(watch.run(driver.clone()));
+    Ok(Services { driver, counter, discovery_agent })
+}
+
+/// What the actions of the decision core are carried out with.
+async fn transports(config: &Config, resources: &ResourceBudget) -> Result<Transports, RunError> {
+    let pool = Pool::new(resources.server_connections, config.connect_timeout, config.server_idle_timeout);
+    let upstream = Upstream::new(pool, resources.response_bytes, config.max_units);
+    let peers = match config.peer_listen {
+        Some(address) => {
+            let bind = || Peers::bind(address, config.peers.clone());
+            Some(Rc::new(startup::retry_bind("gossip", bind).await?))
+        }
+        None => None,
+    };
+    let counter_at = |address| Rc::new(SharedCounter::new(address, config.counter_timeout()));
+    let reports_load = config.settings.capabilities.load_reports != LoadReports::None;
+    Ok(Transports {
+        upstream: Rc::new(upstream),
+        peers,
+        counter: config.counter.map(counter_at),
+        health_check_path: if reports_load { LOAD_REPORT_PATH } else { PING_PATH },
+    })
+}
--- /dev/null
+++ b/crates/gateway/src/lifecycle/serving.rs
@@ -0,0 +1,49 @@
+//! Serves clients until the process has to stop, and hands over to a successor process that asks for it.
+
+use crate::clients::server::ClientServer;
+use crate::driver::decision_driver::DecisionDriver;
+use crate::lifecycle::signals::StopSignal;
+use crate::lifecycle::takeover;
+use std::rc::Rc;
+use std::time::Instant;
+use tokio::net::{TcpListener, UnixListener};
+use tokio::task::JoinError;
+use tracing::warn;
+
+/// How serving ended.
+pub struct ServingEnd {
+    /// When the process was told to stop.
+    pub signalled_at: Instant,
+    /// A successor process accepts clients at the same listener.
+    pub is_handed_over: bool,
+}
+
+/// Accepts clients until a stop signal, also after successor processes that ended before this one.
+pub async fn serve_until_stopped(
+    clients: &Rc<ClientServer>,
+    driver: &Rc<DecisionDriver>,
+    listener: &TcpListener,
+    control_socket: Option<&UnixListener>,
+    stop: &mut StopSignal,
+) -> Result<ServingEnd, JoinError> {
+    loop {
+        let mut successor = tokio::select! {
+            () = clients.accept(listener) => {
+                return Ok(ServingEnd { signalled_at: Instant::now(), is_handed_over: false });
+            }
+            signalled_at = &mut *stop => {
+                return Ok(ServingEnd { signalled_at: signalled_at?, is_handed_over: false });
+            }
+            successor = takeover::successor(control_socket) => successor,
+        };
+        clients.hand_over(true);
+        let error = tokio::select! {
+            error = takeover::hand_over(&mut successor, listener, driver) => error,
+            signalled_at = &mut *stop => {
+                return Ok(ServingEnd { signalled_at: signalled_at?, is_handed_over: true });
+            }
+        };
+        warn!(%error, "the successor process ended; this one goes on");
+        clients.hand_over(false);
+    }
+}
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -1,96 +1,114 @@
-//! The end of a process that was told to stop: until when it takes clients in, by when every request has its answer
-//! and when the process ends by itself, all before SIGKILL may come.
+//! The graceful shutdown: until when clients are accepted, by when every request has its answer and when the process
+//! exits, all before SIGKILL may come.
 
 use crate::clients::server::ClientServer;
+use crate::driver::decision_driver::DecisionDriver;
+use crate::lifecycle::serving::ServingEnd;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 use tokio::time::{sleep, sleep_until, timeout};
 use tracing::warn;
 
-/// SIGKILL comes no sooner than the longest deadline, counted as so much where it is longer...
-const LONGEST_DEADLINE: Duration = Duration::from_millis(3_000);
-/// ...and so much more after the signal to stop.
+/// SIGKILL comes no sooner after the stop signal than the longest deadline, of which no more than this counts...
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_millis(3_000);
+/// ...plus this.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// So long before SIGKILL every request has its final answer, to leave time to write it.
+/// How long before SIGKILL every request has its answer, which leaves time to write it.
 const ANSWER_MARGIN: Duration = Duration::from_millis(200);
-/// So long before SIGKILL the process has ended.
-const END_MARGIN: Duration = Duration::from_millis(50);
-/// How long clients may still connect after the signal.
-const STILL_CONNECTING: Duration = Duration::from_millis(500);
-/// How long after the last of them the listener closes, and after that idle connections.
-const QUIET: Duration = Duration::from_millis(200);
-/// By then the listener closes whoever still connects.
-const LISTEN_MOST: Duration = Duration::from_millis(800);
+/// How long before SIGKILL the process exits.
+const EXIT_MARGIN: Duration = Duration::from_millis(50);
+/// How long clients are accepted at least.
+const MIN_ACCEPT_TIME: Duration = Duration::from_millis(500);
+/// How long they are accepted at most.
+const MAX_ACCEPT_TIME: Duration = Duration::from_millis(800);
+/// How long after the last client the listener closes, and how long after that idle connections close: a client that has
+/// just connected needs time to send its request.
+const QUIET_PERIOD: Duration = Duration::from_millis(200);
 /// How often idle connections are closed.
-const CLOSE_EVERY: Duration = Duration::from_millis(50);
+const CLOSE_IDLE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The times of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
-    signalled: Instant,
+    /// When the process was told to stop.
+    signalled_at: Instant,
     /// From the signal to the earliest SIGKILL.
-    grace: Duration,
+    time_to_kill: Duration,
 }
 
 impl Shutdown {
-    /// A shutdown of a process that was told to stop at a time, and whose requests wait no longer than so long.
-    pub fn new(signalled: Instant, longest_deadline: Duration) -> Shutdown {
-        Shutdown { signalled, grace: longest_deadline.min(LONGEST_DEADLINE) + KILL_GRACE }
+    /// The shutdown of a process that was told to stop at a time, and whose requests have a longest deadline.
+    pub fn new(signalled_at: Instant, longest_deadline: Duration) -> Shutdown {
+        Shutdown { signalled_at, time_to_kill: longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE }
+    }
+
+    /// Shuts down: accepts late clients unless a successor process does so at the same listener, and waits until every
+    /// client is gone or the time has run out.
+    pub async fn run(
+        &self,
+        clients: &Rc<ClientServer>,
+        driver: &Rc<DecisionDriver>,
+        listener: TcpListener,
+        serving_end: &ServingEnd,
+    ) {
+        driver.shut_down_by(self.answers_by());
+        clients.stop();
+        if !serving_end.is_handed_over {
+            self.accept_late(clients, listener).await;
+        }
+        self.drain_clients(clients).await;
     }
 
     /// When every request has its final answer.
-    pub fn answers_by(&self) -> Instant {
-        self.signalled + self.grace - ANSWER_MARGIN
+    fn answers_by(&self) -> Instant {
+        self.signalled_at + self.time_to_kill - ANSWER_MARGIN
     }
 
-    /// When the process has ended.
-    fn ends_by(&self) -> Instant {
-        self.signalled + self.grace - END_MARGIN
+    /// When the process exits.
+    fn exits_by(&self) -> Instant {
+        self.signalled_at + self.time_to_kill - EXIT_MARGIN
     }
 
-    /// When idle connections close at the latest: what is sent on one later could not be answered.
+    /// When idle connections close at the latest: a request that arrives later could not be answered.
     fn closes_idle_by(&self) -> Instant {
         self.answers_by()
     }
 
-    /// Until when clients are accepted, where the last has come at a time. What connected last is left some quiet to
-    /// send its request before idle connections close.
+    /// Until when clients are accepted, if the last one connected at a time.
     fn accepts_until(&self, last_accepted: Instant) -> Instant {
-        let still_connecting = self.signalled + STILL_CONNECTING;
-        let quiet = last_accepted + QUIET;
-        let latest = (self.signalled + LISTEN_MOST).min(self.closes_idle_by() - QUIET / 2);
-        still_connecting.max(quiet).min(latest)
+        let earliest = self.signalled_at + MIN_ACCEPT_TIME;
+        let latest = (self.signalled_at + MAX_ACCEPT_TIME).min(self.closes_idle_by() - QUIET_PERIOD / 2);
+        earliest.max(last_accepted + QUIET_PERIOD).min(latest)
     }
 
-    /// Takes in the clients that still come, and closes the listener.
-    pub async fn accept_late(&self, front: &Rc<ClientServer>, listener: TcpListener) {
+    /// Accepts the clients that still connect, then closes the listener.
+    async fn accept_late(&self, clients: &Rc<ClientServer>, listener: TcpListener) {
         loop {
-            let until = self.accepts_until(front.last_accepted());
-            let left = until.saturating_duration_since(Instant::now());
-            let accepted = timeout(left, front.accept(&listener)).await;
-            if accepted.is_err() && Instant::now() >= self.accepts_until(front.last_accepted()) {
+            let until = self.accepts_until(clients.last_accepted());
+            let remaining = until.saturating_duration_since(Instant::now());
+            let accepted = timeout(remaining, clients.accept(&listener)).await;
+            if accepted.is_err() && Instant::now() >= self.accepts_until(clients.last_accepted()) {
                 break;
             }
         }
-        front.accept_rest(listener, self.closes_idle_by()).await;
+        clients.accept_rest(listener, self.closes_idle_by()).await;
     }
 
-    /// Waits until no client is left, and closes those who have nothing open.
-    pub async fn drain_clients(&self, front: &Rc<ClientServer>) {
-        // What came last may have its request on the way; give it a moment before idle connections close.
-        let first_close = (Instant::now() + QUIET).min(self.closes_idle_by());
-        let late = async {
+    /// Closes idle connections and waits until no client is left, or the process has to exit.
+    async fn drain_clients(&self, clients: &Rc<ClientServer>) {
+        let first_close = (Instant::now() + QUIET_PERIOD).min(self.closes_idle_by());
+        let close_idle = async {
             sleep_until(first_close.into()).await;
             loop {
-                front.close_idle();
-                sleep(CLOSE_EVERY).await;
+                clients.close_idle();
+                sleep(CLOSE_IDLE_INTERVAL).await;
             }
         };
         tokio::select! {
-            () = front.wait_until_empty() => {}
-            () = late => {}
-            () = sleep_until(self.ends_by().into()) => warn!("stopped with requests still open"),
+            () = clients.wait_until_empty() => {}
+            () = close_idle => {}
+            () = sleep_until(self.exits_by().into()) => warn!("exiting with requests still open"),
         }
     }
 }
--- a/crates/gateway/src/lifecycle/startup.rs
+++ b/crates/gateway/src/lifecycle/startup.rs
@@ -1,8 +1,9 @@
-//! What a start needs of the system: the runtime, listeners and the configuration. A call that fails for a reason that
-//! may pass is made again, since a gateway that ends at its start serves nobody.
+//! What a start needs from the system: the runtime, listeners and the configuration. Calls that fail for a reason that may
+//! pass are retried, since a gateway that exits at its start serves nobody.
 
 use crate::config::document::{Config, ConfigError};
 use crate::driver::decision_driver::DecisionDriver;
+use crate::lifecycle::error::RunError;
 use crate::lifecycle::takeover::{self, ControlConnection, Predecessor};
 use crate::network::system_error::may_pass;
 use std::future::Future;
@@ -16,87 +17,92 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::time::sleep;
 
-/// For so long calls of a start are made again. A gateway has 30 s to be ready, and 10 s at a planned restart.
-const START_PATIENCE: Duration = Duration::from_secs(9);
-/// The pause before a call is made again.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// What the system holds of an answer that a client has not taken.
-const SEND_BUFFER: u32 = 128 << 10;
+/// How long a call is retried. A gateway has 30 s to be ready, and 10 s at a planned restart.
+const RETRY_TIME: Duration = Duration::from_secs(9);
+/// The delay before a call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// The system's send buffer of a client connection.
+const SEND_BUFFER_BYTES: u32 = 128 << 10;
 /// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1_024;
+const LISTEN_BACKLOG: u32 = 1_024;
+
+/// Where clients connect.
+pub struct ClientListener {
+    /// The listener.
+    pub listener: TcpListener,
+    /// The connection to the process that handed the listener over; it must stay open for as long as this one lives.
+    pub predecessor: Option<ControlConnection>,
+}
 
 /// Reads the configuration.
 pub fn load(path: &Path) -> Result<Config, ConfigError> {
-    let readable_later =
+    let is_readable_later =
         |error: &ConfigError| matches!(error, ConfigError::Unreadable { source, .. } if may_pass(source));
-    retry_blocking(|| Config::load(path), readable_later)
+    retry_blocking(|| Config::load(path), is_readable_later)
 }
 
-/// The runtime, with all that it needs for signals.
-pub fn runtime() -> io::Result<Runtime> {
-    retry_blocking(
-        || {
-            // tokio panics where it cannot have the pair of sockets by which it hears of signals.
-            drop(UnixStream::pair()?);
-            Builder::new_current_thread().enable_all().build()
-        },
-        may_pass,
-    )
+/// Creates the runtime, including what it needs for signals.
+pub fn runtime() -> Result<Runtime, RunError> {
+    let build = || {
+        // tokio panics if it cannot create the socket pair on which it is notified of signals.
+        drop(UnixStream::pair()?);
+        Builder::new_current_thread().enable_all().build()
+    };
+    retry_blocking(build, may_pass).map_err(RunError::Runtime)
 }
 
-fn retry_blocking<T, E>(
-    call: impl Fn() -> Result<T, E>,
-    is_worth_a_retry: impl Fn(&E) -> bool,
-) -> Result<T, E> {
+/// Retries a call until it succeeds or fails for a reason that does not pass.
+fn retry_blocking<T, E>(call: impl Fn() -> Result<T, E>, is_transient: impl Fn(&E) -> bool) -> Result<T, E> {
     let start = Instant::now();
     loop {
         match call() {
-            Err(e) if is_worth_a_retry(&e) && start.elapsed() < START_PATIENCE => {
-                std::thread::sleep(RETRY_PAUSE);
+            Err(error) if is_transient(&error) && start.elapsed() < RETRY_TIME => {
+                std::thread::sleep(RETRY_DELAY);
             }
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// Makes a call until it succeeds or fails for a reason that does not pass. The error names `what` the call was for.
-pub async fn retry<T, F: Future<Output = io::Result<T>>>(what: &str, call: impl Fn() -> F) -> io::Result<T> {
+/// Binds a socket; retries until that succeeds or fails for a reason that does not pass.
+pub async fn retry_bind<T, F: Future<Output = io::Result<T>>>(
+    purpose: &'static str,
+    bind: impl Fn() -> F,
+) -> Result<T, RunError> {
     let start = Instant::now();
     loop {
-        match call().await {
-            Err(e) if may_pass(&e) && start.elapsed() < START_PATIENCE => sleep(RETRY_PAUSE).await,
-            done => return done.map_err(|e| io::Error::new(e.kind(), format!("{what}: {e}"))),
+        match bind().await {
+            Err(error) if may_pass(&error) && start.elapsed() < RETRY_TIME => sleep(RETRY_DELAY).await,
+            result => return result.map_err(|source| RunError::Bind { purpose, source }),
         }
     }
 }
 
-/// A listener for clients: that of the process which serves, with what it knows, where there is one. The connection to
-/// that process is to be held for as long as this one lives.
+/// Takes the listener and the state over from the process that serves at this address, or else binds a new listener.
 pub async fn client_listener(
-    core: &Rc<DecisionDriver>,
-    at: SocketAddr,
-) -> io::Result<(TcpListener, Option<ControlConnection>)> {
-    let predecessor = match takeover::control_socket_path(at) {
+    driver: &Rc<DecisionDriver>,
+    address: SocketAddr,
+) -> Result<ClientListener, RunError> {
+    let predecessor = match takeover::control_socket_path(address) {
         Some(path) => takeover::take_over(&path).await,
         None => None,
     };
-    match predecessor {
-        Some(Predecessor { listener, state, control_connection: held }) => {
-            core.take_over(&state);
-            Ok((listener, Some(held)))
-        }
-        None => Ok((retry("listen", || async { listen(at) }).await?, None)),
+    if let Some(Predecessor { listener, state, control_connection }) = predecessor {
+        driver.take_over(&state);
+        return Ok(ClientListener { listener, predecessor: Some(control_connection) });
     }
+    let listener = retry_bind("clients", || async { listen(address) }).await?;
+    Ok(ClientListener { listener, predecessor: None })
 }
 
-/// A listener for clients. A process that is to replace this one listens beside it, at the same address.
-fn listen(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+/// Binds a listener for clients. A process that replaces this one may listen beside it at the same address.
+fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(true)?;
-    // What a slow client has not taken yet stays with its server: its connection can be written to often
-    // enough to see that it goes on, and the system holds little of it.
-    socket.set_send_buffer_size(SEND_BUFFER)?;
-    socket.bind(at)?;
-    socket.listen(BACKLOG)
+    // What a slow client has not read yet stays at its server. A small buffer is written to often enough to show that the
+    // client makes progress, and takes little of the system's memory.
+    socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
+    socket.bind(address)?;
+    socket.listen(LISTEN_BACKLOG)
 }
--- a/crates/gateway/src/lifecycle/takeover.rs
+++ b/crates/gateway/src/lifecycle/takeover.rs
@@ -1,5 +1,5 @@
-//! Taking over from the process that served before, and handing over to the successor: over a control socket, a
-//! Unix socket in `$TMPDIR`, go the listener, with all that waits there, and what the decision core knows.
+//! The hand-over between two processes. Over a control socket, a Unix socket in `$TMPDIR`, the serving process sends its
+//! successor the client listener, with all connections that wait there, and the state of the decision core.
 
 use crate::driver::decision_driver::DecisionDriver;
 use crate::network::socket::Socket;
@@ -12,7 +12,7 @@
 use std::mem::MaybeUninit;
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
@@ -20,112 +20,124 @@
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
-/// A process that is there says all that the next one needs to begin within this time.
-const ANSWER_MOST: Duration = Duration::from_millis(1_500);
-/// The pause after an accept error.
-const PAUSE: Duration = Duration::from_millis(20);
-/// The most that a module may hand over.
-const STATE_MOST: u64 = 16 << 20;
-
-/// The one byte that comes with the listener; the length of the state and the state follow.
-const LISTENER: u8 = b'L';
+/// How long the serving process may take to hand everything over.
+const TAKE_OVER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The delay after an accept error.
+const ACCEPT_ERROR_DELAY: Duration = Duration::from_millis(20);
+/// Largest state that is read.
+const MAX_STATE_BYTES: u64 = 16 << 20;
+/// The one byte of the message that carries the listener. The length of the state and the state follow it.
+const LISTENER_MESSAGE: u8 = b'L';
 
 /// A connection between the two processes.
 pub type ControlConnection = Socket<UnixStream>;
 
-/// Where the control socket of this gateway is; nowhere without `$TMPDIR`.
-pub fn control_socket_path(listen: SocketAddr) -> Option<PathBuf> {
-    let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
-    Some(PathBuf::from(folder).join(format!("takeover-{listen}")))
-}
-
-/// What the process before has handed over.
+/// What the process that served before has handed over.
 pub struct Predecessor {
-    /// Where clients connect, with those that wait there.
+    /// The client listener, with the connections that wait there.
     pub listener: TcpListener,
-    /// What its decision core knows.
+    /// The state of its decision core.
     pub state: String,
-    /// As long as this is open the old process leaves it all to this one.
+    /// While this is open the predecessor accepts no clients.
     pub control_connection: ControlConnection,
 }
 
-/// Asks the process that serves to hand over. `None` if there is none, as after a kill, or it does not answer.
-pub async fn take_over(path: &PathBuf) -> Option<Predecessor> {
-    let mut held = Socket::new(UnixStream::connect(path).await.ok()?);
-    match timeout(ANSWER_MOST, receive_all(&mut held)).await {
-        Ok(Ok((listener, state))) => Some(Predecessor { listener, state, control_connection: held }),
-        Ok(Err(e)) => {
-            warn!(error = %e, "nothing is taken over");
-            None
-        }
-        Err(_) => {
-            warn!("nothing is taken over: the old process does not answer");
+/// The path of the control socket of the gateway at an address; `None` without `$TMPDIR`.
+pub fn control_socket_path(listen: SocketAddr) -> Option<PathBuf> {
+    let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
+    Some(PathBuf::from(folder).join(format!("takeover-{listen}")))
+}
+
+/// Asks the process that serves to hand over. `None` if there is none, as after a kill, or if it fails to.
+pub async fn take_over(path: &Path) -> Option<Predecessor> {
+    let connection = Socket::new(UnixStream::connect(path).await.ok()?);
+    let received = timeout(TAKE_OVER_TIMEOUT, receive_all(connection)).await;
+    match received.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
+        Ok(predecessor) => Some(predecessor),
+        Err(error) => {
+            let socket = path.display();
+            warn!(%socket, %error, "hand-over failed; starting without the state of the previous process");
             None
         }
     }
 }
 
-async fn receive_all(from: &mut ControlConnection) -> io::Result<(TcpListener, String)> {
+/// Receives the listener and the state.
+async fn receive_all(mut connection: ControlConnection) -> io::Result<Predecessor> {
     let malformed = || io::Error::from(io::ErrorKind::InvalidData);
-    let listener =
-        std::net::TcpListener::from(receive_descriptor(from.get_ref()).await?.ok_or_else(malformed)?);
+    let descriptor = receive_descriptor(connection.get_ref()).await?.ok_or_else(malformed)?;
+    let listener = std::net::TcpListener::from(descriptor);
     listener.set_nonblocking(true)?;
-    let length = from.read_u64().await?;
+    let length = connection.read_u64().await?;
     let mut state = String::new();
-    from.take(length.min(STATE_MOST)).read_to_string(&mut state).await?;
+    (&mut connection).take(length.min(MAX_STATE_BYTES)).read_to_string(&mut state).await?;
     if state.len() as u64 != length {
         return Err(malformed());
     }
-    Ok((TcpListener::from_std(listener)?, state))
+    let listener = TcpListener::from_std(listener)?;
+    Ok(Predecessor { listener, state, control_connection: connection })
+}
+
+/// Listens for a successor of the gateway at an address. Without a control socket the successor can only listen beside
+/// this process.
+pub fn listen_for_successor(listen: SocketAddr) -> Option<UnixListener> {
+    let path = control_socket_path(listen)?;
+    match bind_control_socket(&path) {
+        Ok(control_socket) => Some(control_socket),
+        Err(error) => {
+            let socket = path.display();
+            warn!(%socket, %error, "control socket cannot be bound; no successor process can take over the state");
+            None
+        }
+    }
 }
 
-/// Listens for the successor. What an earlier process left there is removed: nobody listens on
-/// it any more, or it has just handed over.
-pub fn control_socket(path: &PathBuf) -> io::Result<UnixListener> {
+/// Binds the control socket in place of the one of an earlier process, which has ended or handed over.
+fn bind_control_socket(path: &Path) -> io::Result<UnixListener> {
     match std::fs::remove_file(path) {
-        Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
+        Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
         _ => UnixListener::bind(path),
     }
 }
 
-/// The successor, once it calls; never, where it cannot.
+/// Waits for a successor to connect; for ever without a control socket.
 pub async fn successor(control_socket: Option<&UnixListener>) -> ControlConnection {
+    let Some(control_socket) = control_socket else { return std::future::pending().await };
     loop {
-        match control_socket {
-            Some(control_socket) => match control_socket.accept().await {
-                Ok((successor, _)) => return Socket::new(successor),
-                Err(_) => sleep(PAUSE).await,
-            },
-            None => std::future::pending().await,
+        match control_socket.accept().await {
+            Ok((connection, _)) => return Socket::new(connection),
+            Err(_) => sleep(ACCEPT_ERROR_DELAY).await,
         }
     }
 }
 
-/// Hands over the listener and what the decision core knows, and waits for the end of the successor.
+/// Hands the listener and the state over, and waits for the end of the successor. Returns the error that showed it.
 pub async fn hand_over(
-    to: &mut ControlConnection,
+    successor: &mut ControlConnection,
     listener: &TcpListener,
-    core: &Rc<DecisionDriver>,
+    driver: &Rc<DecisionDriver>,
 ) -> io::Error {
-    match send_all(to, listener, core).await {
-        // Nothing comes from there but the end.
-        Ok(()) => to.read_u8().await.err().unwrap_or(io::ErrorKind::InvalidData.into()),
-        Err(e) => e,
+    match send_all(successor, listener, driver).await {
+        // The successor sends nothing; its end closes the connection.
+        Ok(()) => successor.read_u8().await.err().unwrap_or(io::ErrorKind::InvalidData.into()),
+        Err(error) => error,
     }
 }
 
+/// Sends the listener and the state.
 async fn send_all(
-    to: &mut ControlConnection,
+    successor: &mut ControlConnection,
     listener: &TcpListener,
-    core: &Rc<DecisionDriver>,
+    driver: &Rc<DecisionDriver>,
 ) -> io::Result<()> {
-    send_descriptor(to.get_ref(), listener.as_fd()).await?;
-    core.close_idle();
-    let state = core.hand_over();
-    to.write_u64(state.len() as u64).await?;
-    to.write_all(state.as_bytes()).await
+    send_descriptor(successor.get_ref(), listener.as_fd()).await?;
+    driver.close_idle();
+    let state = driver.hand_over();
+    successor.write_u64(state.len() as u64).await?;
+    successor.write_all(state.as_bytes()).await
 }
 
+/// Sends a descriptor.
 async fn send_descriptor(to: &UnixStream, descriptor: BorrowedFd<'_>) -> io::Result<()> {
     to.async_io(Interest::WRITABLE, || {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -134,25 +146,27 @@
         if !control.push(SendAncillaryMessage::ScmRights(&descriptors)) {
             return Err(io::ErrorKind::InvalidInput.into());
         }
-        retry_on_intr(|| sendmsg(to, &[IoSlice::new(&[LISTENER])], &mut control, SendFlags::NOSIGNAL))?;
+        let message = [LISTENER_MESSAGE];
+        retry_on_intr(|| sendmsg(to, &[IoSlice::new(&message)], &mut control, SendFlags::NOSIGNAL))?;
         Ok(())
     })
     .await
 }
 
-/// The descriptor that is handed over; `None` where something else comes.
+/// Receives a descriptor; `None` if the message is another one.
 async fn receive_descriptor(from: &UnixStream) -> io::Result<Option<OwnedFd>> {
     from.async_io(Interest::READABLE, || {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
-        let mut byte = [0];
+        let mut message = [0];
         let flags = RecvFlags::CMSG_CLOEXEC;
-        let read = retry_on_intr(|| recvmsg(from, &mut [IoSliceMut::new(&mut byte)], &mut control, flags))?;
-        let descriptor = control.drain().find_map(|message| match message {
+        let received =
+            retry_on_intr(|| recvmsg(from, &mut [IoSliceMut::new(&mut message)], &mut control, flags))?;
+        let descriptor = control.drain().find_map(|ancillary| match ancillary {
             RecvAncillaryMessage::ScmRights(mut descriptors) => descriptors.next(),
             _ => None,
         });
-        Ok(descriptor.filter(|_| read.bytes == 1 && byte == [LISTENER]))
+        Ok(descriptor.filter(|_| received.bytes == 1 && message == [LISTENER_MESSAGE]))
     })
     .await
 }
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -1,14 +1,16 @@
 //! The log, on standard error: one line for each event, as text or, on demand, as JSON.
 
+use std::error::Error;
+use std::fmt::{self, Display, Formatter};
 use tracing::level_filters::LevelFilter;
 use tracing::warn;
 
-/// The variable that names the form of the log.
+/// The environment variable that names the format of the log.
 const FORMAT_VARIABLE: &str = "GW_LOG_FORMAT";
 
-/// Starts the log in the form that the environment names: `json`, or else text.
+/// Starts the log in the format that the environment names: `json`, or else text.
 pub fn start() {
-    // A log that cannot be written must not end the gateway: the library would print of it, and panic.
+    // By default the library reports a log that cannot be written on standard error, and panics if that fails too.
     let log = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_max_level(LevelFilter::INFO)
@@ -25,3 +27,18 @@
         warn!(format, "{FORMAT_VARIABLE} is neither 'text' nor 'json'; the log is text");
     }
 }
+
+/// Displays an error with all of its sources, separated by colons.
+pub struct ErrorChain<'a>(pub &'a dyn Error);
+
+impl Display for ErrorChain<'_> {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        Display::fmt(self.0, f)?;
+        let mut source = self.0.source();
+        while let Some(error) = source {
+            write!(f, ": {error}")?;
+            source = error.source();
+        }
+        Ok(())
+    }
+}
--- a/crates/gateway/src/operations/mod.rs
+++ b/crates/gateway/src/operations/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see: health, metrics, request counts.
+//! What operators ask a running gateway: its health and its metrics.
 
 pub mod request_counts;
 pub mod server;
--- a/crates/gateway/src/operations/request_counts.rs
+++ b/crates/gateway/src/operations/request_counts.rs
@@ -1,4 +1,4 @@
-//! What operators are told of requests and attempts, counted from the start of the process.
+//! The metrics of requests and attempts, counted from the start of the process.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
@@ -9,83 +9,96 @@
 pub enum RequestOutcome {
     /// Served.
     Served,
-    /// Refused.
+    /// Rejected.
     Rejected,
     /// Failed.
     Failed,
 }
 
-/// The endings by the names that operators know, in the order of the counts.
+/// The outcomes with their names in the metrics, in the order of [`RequestCounters::ended`].
 const OUTCOMES: [(RequestOutcome, &str); 3] =
     [(RequestOutcome::Served, "ok"), (RequestOutcome::Rejected, "shed"), (RequestOutcome::Failed, "errors")];
 
-/// All counts of one process.
+/// How many servers the endpoint list has.
+pub struct EndpointCounts {
+    /// Servers that are listed.
+    pub listed: usize,
+    /// Those of them that are ejected.
+    pub ejected: usize,
+}
+
+/// All counters of the process.
 pub struct RequestCounters {
-    /// WireNames of the classes, by their place in the settings.
+    /// The names of the classes, by their index in the settings.
     classes: Vec<String>,
+    /// Requests ended, by class and outcome.
     ended: RefCell<Vec<[u64; OUTCOMES.len()]>>,
+    /// Requests accepted and not ended.
     active: Cell<u64>,
-    /// Attempts written whole to servers.
+    /// Attempts that were written to servers completely.
     pub attempts: Rc<Cell<u64>>,
 }
 
 impl RequestCounters {
-    /// Nothing has happened yet.
+    /// Counters at zero.
     pub fn new(classes: Vec<String>) -> Rc<RequestCounters> {
         let ended = RefCell::new(vec![Default::default(); classes.len()]);
         Rc::new(RequestCounters { classes, ended, active: Cell::new(0), attempts: Rc::default() })
     }
 
-    /// A request of a class was taken; it is active until its token is dropped.
+    /// A request of a class was accepted. It is active until the guard is dropped.
     pub fn begin(self: &Rc<Self>, class: usize) -> RequestCounterGuard {
         self.active.set(self.active.get() + 1);
         RequestCounterGuard { counters: self.clone(), class, outcome: Cell::new(RequestOutcome::Failed) }
     }
 
-    /// The figures as operators read them, with those of the list of servers.
-    pub fn metrics_text(&self, (size, ejected): (usize, usize)) -> String {
+    /// The metrics as operators read them.
+    pub fn metrics_text(&self, endpoints: EndpointCounts) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
         for (class, ended) in self.classes.iter().zip(self.ended.borrow().iter()) {
-            for ((_, name), count) in OUTCOMES.iter().zip(ended) {
-                let _ = writeln!(text, "gateway_responses{{kind=\"{class}\",result=\"{name}\"}} {count}");
+            for ((_, outcome), count) in OUTCOMES.iter().zip(ended) {
+                let _ = writeln!(text, "gateway_responses{{kind=\"{class}\",result=\"{outcome}\"}} {count}");
             }
         }
-        let figures = [
-            ("tries", self.attempts.get()),
-            ("active", self.active.get()),
-            ("pool_size", size as u64),
-            ("pool_ejected", ejected as u64),
-        ];
-        for (name, value) in figures {
-            let _ = writeln!(text, "gateway_{name} {value}");
-        }
+        let _ = writeln!(text, "gateway_tries {}", self.attempts.get());
+        let _ = writeln!(text, "gateway_active {}", self.active.get());
+        let _ = writeln!(text, "gateway_pool_size {}", endpoints.listed);
+        let _ = writeln!(text, "gateway_pool_ejected {}", endpoints.ejected);
         text
     }
+
+    /// A request of a class ended.
+    fn end(&self, class: usize, outcome: RequestOutcome) {
+        self.active.set(self.active.get() - 1);
+        let column = OUTCOMES.iter().position(|(listed, _)| *listed == outcome);
+        let mut ended = self.ended.borrow_mut();
+        if let Some(count) = column.and_then(|column| ended.get_mut(class)?.get_mut(column)) {
+            *count += 1;
+        }
+    }
 }
 
-/// A request that was taken. It counts once, when this is dropped: as failed, unless another ending was told.
+/// A request that was accepted. It is counted once, when this is dropped: as failed, unless another outcome was set.
 pub struct RequestCounterGuard {
+    /// The counters of the process.
     counters: Rc<RequestCounters>,
+    /// The index of the request's class.
     class: usize,
+    /// The outcome so far.
     outcome: Cell<RequestOutcome>,
 }
 
 impl RequestCounterGuard {
-    /// Tells how it ends.
-    pub fn set_outcome(&self, ending: RequestOutcome) {
-        self.outcome.set(ending);
+    /// Sets how the request ends.
+    pub fn set_outcome(&self, outcome: RequestOutcome) {
+        self.outcome.set(outcome);
     }
 }
 
 impl Drop for RequestCounterGuard {
     fn drop(&mut self) {
-        self.counters.active.set(self.counters.active.get() - 1);
-        let ending = OUTCOMES.iter().position(|(e, _)| *e == self.outcome.get());
-        let mut ended = self.counters.ended.borrow_mut();
-        if let Some(count) = ending.and_then(|k| ended.get_mut(self.class)?.get_mut(k)) {
-            *count += 1;
-        }
+        self.counters.end(self.class, self.outcome.get());
     }
 }
 
--- a/crates/gateway/src/operations/server.rs
+++ b/crates/gateway/src/operations/server.rs
@@ -1,4 +1,4 @@
-//! Where operators call: whether this process takes clients, and its figures. One call a connection.
+//! The operators' HTTP server: whether this process accepts clients, and its metrics. One request a connection.
 
 use crate::clients::server::ClientServer;
 use crate::driver::decision_driver::DecisionDriver;
@@ -18,81 +18,102 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Connections at once. One more closes the oldest...
+/// Most connections at a time. A further one closes the oldest.
 pub const MAX_CONNECTIONS: usize = 16;
-/// ...which has had this long by then: a true call is over sooner, so that one waits idly.
-const SETTLED: Duration = Duration::from_millis(100);
-/// How long a connection may take over its call.
-const CALL_MOST: Duration = Duration::from_secs(5);
-/// The pause after an accept error.
-const PAUSE: Duration = Duration::from_millis(20);
-/// The least that hyper lets a read buffer hold.
-const BUFFER: usize = 8 << 10;
+/// The time that the oldest connection has had before it is closed: a request takes less, so the connection is idle.
+const MIN_CONNECTION_TIME: Duration = Duration::from_millis(100);
+/// How long a connection may take over its request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// The delay after an accept error.
+const ACCEPT_ERROR_DELAY: Duration = Duration::from_millis(20);
+/// The smallest read buffer that hyper allows.
+const MAX_BUFFER_BYTES: usize = 8 << 10;
+/// The path that tells whether this process accepts clients.
+const HEALTH_PATH: &str = "/admin/health";
+/// The path of the metrics.
+const METRICS_PATH: &str = "/admin/stats";
+
+/// An open connection.
+struct OperatorConnection {
+    /// When it was accepted.
+    accepted_at: Instant,
+    /// Closes it.
+    task: AbortHandle,
+}
 
 /// Answers operators.
 pub struct OperationsServer {
-    front: Rc<ClientServer>,
-    core: Rc<DecisionDriver>,
+    /// The server whose health is reported.
+    clients: Rc<ClientServer>,
+    /// The source of the metrics.
+    driver: Rc<DecisionDriver>,
 }
 
 impl OperationsServer {
-    /// Answers for this front and this core.
-    pub fn new(front: Rc<ClientServer>, core: Rc<DecisionDriver>) -> Rc<OperationsServer> {
-        Rc::new(OperationsServer { front, core })
+    /// Reports on a client server and a decision driver.
+    pub fn new(clients: Rc<ClientServer>, driver: Rc<DecisionDriver>) -> Rc<OperationsServer> {
+        Rc::new(OperationsServer { clients, driver })
     }
 
-    /// Takes calls for ever.
+    /// Accepts connections for as long as the process lives.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
-        let mut callers: VecDeque<(Instant, AbortHandle)> = VecDeque::new();
+        let mut connections: VecDeque<OperatorConnection> = VecDeque::new();
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(PAUSE).await;
+                sleep(ACCEPT_ERROR_DELAY).await;
                 continue;
             };
-            callers.retain(|(_, c)| !c.is_finished());
-            if callers.len() >= MAX_CONNECTIONS {
-                if let Some((since, oldest)) = callers.pop_front() {
-                    sleep_until(since + SETTLED).await;
-                    oldest.abort();
+            connections.retain(|connection| !connection.task.is_finished());
+            if connections.len() >= MAX_CONNECTIONS {
+                if let Some(oldest) = connections.pop_front() {
+                    sleep_until(oldest.accepted_at + MIN_CONNECTION_TIME).await;
+                    oldest.task.abort();
                 }
             }
-            let call = timeout(CALL_MOST, self.clone().call(stream));
-            callers.push_back((Instant::now(), tokio::task::spawn_local(call).abort_handle()));
+            let serve = timeout(REQUEST_TIMEOUT, self.clone().serve(stream));
+            let task = tokio::task::spawn_local(serve).abort_handle();
+            connections.push_back(OperatorConnection { accepted_at: Instant::now(), task });
         }
     }
 
-    async fn call(self: Rc<Self>, stream: TcpStream) {
+    /// Serves one connection.
+    async fn serve(self: Rc<Self>, stream: TcpStream) {
         let service = service_fn(|request| {
-            let answer = self.answer(&request);
-            async { Ok::<_, Infallible>(answer) }
+            let response = self.respond(&request);
+            async { Ok::<_, Infallible>(response) }
         });
         let connection = http1::Builder::new()
             .keep_alive(false)
-            .max_buf_size(BUFFER)
+            .max_buf_size(MAX_BUFFER_BYTES)
             .serve_connection(TokioIo::new(Socket::new(stream)), service);
-        // A call that broke concerns its caller alone. hyper answers what it cannot read.
+        // An error concerns this connection only; hyper answers a malformed request by itself.
         let _ = connection.await;
     }
 
-    fn answer(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-        let plain = |status, text: String| {
-            let mut response = Response::new(Full::new(Bytes::from(text)));
-            *response.status_mut() = status;
-            response
-                .headers_mut()
-                .insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
-            response
-        };
+    /// The response to a request.
+    fn respond(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         match request.uri().path() {
-            "/admin/health" | "/admin/stats" if request.method() != Method::GET => {
-                let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "GET only\n".to_owned());
-                response.headers_mut().insert(ALLOW, HeaderValue::from_static("GET"));
-                response
-            }
-            "/admin/health" if self.front.accepting() => plain(StatusCode::OK, "takes clients\n".to_owned()),
-            "/admin/health" => plain(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n".to_owned()),
-            "/admin/stats" => plain(StatusCode::OK, self.core.metrics_text()),
-            _ => plain(StatusCode::NOT_FOUND, "/admin/health or /admin/stats\n".to_owned()),
+            HEALTH_PATH | METRICS_PATH if request.method() != Method::GET => method_not_allowed(),
+            HEALTH_PATH if self.clients.accepting() => text_response(StatusCode::OK, "takes clients\n"),
+            HEALTH_PATH => text_response(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n"),
+            METRICS_PATH => text_response(StatusCode::OK, self.driver.metrics_text()),
+            _ => text_response(StatusCode::NOT_FOUND, "/admin/health or /admin/stats\n"),
         }
     }
 }
+
+/// The response to a method other than GET.
+fn method_not_allowed() -> Response<Full<Bytes>> {
+    let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, "GET only\n");
+    response.headers_mut().insert(ALLOW, HeaderValue::from_static("GET"));
+    response
+}
+
+/// A response of plain text.
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    let content_type = HeaderValue::from_static("text/plain; charset=utf-8");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
+    response
+}
