--- a/crates/gateway/src/driver/decision_driver.rs
+++ b/crates/gateway/src/driver/decision_driver.rs
@@ -180,7 +180,7 @@
             Action::Reject { id, retry_after } => state.requests.answer(id, Answer::Rejected(retry_after)),
             Action::Fail { id } => state.requests.answer(id, Answer::Failed),
             Action::Cancel { id, attempt } => {
-                self.abort_attempt_in_flight(state, id, attempt, AttemptStatus::Cancelled);
+                self.abort_if_in_flight(state, id, attempt, AttemptStatus::Cancelled);
             }
             Action::Timer { at, timer } => self.arm(state, at, DueTimer::Decision(timer)),
             Action::CheckHealth { server } => self.check_health(server),
--- a/crates/gateway/src/driver/decision_driver/attempts.rs
+++ b/crates/gateway/src/driver/decision_driver/attempts.rs
@@ -85,7 +85,7 @@
     }
 
     /// Aborts an attempt if it is still the one in flight.
-    pub(super) fn abort_attempt_in_flight(
+    pub(super) fn abort_if_in_flight(
         &self,
         state: &mut DriverState,
         id: RequestId,
--- a/crates/gateway/src/driver/decision_driver/timer_loop.rs
+++ b/crates/gateway/src/driver/decision_driver/timer_loop.rs
@@ -31,8 +31,8 @@
         }
         let DriverState { timers, requests, .. } = &mut *state;
         timers.discard_obsolete(|timer| requests.is_obsolete(timer));
-        let next_timer = timers.schedule_wake();
-        self.clock.instant_at(next_timer.min(self.clock.now() + CLOSE_EXPIRED_INTERVAL))
+        let latest = self.clock.now() + CLOSE_EXPIRED_INTERVAL;
+        self.clock.instant_at(timers.schedule_wake(latest))
     }
 
     /// Does what a timer was set for.
@@ -40,7 +40,7 @@
         match timer {
             DueTimer::Decision(timer) => state.events.push_back(Event::Timer { timer }),
             DueTimer::AttemptTimeout { id, attempt } => {
-                self.abort_attempt_in_flight(state, id, attempt, AttemptStatus::Timeout);
+                self.abort_if_in_flight(state, id, attempt, AttemptStatus::Timeout);
             }
             DueTimer::RequestDeadline(id) => self.end_overdue(state, id),
             DueTimer::CloseExpiredConnections => {
--- a/crates/gateway/src/driver/timers.rs
+++ b/crates/gateway/src/driver/timers.rs
@@ -38,15 +38,15 @@
 pub struct Timers {
     /// The timers that have not fired.
     pending: BinaryHeap<Reverse<ScheduledTimer>>,
-    /// The time for which the next wake-up is scheduled; 0 before the first one.
-    wake_at: Micros,
+    /// The time for which the next wake-up is scheduled; `None` before the first one.
+    wake_at: Option<Micros>,
 }
 
 impl Timers {
     /// Adds a timer. Returns whether the next wake-up is too late for it.
     pub fn arm(&mut self, at: Micros, timer: DueTimer) -> bool {
         self.pending.push(Reverse(ScheduledTimer { at, timer }));
-        at < self.wake_at
+        self.wake_at.is_some_and(|wake_at| at < wake_at)
     }
 
     /// Removes the earliest timer if it is due.
@@ -64,10 +64,11 @@
         }
     }
 
-    /// Schedules the next wake-up for the earliest timer and returns its time.
-    pub fn schedule_wake(&mut self) -> Micros {
-        self.wake_at = self.earliest().map_or(Micros::MAX, |scheduled| scheduled.at);
-        self.wake_at
+    /// Schedules the next wake-up for the earliest timer, but no later than a given time. Returns its time.
+    pub fn schedule_wake(&mut self, latest: Micros) -> Micros {
+        let wake_at = self.earliest().map_or(latest, |scheduled| scheduled.at.min(latest));
+        self.wake_at = Some(wake_at);
+        wake_at
     }
 
     /// The timer that falls due next.
