--- a/crates/gateway/src/clients/connection.rs
+++ b/crates/gateway/src/clients/connection.rs
@@ -1,49 +1,54 @@
-//! One client's connection: whether it may be closed, and when it has had its time. The front keeps one for each.
+//! One client's connection: its state between requests, and when it may be closed.
 
+use crate::clients::eviction::Candidate;
 use crate::clients::stream::ClientStream;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
+use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// How long a client may take from its connection, or from its first byte later on, to a whole request.
-/// A true one may need 2 s; one that never brings a request is closed within 3 s.
+/// Longest time from the accepting of a connection, or from a later request's first byte, to a complete request.
+/// A client may need 2 s; a connection that never brings a request must be closed within 3 s.
 const MAX_REQUEST_TIME: Duration = Duration::from_millis(2_500);
-/// How long a connection may stand idle once a request of it was taken up.
+/// Longest idle time of a connection that has brought a request.
 const MAX_IDLE: Duration = Duration::from_secs(15);
 
-/// A client's connection and where it stands between requests.
+/// A client's connection and its state between requests.
 pub struct ClientConnection {
+    /// Identifies the connection among those that are open.
+    pub key: u64,
     /// Its socket, under hyper.
     pub stream: Rc<ClientStream>,
-    /// A request is in work.
-    pub request_in_progress: Cell<bool>,
-    /// An answer is passed on to it as it comes.
-    pub answer_streaming: Cell<bool>,
-    /// A request was taken up at some time.
-    pub has_sent_request: Cell<bool>,
-    /// Since when no request is in work.
-    pub idle_since: Cell<Instant>,
-    /// Was told to close.
-    pub closing: Cell<bool>,
-    /// Part of a request had come by then, and it closes all the same.
-    pub closing_mid_request: Cell<bool>,
-    /// What it sends is not worth reading, but it should see its answer.
-    pub input_unreadable: Cell<bool>,
-    /// End with the current request, at once if there is none.
-    pub drain: Notify,
-    /// End now; only for one without a request in work.
-    pub close: Notify,
+    /// Whether the decision core has a request of it.
+    request_in_progress: Cell<bool>,
+    /// Whether a response is being forwarded to it as it arrives.
+    response_streaming: Cell<bool>,
+    /// Whether any request of it was accepted.
+    has_sent_request: Cell<bool>,
+    /// Since when no request has been in progress.
+    idle_since: Cell<Instant>,
+    /// Whether it was asked to close.
+    closing: Cell<bool>,
+    /// Whether it is to close though part of a request had arrived.
+    closing_mid_request: Cell<bool>,
+    /// Whether what it still sends cannot be read as a request. It is to receive its response before it closes.
+    input_unreadable: Cell<bool>,
+    /// Asks its task to end it with the current request.
+    drain: Notify,
+    /// Asks its task to end it now, if it is idle.
+    close: Notify,
 }
 
 impl ClientConnection {
     /// A connection that was just accepted.
-    pub fn new(stream: TcpStream) -> Rc<ClientConnection> {
+    pub fn new(key: u64, stream: TcpStream) -> Rc<ClientConnection> {
         Rc::new(ClientConnection {
+            key,
             stream: ClientStream::new(stream),
             request_in_progress: Cell::new(false),
-            answer_streaming: Cell::new(false),
+            response_streaming: Cell::new(false),
             has_sent_request: Cell::new(false),
             idle_since: Cell::new(Instant::now()),
             closing: Cell::new(false),
@@ -54,57 +59,134 @@
         })
     }
 
-    /// Whether nothing of an earlier request is left to do.
+    /// Records that it has sent a request.
+    pub fn record_request(&self) {
+        self.has_sent_request.set(true);
+    }
+
+    /// Records that the decision core has a request of it.
+    pub fn begin_request(&self) {
+        self.request_in_progress.set(true);
+        self.record_request();
+    }
+
+    /// Records that its request, with a body of this length, gets its response now.
+    pub fn end_request(&self, body_length: usize) {
+        self.request_in_progress.set(false);
+        self.idle_since.set(Instant::now());
+        self.stream.response_begins(body_length);
+    }
+
+    /// Records that a response is forwarded to it as it arrives.
+    pub fn begin_streaming(&self) {
+        self.response_streaming.set(true);
+    }
+
+    /// Records that the response that was forwarded has ended.
+    pub fn end_streaming(&self) {
+        self.response_streaming.set(false);
+        self.idle_since.set(Instant::now());
+    }
+
+    /// Records whether what it still sends cannot be read as a request.
+    pub fn set_input_unreadable(&self, input_unreadable: bool) {
+        self.input_unreadable.set(input_unreadable);
+    }
+
+    /// Whether what it still sends cannot be read as a request.
+    pub fn is_input_unreadable(&self) -> bool {
+        self.input_unreadable.get()
+    }
+
+    /// Whether no request is in progress and no response being written.
     pub fn is_idle(&self) -> bool {
-        !self.request_in_progress.get() && !self.answer_streaming.get() && !self.stream.is_answering()
+        !self.request_in_progress.get() && !self.response_streaming.get() && !self.stream.is_responding()
     }
 
-    /// Whether it takes no more of its answer.
-    pub fn is_stalled(&self, now: Instant) -> bool {
+    /// Whether the client has stopped reading its response.
+    fn is_stalled(&self, now: Instant) -> bool {
         !self.request_in_progress.get()
-            && self.stream.is_answering()
+            && self.stream.is_responding()
             && now.duration_since(self.stream.last_written_at()) > MAX_IDLE
     }
 
-    /// Whether it has had its time: one that has not brought a request whole, or one idle for long.
+    /// Whether it has been idle, or its request incomplete, for too long.
     pub fn is_expired(&self, now: Instant) -> bool {
-        let from = match self.stream.request_began_at() {
-            Some(began) if self.has_sent_request.get() => began,
-            _ => self.idle_since.get(),
-        };
-        let asked_idle = self.has_sent_request.get() && self.stream.request_began_at().is_none();
-        let limit = if asked_idle { MAX_IDLE } else { MAX_REQUEST_TIME };
-        self.is_stalled(now) || self.is_idle() && now.duration_since(from) > limit
+        let is_idle_client = self.has_sent_request.get() && self.stream.request_began_at().is_none();
+        let limit = if is_idle_client { MAX_IDLE } else { MAX_REQUEST_TIME };
+        self.is_stalled(now) || self.is_idle() && now.duration_since(self.waiting_since()) > limit
     }
 
-    /// Until when the request that is being read has to be whole.
+    /// By when the request that is being read has to be complete.
     pub fn request_deadline(&self) -> Instant {
-        let began = self.stream.request_began_at().filter(|_| self.has_sent_request.get());
-        began.unwrap_or(self.idle_since.get()) + MAX_REQUEST_TIME
+        self.waiting_since() + MAX_REQUEST_TIME
     }
 
-    /// Asks its task to close it, unless a request comes before that.
+    /// Since when the next request has been awaited: since its first byte, but the first request of a connection since
+    /// that was accepted.
+    fn waiting_since(&self) -> Instant {
+        let began_at = self.stream.request_began_at().filter(|_| self.has_sent_request.get());
+        began_at.unwrap_or(self.idle_since.get())
+    }
+
+    /// Whether it was asked to close.
+    pub fn is_closing(&self) -> bool {
+        self.closing.get()
+    }
+
+    /// Asks its task to close it, unless a request arrives before that.
     pub fn request_close(&self) {
         self.closing.set(true);
         self.closing_mid_request.set(self.stream.request_began_at().is_some());
         self.close.notify_one();
     }
 
-    /// Whether a request is on its way: some of it was read, or lies there to be read.
-    pub fn has_request_coming(&self) -> bool {
+    /// Records that it stays open though it was asked to close.
+    pub fn stay_open(&self) {
+        self.closing.set(false);
+    }
+
+    /// Waits until it is asked to close.
+    pub fn close_requested(&self) -> Notified<'_> {
+        self.close.notified()
+    }
+
+    /// Asks its task to end it with the current request, at once if there is none.
+    pub fn request_drain(&self) {
+        self.drain.notify_one();
+    }
+
+    /// Waits until it is asked to end with the current request.
+    pub fn drain_requested(&self) -> Notified<'_> {
+        self.drain.notified()
+    }
+
+    /// Whether a request is arriving: part of it was read, or waits to be read.
+    pub fn has_incoming_request(&self) -> bool {
         self.stream.request_began_at().is_some() || self.stream.has_unread_input()
     }
 
-    /// Whether to go now. A request that came since this was decided is not cut off.
+    /// Whether to close it now that it was asked to. A request that has arrived since is not interrupted.
     pub fn may_close(&self) -> bool {
         self.is_stalled(Instant::now())
-            || self.is_idle() && (self.closing_mid_request.get() || !self.has_request_coming())
+            || self.is_idle() && (self.closing_mid_request.get() || !self.has_incoming_request())
     }
 
-    /// Whether to end with the current request, at once if there is none. One that asks ends with that answer, and
-    /// one that has brought nothing yet is about to.
+    /// Whether hyper is to end it with the current request. A client that has sent nothing yet may still send its
+    /// request, and its connection ends with the response to that.
     pub fn may_drain(&self) -> bool {
-        !self.is_idle() || self.has_sent_request.get() && !self.has_request_coming()
+        !self.is_idle() || self.has_sent_request.get() && !self.has_incoming_request()
+    }
+
+    /// What eviction considers of it.
+    pub fn eviction_candidate(&self) -> Candidate {
+        Candidate {
+            key: self.key,
+            has_sent_request: self.has_sent_request.get(),
+            has_begun: self.stream.request_began_at().is_some(),
+            last_read_at: self.stream.last_read_at(),
+            idle_since: self.idle_since.get(),
+        }
     }
 }
 
--- a/crates/gateway/src/clients/connection/tests.rs
+++ b/crates/gateway/src/clients/connection/tests.rs
@@ -2,21 +2,20 @@
 use std::io::Write;
 use tokio::net::TcpListener;
 
-/// A request that comes between the decision to close its connection and the close is not cut off; one that was
-/// given up half read is.
+/// Only a request that was already incomplete when its connection was asked to close is interrupted.
 #[test]
-fn a_request_that_crosses_the_close_of_its_connection_spares_it() {
+fn connection_stays_open_when_a_request_arrives_after_the_decision_to_close_it() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().unwrap();
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let mut far = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        let client = ClientConnection::new(listener.accept().await.unwrap().0);
-        client.has_sent_request.set(true);
-        client.request_close();
-        assert!(client.may_close() && client.may_drain());
-        far.write_all(b"GET").unwrap();
-        assert!(!client.may_close() && !client.may_drain());
-        client.closing_mid_request.set(true);
-        assert!(client.may_close());
+        let mut client_end = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        let connection = ClientConnection::new(0, listener.accept().await.unwrap().0);
+        connection.has_sent_request.set(true);
+        connection.request_close();
+        assert!(connection.may_close() && connection.may_drain());
+        client_end.write_all(b"GET").unwrap();
+        assert!(!connection.may_close() && !connection.may_drain());
+        connection.closing_mid_request.set(true);
+        assert!(connection.may_close());
     });
 }
--- /dev/null
+++ b/crates/gateway/src/clients/connection_table.rs
@@ -0,0 +1,124 @@
+//! All open connections of clients: which are closed, and when.
+
+use crate::clients::connection::ClientConnection;
+use crate::clients::eviction::{self, Candidate};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Instant;
+use tokio::net::TcpStream;
+use tokio::sync::futures::Notified;
+use tokio::sync::Notify;
+
+/// The open connections of clients.
+pub struct ConnectionTable {
+    /// The connections by their keys.
+    connections: RefCell<HashMap<u64, Rc<ClientConnection>>>,
+    /// The key of the next connection.
+    next_key: Cell<u64>,
+    /// How many may be open.
+    max_connections: usize,
+    /// When the last connection was accepted.
+    last_accepted_at: Cell<Instant>,
+    /// Notified when a connection has closed.
+    connection_closed: Notify,
+}
+
+impl ConnectionTable {
+    /// An empty table, for at most this many connections.
+    pub fn new(max_connections: usize) -> ConnectionTable {
+        ConnectionTable {
+            connections: RefCell::default(),
+            next_key: Cell::new(0),
+            max_connections,
+            last_accepted_at: Cell::new(Instant::now()),
+            connection_closed: Notify::new(),
+        }
+    }
+
+    /// Adds a connection that was just accepted.
+    pub fn insert(&self, stream: TcpStream) -> Rc<ClientConnection> {
+        self.last_accepted_at.set(Instant::now());
+        let key = self.next_key.get();
+        self.next_key.set(key + 1);
+        let connection = ClientConnection::new(key, stream);
+        self.connections.borrow_mut().insert(key, connection.clone());
+        connection
+    }
+
+    /// Removes a connection that has closed.
+    pub fn remove(&self, connection: &ClientConnection) {
+        self.connections.borrow_mut().remove(&connection.key);
+        self.connection_closed.notify_one();
+    }
+
+    /// When the last connection was accepted.
+    pub fn last_accepted_at(&self) -> Instant {
+        self.last_accepted_at.get()
+    }
+
+    /// Whether more connections are open than may be.
+    pub fn is_over_limit(&self) -> bool {
+        self.connections.borrow().len() > self.max_connections
+    }
+
+    /// Whether any connection was asked to close and has not done so.
+    pub fn has_closing(&self) -> bool {
+        self.connections.borrow().values().any(|connection| connection.is_closing())
+    }
+
+    /// Waits until a connection closes, or one has closed since the last wait.
+    pub fn connection_closed(&self) -> Notified<'_> {
+        self.connection_closed.notified()
+    }
+
+    /// Waits until no connection is open.
+    pub async fn wait_until_empty(&self) {
+        while !self.connections.borrow().is_empty() {
+            self.connection_closed().await;
+        }
+    }
+
+    /// Closes one connection without a request in progress, if [`eviction`] selects one.
+    pub fn evict_one(&self) {
+        let connections = self.connections.borrow();
+        let idle = connections.values().filter(|connection| connection.is_idle() && !connection.is_closing());
+        let candidates: Vec<Candidate> = idle.map(|connection| connection.eviction_candidate()).collect();
+        let has_unread_input = |key| {
+            let connection = connections.get(&key);
+            connection.is_some_and(|connection| connection.stream.has_unread_input())
+        };
+        let selected = eviction::select(&candidates, Instant::now(), self.max_connections, has_unread_input);
+        if let Some(connection) = selected.and_then(|key| connections.get(&key)) {
+            connection.request_close();
+        }
+    }
+
+    /// Closes connections that have been idle, or their request incomplete, for too long. A request that has just begun
+    /// to arrive is not interrupted for the silence before it.
+    pub fn close_expired(&self) {
+        let now = Instant::now();
+        for connection in self.connections.borrow().values().filter(|connection| connection.is_expired(now)) {
+            let stream = &connection.stream;
+            if stream.request_began_at().is_some() || !stream.has_unread_input() {
+                connection.request_close();
+            }
+        }
+    }
+
+    /// Closes connections that have no request in progress and none arriving.
+    pub fn close_idle(&self) {
+        for connection in self.connections.borrow().values() {
+            if connection.is_idle() && !connection.has_incoming_request() {
+                connection.request_close();
+            }
+        }
+    }
+
+    /// Ends all connections with their current request, idle ones at once.
+    pub fn drain(&self) {
+        for connection in self.connections.borrow().values() {
+            connection.request_drain();
+        }
+    }
+}
--- a/crates/gateway/src/clients/eviction.rs
+++ b/crates/gateway/src/clients/eviction.rs
@@ -1,68 +1,85 @@
-//! Chooses the client connection to close when the gateway holds as many as its descriptors allow.
+//! Selects the client connection to close when there are more than the descriptors of the process allow.
 //!
-//! Called by the front for every connection that it accepts beyond its limit, so the choice must stay cheap: it
-//! looks at what is known in memory, and asks the system only about the connections that it is about to close.
+//! This runs for every connection that is accepted beyond the limit, so it must stay cheap: it decides by what is known
+//! in memory, and asks the system only about the connections that it is about to close.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-/// A client that means to send a request has begun to within this time after it connected.
-const SETTLE_TIME: Duration = Duration::from_millis(20);
-/// While more than one in this many of the allowed connections have sent no request yet, those that have sent one
-/// before are kept: a crowd of new connections would otherwise push out the usual clients.
-const FRESH_PART: usize = 4;
+/// Within this time from connecting, a client that has a request to send has begun to.
+const FIRST_BYTE_TIME: Duration = Duration::from_millis(20);
+/// While more than one in this many of the allowed connections have sent no request yet, those that have are kept: a
+/// flood of new connections would otherwise displace the regular clients.
+const FLOOD_DIVISOR: usize = 4;
 
 /// An idle connection that could be closed.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// WireNames the connection.
+    /// Identifies the connection.
     pub key: u64,
-    /// It has brought a request before.
+    /// Whether it has sent a request before.
     pub has_sent_request: bool,
-    /// Part of a request has come.
+    /// Whether part of a request has arrived.
     pub has_begun: bool,
-    /// When bytes last came on it, or it was accepted.
-    pub last_heard: Instant,
-    /// Since when it has had no request in work.
+    /// When bytes last arrived on it, or it was accepted.
+    pub last_read_at: Instant,
+    /// Since when no request has been in progress.
     pub idle_since: Instant,
 }
 
-/// The connection to close: of those that never brought a byte the one silent for the longest time; or else, unless a
-/// crowd of newcomers is there, the one that has been idle longest. A client in the middle of a request is closed only
-/// while there is such a crowd, and only a newcomer: the one silent for the longest time, since a slow client that means
-/// to send a request goes on writing. One on which bytes wait to be read is kept; `has_unread` is asked, at the cost of a
+/// A connection's key, ordered by the time by which it is selected.
+type ByTime = Reverse<(Instant, u64)>;
+
+impl Candidate {
+    /// Orders new connections: the one silent for longest comes first.
+    fn by_last_read(&self) -> ByTime {
+        Reverse((self.last_read_at, self.key))
+    }
+
+    /// Orders regular connections: the one idle for longest comes first.
+    fn by_idle_since(&self) -> ByTime {
+        Reverse((self.idle_since, self.key))
+    }
+}
+
+/// The connection to close. First choice is, of those that have never sent a byte, the one silent for longest. Otherwise it
+/// is the one that has been idle longest, except in a flood of new connections. A client in the middle of its request is
+/// closed only in a flood, and only if the connection is new: the one silent for longest, since a slow client that is
+/// sending a request continues to write. A connection with unread input is kept; `has_unread_input` is asked, at the cost of a
 /// system call, only about the connection to be closed next.
 pub fn select(
     candidates: &[Candidate],
     now: Instant,
-    limit: usize,
-    mut has_unread: impl FnMut(u64) -> bool,
+    max_connections: usize,
+    mut has_unread_input: impl FnMut(u64) -> bool,
 ) -> Option<u64> {
-    let fresh = candidates.iter().filter(|c| !c.has_sent_request);
-    let silent = fresh.clone().filter(|c| now.saturating_duration_since(c.last_heard) > SETTLE_TIME);
-    let by_silence = |c: &Candidate| Reverse((c.last_heard, c.key));
-    let never_heard = silent.clone().filter(|c| !c.has_begun).map(by_silence);
-    if let Some(key) = first_without_input(never_heard.collect(), &mut has_unread) {
+    let new = candidates.iter().filter(|candidate| !candidate.has_sent_request);
+    let silent = new
+        .clone()
+        .filter(|candidate| now.saturating_duration_since(candidate.last_read_at) > FIRST_BYTE_TIME);
+    let never_read = silent.clone().filter(|candidate| !candidate.has_begun).map(Candidate::by_last_read);
+    if let Some(key) = first_without_input(never_read.collect(), &mut has_unread_input) {
         return Some(key);
     }
-    let is_crowded = fresh.count() * FRESH_PART >= limit;
-    let remaining = if is_crowded {
-        silent.filter(|c| c.has_begun).map(by_silence).collect()
+    let is_flood = new.count() * FLOOD_DIVISOR >= max_connections;
+    let remaining = if is_flood {
+        silent.filter(|candidate| candidate.has_begun).map(Candidate::by_last_read).collect()
     } else {
-        let returning = candidates.iter().filter(|c| c.has_sent_request && !c.has_begun);
-        returning.map(|c| Reverse((c.idle_since, c.key))).collect()
+        let regular =
+            candidates.iter().filter(|candidate| candidate.has_sent_request && !candidate.has_begun);
+        regular.map(Candidate::by_idle_since).collect()
     };
-    first_without_input(remaining, &mut has_unread)
+    first_without_input(remaining, &mut has_unread_input)
 }
 
-/// The oldest connection on which nothing waits to be read.
+/// The first connection without unread input.
 fn first_without_input(
-    mut oldest_first: BinaryHeap<Reverse<(Instant, u64)>>,
-    has_unread: &mut impl FnMut(u64) -> bool,
+    mut ordered: BinaryHeap<ByTime>,
+    has_unread_input: &mut impl FnMut(u64) -> bool,
 ) -> Option<u64> {
-    while let Some(Reverse((_, key))) = oldest_first.pop() {
-        if !has_unread(key) {
+    while let Some(Reverse((_, key))) = ordered.pop() {
+        if !has_unread_input(key) {
             return Some(key);
         }
     }
--- a/crates/gateway/src/clients/eviction/tests.rs
+++ b/crates/gateway/src/clients/eviction/tests.rs
@@ -1,68 +1,74 @@
-use super::{select, Candidate, SETTLE_TIME};
+use super::{select, Candidate, FIRST_BYTE_TIME};
 use std::time::{Duration, Instant};
 
-const LIMIT: usize = 300;
+/// The limit of connections in these tests.
+const MAX_CONNECTIONS: usize = 300;
 
-fn candidate(key: u64, has_asked: bool, at: Instant) -> Candidate {
-    Candidate { key, has_sent_request: has_asked, has_begun: false, last_heard: at, idle_since: at }
+/// A connection without a byte of a next request, last used at a time.
+fn candidate(key: u64, has_sent_request: bool, at: Instant) -> Candidate {
+    Candidate { key, has_sent_request, has_begun: false, last_read_at: at, idle_since: at }
 }
 
 /// Connections whose age falls with their key: the first is the oldest.
-fn crowd(count: u64, has_asked: bool, start: Instant) -> Vec<Candidate> {
-    (0..count).map(|key| candidate(key, has_asked, start + Duration::from_millis(key))).collect()
+fn connections(count: u64, has_sent_request: bool, start: Instant) -> Vec<Candidate> {
+    (0..count).map(|key| candidate(key, has_sent_request, start + Duration::from_millis(key))).collect()
 }
 
-/// A system call for every idle connection at every accepted one used up the processor under a crowd, and requests
-/// waited in the listen queue for seconds.
+/// A system call for every idle connection at every accepted one would use up the processor in a flood, and requests
+/// would wait in the listen queue for seconds.
 #[test]
-fn only_the_connections_that_are_about_to_close_are_asked_for_unread_input() {
+fn system_is_asked_only_about_the_connections_to_be_closed_next() {
     let start = Instant::now();
     let now = start + Duration::from_secs(1);
     for count in [10, 100, 300, 1_000] {
-        for has_asked in [false, true] {
+        for has_sent_request in [false, true] {
             let mut asked = Vec::new();
-            let candidates = crowd(count, has_asked, start);
-            let evicted = select(&candidates, now, LIMIT, |key| {
+            let candidates = connections(count, has_sent_request, start);
+            let selected = select(&candidates, now, MAX_CONNECTIONS, |key| {
                 asked.push(key);
                 key < 2
             });
-            assert_eq!(evicted, Some(2), "{count} connections, has asked: {has_asked}");
-            assert_eq!(asked, [0, 1, 2], "{count} connections, has asked: {has_asked}");
+            assert_eq!(selected, Some(2), "{count} connections, has sent request: {has_sent_request}");
+            assert_eq!(asked, [0, 1, 2], "{count} connections, has sent request: {has_sent_request}");
         }
     }
 }
 
 #[test]
-fn a_silent_newcomer_goes_before_a_usual_client() {
+fn silent_new_connection_is_closed_before_a_regular_one() {
     let start = Instant::now();
-    let usual = candidate(1, true, start);
+    let regular = candidate(1, true, start);
     let silent = candidate(2, false, start + Duration::from_millis(1));
-    let now = start + SETTLE_TIME * 2;
-    assert_eq!(select(&[usual, silent], now, LIMIT, |_| false), Some(2));
-    assert_eq!(select(&[usual, silent], now, LIMIT, |key| key == 2), Some(1));
+    let now = start + FIRST_BYTE_TIME * 2;
+    assert_eq!(select(&[regular, silent], now, MAX_CONNECTIONS, |_| false), Some(2));
+    assert_eq!(select(&[regular, silent], now, MAX_CONNECTIONS, |key| key == 2), Some(1));
 }
 
 #[test]
-fn usual_clients_are_kept_while_many_newcomers_have_had_no_time_to_ask() {
+fn regular_connections_are_kept_in_a_flood_of_new_ones_that_could_not_yet_send() {
     let start = Instant::now();
-    let now = start + SETTLE_TIME;
+    let now = start + FIRST_BYTE_TIME;
     let mut candidates: Vec<Candidate> = (1..=75).map(|key| candidate(key, false, now)).collect();
     candidates.push(candidate(0, true, start));
-    assert_eq!(select(&candidates, now, LIMIT, |_| false), None);
+    assert_eq!(select(&candidates, now, MAX_CONNECTIONS, |_| false), None);
     candidates.remove(1);
-    assert_eq!(select(&candidates, now, LIMIT, |_| false), Some(0));
-    assert_eq!(select(&[], now, LIMIT, |_| false), None);
+    assert_eq!(select(&candidates, now, MAX_CONNECTIONS, |_| false), Some(0));
+    assert_eq!(select(&[], now, MAX_CONNECTIONS, |_| false), None);
 }
 
-/// Its client would never learn what became of it.
+/// Its client would never learn what became of the request.
 #[test]
-fn a_client_in_the_middle_of_a_request_goes_only_where_newcomers_are_a_crowd() {
+fn connection_in_the_middle_of_a_request_is_closed_only_in_a_flood() {
     let start = Instant::now();
-    let now = start + SETTLE_TIME * 2;
-    let writing = |key, has_asked| Candidate { has_begun: true, ..candidate(key, has_asked, start) };
+    let now = start + FIRST_BYTE_TIME * 2;
+    let writing =
+        |key, has_sent_request| Candidate { has_begun: true, ..candidate(key, has_sent_request, start) };
     let idle = candidate(3, true, now);
-    assert_eq!(select(&[writing(1, false), writing(2, true), idle], now, LIMIT, |_| false), Some(3));
-    assert_eq!(select(&[writing(1, false), writing(2, true)], now, LIMIT, |_| false), None);
-    let crowd: Vec<Candidate> = (0..LIMIT as u64).map(|key| writing(key, false)).collect();
-    assert_eq!(select(&crowd, now, LIMIT, |_| false), Some(0));
+    assert_eq!(
+        select(&[writing(1, false), writing(2, true), idle], now, MAX_CONNECTIONS, |_| false),
+        Some(3)
+    );
+    assert_eq!(select(&[writing(1, false), writing(2, true)], now, MAX_CONNECTIONS, |_| false), None);
+    let flood: Vec<Candidate> = (0..MAX_CONNECTIONS as u64).map(|key| writing(key, false)).collect();
+    assert_eq!(select(&flood, now, MAX_CONNECTIONS, |_| false), Some(0));
 }
--- a/crates/gateway/src/clients/mod.rs
+++ b/crates/gateway/src/clients/mod.rs
@@ -1,9 +1,15 @@
 //! Clients: their connections, requests and responses.
 
-pub mod connection;
-pub mod eviction;
-pub mod request_error;
+mod accept_error;
+mod connection;
+mod connection_table;
+mod disconnect;
+mod eviction;
+mod head_scanner;
+mod linger;
+mod request_error;
+mod request_handler;
 pub mod request_head;
-pub mod response;
+mod response;
 pub mod server;
-pub mod stream;
+mod stream;
--- /dev/null
+++ b/crates/gateway/src/clients/request_handler.rs
@@ -0,0 +1,234 @@
+//! Handles one request of a client: reads it, submits it to the decision core and waits for its answer.
+
+use crate::bodies::buffering::read_up_to_limit;
+use crate::bodies::size::MAX_BUFFERED_BODY_BYTES;
+use crate::bodies::upload::Upload;
+use crate::clients::connection::ClientConnection;
+use crate::clients::disconnect::{client_disconnected, DisconnectGuard};
+use crate::clients::request_error::RequestError;
+use crate::clients::request_head::RequestHeadReader;
+use crate::clients::response::{
+    announce_close, answer_response, error_response, text_response, ResponseBody,
+};
+use crate::clients::stream::ClientStream;
+use crate::driver::decision_driver::DecisionDriver;
+use crate::driver::request::Answer;
+use crate::network::headers::{self, InvalidHeader};
+use crate::operations::request_counts::RequestCounterGuard;
+use crate::servers::attempt::OutgoingRequest;
+use grebehook_core::RequestId;
+use hyper::body::{Body, Incoming};
+use hyper::header::{HeaderMap, CONTENT_LENGTH, EXPECT, TRANSFER_ENCODING};
+use hyper::http::request;
+use hyper::{Method, Request, Response, StatusCode, Uri};
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::sync::{oneshot, Semaphore};
+use tokio::time::timeout_at;
+
+/// Longest body of a request.
+const MAX_REQUEST_BODY_BYTES: u64 = 32 << 20;
+/// Longest body that needs no reserved memory: it fits into hyper's read buffer.
+const MAX_UNRESERVED_BODY_BYTES: u64 = 4 << 10;
+/// Bytes of memory for bodies that one permit stands for.
+const BYTES_PER_PERMIT: usize = 1 << 10;
+/// Where the platform checks whether the gateway responds.
+const HEALTH_PATH: &str = "/_health";
+
+/// Handles requests of clients.
+pub struct RequestHandler {
+    /// The driver of the decision core.
+    driver: Rc<DecisionDriver>,
+    /// Reads requests' heads.
+    head_reader: RequestHeadReader,
+    /// Memory for what is buffered of clients' bodies, in permits of [`BYTES_PER_PERMIT`].
+    body_memory: Arc<Semaphore>,
+}
+
+/// A response, and what becomes of its connection.
+struct HandledRequest {
+    /// The response.
+    response: Response<ResponseBody>,
+    /// Whether the connection has to close: the beginning of a next request could not be found.
+    must_close: bool,
+}
+
+/// A request that has its final answer.
+struct AnsweredRequest {
+    /// The answer.
+    answer: Answer,
+    /// Counts the request.
+    counter: RequestCounterGuard,
+    /// The request's body.
+    body: Rc<Upload>,
+}
+
+impl RequestHandler {
+    /// A handler that buffers at most this much of clients' bodies.
+    pub fn new(
+        driver: Rc<DecisionDriver>,
+        head_reader: RequestHeadReader,
+        body_memory_bytes: usize,
+    ) -> RequestHandler {
+        let permits = body_memory_bytes.max(MAX_BUFFERED_BODY_BYTES) / BYTES_PER_PERMIT;
+        RequestHandler { driver, head_reader, body_memory: Arc::new(Semaphore::new(permits)) }
+    }
+
+    /// The response to a request.
+    pub async fn respond(
+        &self,
+        client: &Rc<ClientConnection>,
+        request: Request<Incoming>,
+    ) -> Response<ResponseBody> {
+        let body_length = request.body().size_hint().exact();
+        let HandledRequest { mut response, must_close } = self.handle(client, request).await;
+        response.body_mut().attach(client);
+        client.end_request(body_length.unwrap_or(0) as usize);
+        if must_close {
+            announce_close(&mut response);
+        }
+        response
+    }
+
+    /// The response to a request, and whether its connection has to close.
+    async fn handle(&self, client: &Rc<ClientConnection>, request: Request<Incoming>) -> HandledRequest {
+        let has_body = !request.body().is_end_stream();
+        if request.uri().path() == HEALTH_PATH {
+            client.record_request();
+            return HandledRequest { response: text_response(StatusCode::OK, ""), must_close: has_body };
+        }
+        // Only hyper knows where a chunked body ends in the bytes of the connection.
+        let is_chunked = request.body().size_hint().exact().is_none();
+        match self.answer(client, request).await {
+            Ok(AnsweredRequest { answer, counter, body }) => {
+                // The rest of a body that is no longer needed is read, but not as a request.
+                let input_unreadable = !body.is_read_to_end() || !client.stream.can_read_next_request();
+                client.set_input_unreadable(input_unreadable);
+                HandledRequest {
+                    response: answer_response(answer, counter),
+                    must_close: is_chunked || input_unreadable,
+                }
+            }
+            Err(error) => {
+                // The rest of the body is not read, so that no further request can be found behind it.
+                let is_out_of_step =
+                    matches!(error, RequestError::AmbiguousBodyLength | RequestError::ClientDisconnected);
+                let must_close = has_body || is_out_of_step;
+                client.set_input_unreadable(must_close);
+                HandledRequest { response: error_response(&error), must_close }
+            }
+        }
+    }
+
+    /// Reads a request, submits it to the decision core and waits for its answer.
+    async fn answer(
+        &self,
+        client: &Rc<ClientConnection>,
+        request: Request<Incoming>,
+    ) -> Result<AnsweredRequest, RequestError> {
+        let (head, body) = request.into_parts();
+        check_body_length(&client.stream, &head.headers)?;
+        let request_head = self.head_reader.read(&head.method, &head.headers)?;
+        let body = Rc::new(self.read_body(client, body).await?);
+        if head.method == Method::GET && body.length() != Some(0) {
+            return Err(InvalidHeader(CONTENT_LENGTH).into());
+        }
+        let request_id = headers::single(&head.headers, headers::REQUEST_ID)?.clone();
+        let outgoing = outgoing_request(head, body.clone(), client.stream.clone());
+        if (outgoing.client_has_left)() {
+            return Err(RequestError::ClientDisconnected);
+        }
+        let submitted = self.driver.submit(request_id, request_head, outgoing);
+        let (id, answer, counter) = submitted.ok_or(RequestError::DuplicateId)?;
+        client.begin_request();
+        let answer = self.wait_for_answer(client, id, &body, answer).await;
+        Ok(AnsweredRequest { answer, counter, body })
+    }
+
+    /// Waits for the answer to a request, or until its client disconnects. hyper drops this future when it finds the
+    /// connection closed.
+    async fn wait_for_answer(
+        &self,
+        client: &ClientConnection,
+        id: RequestId,
+        body: &Upload,
+        answer: oneshot::Receiver<Answer>,
+    ) -> Answer {
+        let disconnect_guard = DisconnectGuard::new(&self.driver, id);
+        tokio::select! {
+            biased;
+            answer = answer => answer.unwrap_or(Answer::Failed),
+            // It may have ended its sending side only, and still read.
+            () = client_disconnected(&client.stream, body) => {
+                if disconnect_guard.report() { Answer::Rejected(None) } else { Answer::Failed }
+            }
+        }
+    }
+
+    /// Reads a short body, or the beginning of a longer one, within the time that the client has for its request.
+    async fn read_body(&self, client: &ClientConnection, body: Incoming) -> Result<Upload, RequestError> {
+        if body.size_hint().exact().is_some_and(|length| length > MAX_REQUEST_BODY_BYTES) {
+            return Err(RequestError::BodyTooLarge);
+        }
+        if body.is_end_stream() {
+            return Ok(Upload::empty());
+        }
+        let read = timeout_at(client.request_deadline().into(), self.buffer_body(body)).await;
+        read.ok().flatten().ok_or(RequestError::BodyIncomplete)
+    }
+
+    /// Reads a body as far as it is buffered, once there is memory for that. `None` if it breaks off.
+    async fn buffer_body(&self, body: Incoming) -> Option<Upload> {
+        let length = body.size_hint().exact();
+        let max_buffered = MAX_BUFFERED_BODY_BYTES as u64;
+        let buffered_length = length.map_or(max_buffered, |length| length.min(max_buffered));
+        let body_memory = if buffered_length <= MAX_UNRESERVED_BODY_BYTES {
+            None
+        } else {
+            let permits = buffered_length.div_ceil(BYTES_PER_PERMIT as u64) as u32;
+            Some(self.body_memory.clone().acquire_many_owned(permits).await.ok()?)
+        };
+        let body = read_up_to_limit(body).await.ok()?;
+        Some(Upload::new(body, length, body_memory))
+    }
+}
+
+/// Checks that the length of a body is given in one way. hyper has dropped one of two headers by now, but the stream has
+/// seen the bytes.
+fn check_body_length(stream: &ClientStream, headers: &HeaderMap) -> Result<(), RequestError> {
+    let is_ambiguous = match stream.framing() {
+        Some(framing) => framing.is_ambiguous(),
+        None => headers.contains_key(TRANSFER_ENCODING),
+    };
+    if is_ambiguous {
+        return Err(RequestError::AmbiguousBodyLength);
+    }
+    Ok(())
+}
+
+/// A client's request as it is forwarded to servers.
+fn outgoing_request(head: request::Parts, body: Rc<Upload>, stream: Rc<ClientStream>) -> OutgoingRequest {
+    let mut end_to_end_headers = head.headers;
+    headers::remove_hop_by_hop(&mut end_to_end_headers);
+    end_to_end_headers.remove(EXPECT);
+    let uri = match head.uri.path_and_query().filter(|_| head.uri.authority().is_some()) {
+        Some(path) => Uri::from(path.clone()),
+        None => head.uri,
+    };
+    let incoming_body = body.clone();
+    // While a long body is not read to its end, the end of the connection cannot be read either.
+    let client_has_left = move || {
+        if incoming_body.is_read_to_end() {
+            stream.has_disconnected()
+        } else {
+            stream.is_end_announced()
+        }
+    };
+    OutgoingRequest {
+        method: head.method,
+        uri,
+        headers: end_to_end_headers,
+        body,
+        client_has_left: Box::new(client_has_left),
+    }
+}
--- a/crates/gateway/src/clients/request_head.rs
+++ b/crates/gateway/src/clients/request_head.rs
@@ -11,7 +11,7 @@
 /// Longest id of a request, in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 64;
 
-/// Reads request heads by the settings and the names that they give to classes and plans.
+/// Reads request heads by the settings and the names of their classes and plans.
 pub struct RequestHeadReader {
     /// The settings.
     pub settings: Settings,
@@ -86,7 +86,7 @@
 }
 
 /// How long the client waits: no longer for one attempt than its class allows for all of them. A client
-/// with no time left is rejected by the decision core, like any request that comes too late.
+/// with no time left is rejected by the decision core, like any request that arrives too late.
 fn parse_client_timeout(time_budget: &str, class: &Class) -> Result<Micros, InvalidHeader> {
     let max_ms = class.deadline.div_ceil(1_000);
     let budget_ms = time_budget.parse().ok().filter(|budget_ms| *budget_ms <= max_ms);
@@ -94,8 +94,8 @@
     Ok(budget_ms * 1_000)
 }
 
-/// The index of the name that a header gives.
+/// The index of the name in a header.
 fn index_of_name(names: &[String], headers: &HeaderMap, header: HeaderName) -> Result<usize, InvalidHeader> {
-    let given = headers::single_text(headers, header.clone())?;
-    names.iter().position(|name| name == given).ok_or(InvalidHeader(header))
+    let value = headers::single_text(headers, header.clone())?;
+    names.iter().position(|name| name == value).ok_or(InvalidHeader(header))
 }
--- a/crates/gateway/src/clients/stream.rs
+++ b/crates/gateway/src/clients/stream.rs
@@ -1,402 +1,308 @@
-//! One client's TCP connection, under hyper: what hyper does not tell of a request's framing and progress.
+//! One client's TCP connection, under hyper. It knows what hyper does not report: how far the current request has been
+//! read, how far its response has been written, and whether the client has disconnected.
 
+use crate::clients::head_scanner::{Framing, HeadScanner};
+use crate::clients::linger;
 use crate::network::socket::Socket;
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
 use std::io::{self, Read};
+use std::mem::MaybeUninit;
 use std::pin::{pin, Pin};
 use std::rc::Rc;
 use std::task::{ready, Context, Poll, Waker};
-use std::time::{Duration, Instant};
-use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, Interest, ReadBuf};
+use std::time::Instant;
+use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
-use tokio::time::timeout;
 
-/// A closing connection reads what its client still sends, since closing with input unread would reset the connection and
-/// could take the answer along: until the client is silent for so long...
-const LINGER_SILENCE: Duration = Duration::from_secs(1);
-/// ...for so long in all...
-const LINGER_MOST: Duration = Duration::from_secs(6);
-/// ...and so many bytes.
-const LINGER_BYTES: usize = 64 << 20;
-/// Most that is kept of what a client sends while its request is in work; clients send one request at a time.
-const AHEAD_MOST: usize = 16 << 10;
-/// Bytes read at a time of what a client sends while its request is in work.
-const READ_AHEAD: usize = 1024;
-/// Longest header name that matters.
-const NAME_MOST: usize = 17;
-
-/// The two headers that tell how long a body is. hyper drops the one when the other is there.
-#[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
-pub struct Framing {
-    /// `Content-Length` came.
-    pub length: bool,
-    /// `Transfer-Encoding` came.
-    pub coding: bool,
-}
-
-/// Where in its bytes a connection is.
-#[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
-enum Place {
-    /// Before a request.
-    #[default]
-    Between,
-    /// In its head.
-    Head,
-    /// Behind the head, by so many bytes.
-    Behind(usize),
-    /// A request began among the bytes of the one before, so its head's start is not known.
-    Lost,
-}
-
-/// Follows the heads of requests as they are read.
-#[derive(Default)]
-struct Scan {
-    place: Place,
-    framing: Framing,
-    name: [u8; NAME_MOST],
-    /// Length of the current line, without carriage returns.
-    line: usize,
+/// Most that is kept of what a client sends while its request is in progress; clients send one request at a time.
+const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
+/// Bytes read at a time while a request is in progress.
+const READ_AHEAD_CHUNK_BYTES: usize = 1024;
+
+/// What is read from a connection.
+struct Input {
+    /// The socket, until the connection is closed.
+    socket: Option<Socket<TcpStream>>,
+    /// Finds the heads of requests.
+    scanner: HeadScanner,
+    /// Whether the client has ended its sending side.
+    ended: bool,
+    /// What was read while a request was in progress, for hyper to read next.
+    read_ahead: BytesMut,
+    /// Whether some of what was read is missing there, as it was too much.
+    read_ahead_overflowed: bool,
 }
 
-impl Scan {
-    fn read(&mut self, data: &[u8]) {
-        for (at, byte) in data.iter().enumerate() {
-            match (self.place, *byte) {
-                (Place::Behind(n), _) => return self.place = Place::Behind(n + data.len() - at),
-                (Place::Lost, _) => return,
-                // Empty lines before a request are none of its own.
-                (Place::Between, b'\r' | b'\n') | (_, b'\r') => {}
-                (_, b'\n') if self.line == 0 => self.place = Place::Behind(0),
-                (_, b'\n') => {
-                    let name = &self.name[..self.line.min(NAME_MOST)];
-                    self.framing.length |= name.starts_with(b"content-length");
-                    self.framing.coding |= name.starts_with(b"transfer-encoding");
-                    self.line = 0;
-                }
-                (_, byte) => {
-                    self.place = Place::Head;
-                    if let Some(place) = self.name.get_mut(self.line) {
-                        *place = byte.to_ascii_lowercase();
-                    }
-                    self.line += 1;
-                }
-            }
+impl Input {
+    /// Keeps bytes that arrived while a request is in progress, up to a limit.
+    fn extend_read_ahead(&mut self, data: &[u8]) {
+        self.read_ahead_overflowed |= self.read_ahead.len() + data.len() > MAX_READ_AHEAD_BYTES;
+        if !self.read_ahead_overflowed {
+            self.read_ahead.extend_from_slice(data);
         }
     }
 }
 
-struct State {
-    stream: Option<Socket<TcpStream>>,
-    scan: Scan,
-    ended: bool,
-    /// What came while a request was in work, in order.
-    ahead: BytesMut,
-    /// More came than is kept, and what is kept ends in the middle of it.
-    overrun: bool,
-}
-
 /// A client's connection; its holders share the one socket.
 pub struct ClientStream {
-    state: RefCell<State>,
-    /// When the first byte of the request that is being read came.
-    began: Cell<Option<Instant>>,
-    answering: Cell<bool>,
-    /// A request is in work, and nothing is read but by who waits for its client to leave.
-    working: Cell<bool>,
-    /// What was read last may end a request. hyper reads on at once, and would take the client's end for a reason to
-    /// drop the request: who serves it is to see the request first.
-    may_be_whole: Cell<bool>,
-    /// When the client last took something.
-    wrote: Cell<Instant>,
-    /// When the client was last heard of.
-    heard: Cell<Instant>,
+    /// The socket and what is read from it.
+    input: RefCell<Input>,
+    /// When the first byte of the request that is being read arrived.
+    request_began_at: Cell<Option<Instant>>,
+    /// Whether a response is being written.
+    is_responding: Cell<bool>,
+    /// Whether a request is in progress. Meanwhile only [`ClientStream::disconnected`] reads.
+    request_in_progress: Cell<bool>,
+    /// Whether the next read of hyper waits for one poll. What was read last may end a request, and its service is to
+    /// see it before hyper reads on, finds the client's end, and drops the request for that.
+    defers_next_read: Cell<bool>,
+    /// When the client last accepted part of a response, or a response began.
+    last_written_at: Cell<Instant>,
+    /// When bytes last arrived, or the connection was accepted.
+    last_read_at: Cell<Instant>,
 }
 
 impl ClientStream {
-    /// A wire over an accepted connection.
+    /// An accepted connection.
     pub fn new(stream: TcpStream) -> Rc<ClientStream> {
-        let state = State {
-            stream: Some(Socket::new(stream)),
-            scan: Scan::default(),
+        let input = Input {
+            socket: Some(Socket::new(stream)),
+            scanner: HeadScanner::default(),
             ended: false,
-            ahead: BytesMut::new(),
-            overrun: false,
+            read_ahead: BytesMut::new(),
+            read_ahead_overflowed: false,
         };
         Rc::new(ClientStream {
-            state: RefCell::new(state),
-            began: Cell::new(None),
-            answering: Cell::new(false),
-            working: Cell::new(false),
-            may_be_whole: Cell::new(false),
-            wrote: Cell::new(Instant::now()),
-            heard: Cell::new(Instant::now()),
+            input: RefCell::new(input),
+            request_began_at: Cell::new(None),
+            is_responding: Cell::new(false),
+            request_in_progress: Cell::new(false),
+            defers_next_read: Cell::new(false),
+            last_written_at: Cell::new(Instant::now()),
+            last_read_at: Cell::new(Instant::now()),
         })
     }
 
-    /// When the request that is being read began to come.
+    /// When the request that is being read began to arrive.
     pub fn request_began_at(&self) -> Option<Instant> {
-        self.began.get()
+        self.request_began_at.get()
     }
 
-    /// Whether an answer is on its way out.
-    pub fn is_answering(&self) -> bool {
-        self.answering.get()
+    /// Whether a response is being written.
+    pub fn is_responding(&self) -> bool {
+        self.is_responding.get()
     }
 
-    /// When the client last took some of an answer, or was last given one.
+    /// When the client last accepted part of a response, or a response began.
     pub fn last_written_at(&self) -> Instant {
-        self.wrote.get()
+        self.last_written_at.get()
     }
 
-    /// When bytes last came, or the connection did.
+    /// When bytes last arrived, or the connection was accepted.
     pub fn last_read_at(&self) -> Instant {
-        self.heard.get()
+        self.last_read_at.get()
     }
 
-    /// The framing of the request whose head was just read; `None` if its head's start is not known.
+    /// The headers that define the length of the current request's body; `None` if its head was not found.
     pub fn framing(&self) -> Option<Framing> {
-        let state = self.state.borrow();
-        matches!(state.scan.place, Place::Behind(_)).then_some(state.scan.framing)
+        self.input.borrow().scanner.framing()
     }
 
-    /// A request has its answer, and its body took so many bytes: what follows is the next one.
-    pub fn next_request(&self, body: usize) {
-        self.answering.set(true);
-        self.wrote.set(Instant::now());
-        let mut state = self.state.borrow_mut();
-        let whole = state.scan.place == Place::Behind(body);
-        state.scan = Scan { place: if whole { Place::Between } else { Place::Lost }, ..Scan::default() };
-        self.began.set(if whole { None } else { Some(Instant::now()) });
+    /// Announces the response to a request with a body of this length: what follows it is the next request.
+    pub fn response_begins(&self, body_length: usize) {
+        self.is_responding.set(true);
+        self.last_written_at.set(Instant::now());
+        let is_between_requests = self.input.borrow_mut().scanner.expect_next_request(body_length);
+        self.request_began_at.set(if is_between_requests { None } else { Some(Instant::now()) });
     }
 
-    /// Whether bytes have come that nobody has read.
+    /// Whether bytes have arrived that hyper has not read.
     pub fn has_unread_input(&self) -> bool {
-        let state = self.state.borrow();
-        let Some(stream) = &state.stream else { return false };
-        if !state.ahead.is_empty() {
+        let input = self.input.borrow();
+        let Some(socket) = &input.socket else { return false };
+        if !input.read_ahead.is_empty() {
             return true;
         }
-        let mut byte = [std::mem::MaybeUninit::uninit()];
-        matches!(socket2::SockRef::from(stream.get_ref()).peek(&mut byte), Ok(n) if n > 0)
+        let mut byte = [MaybeUninit::uninit()];
+        matches!(socket2::SockRef::from(socket.get_ref()).peek(&mut byte), Ok(read) if read > 0)
     }
 
-    /// Whether the client has ended its side or the connection broke, though no event has told of it yet: what the
-    /// runtime knows is as old as its last look at its events. What the client sent ahead of its end is kept.
-    pub fn has_left(&self) -> bool {
-        let mut data = [0; READ_AHEAD];
+    /// Whether the client has ended its sending side or the connection broke. This asks the system: what the runtime
+    /// knows is as old as its last poll for events. What the client sent before its end is kept.
+    pub fn has_disconnected(&self) -> bool {
+        let mut data = [0; READ_AHEAD_CHUNK_BYTES];
+        let mut input = self.input.borrow_mut();
         loop {
-            let mut state = self.state.borrow_mut();
-            if state.ended {
+            if input.ended {
                 return true;
             }
-            let Some(stream) = &state.stream else { return true };
-            match (&*socket2::SockRef::from(stream.get_ref())).read(&mut data) {
-                Ok(0) => state.ended = true,
-                Ok(read) => self.buffer_ahead(&mut state, &data[..read]),
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return e.kind() != io::ErrorKind::WouldBlock,
+            let Some(socket) = &input.socket else { return true };
+            match (&*socket2::SockRef::from(socket.get_ref())).read(&mut data) {
+                Ok(0) => input.ended = true,
+                Ok(read) => self.keep_read_ahead(&mut input, &data[..read]),
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => return error.kind() != io::ErrorKind::WouldBlock,
             }
         }
     }
 
-    /// Whether the client has ended its side behind bytes that nobody has read, as of the runtime's last look at its
-    /// events: the rest of a long body lies before the end, and is not read until an attempt takes it.
-    pub fn end_is_announced(&self) -> bool {
-        let state = self.state.borrow();
-        let Some(stream) = &state.stream else { return true };
-        let ready = pin!(stream.get_ref().ready(Interest::READABLE));
+    /// Whether the client has ended its sending side behind input that is still unread, as of the runtime's last poll
+    /// for events. The rest of a long body is not read before an attempt takes it, so its end cannot be read either.
+    pub fn is_end_announced(&self) -> bool {
+        let input = self.input.borrow();
+        let Some(socket) = &input.socket else { return true };
+        let ready = pin!(socket.get_ref().ready(Interest::READABLE));
         let ready = ready.poll(&mut Context::from_waker(Waker::noop()));
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Keeps bytes that came while a request is in work, up to a limit.
-    fn buffer_ahead(&self, state: &mut State, data: &[u8]) {
-        state.overrun |= state.ahead.len() + data.len() > AHEAD_MOST;
-        if !state.overrun {
-            state.ahead.extend_from_slice(data);
-        }
-        self.heard.set(Instant::now());
+    /// Waits until the client ends its sending side or the connection breaks, while its request is in progress. hyper
+    /// does not notice that behind further input, which is read here and kept.
+    pub async fn disconnected(&self) {
+        let _guard = RequestInProgressGuard::new(&self.request_in_progress);
+        poll_fn(|cx| self.poll_disconnected(cx)).await;
     }
 
-    /// Waits until the client ends its side or the connection breaks, while its request is in work. hyper does not
-    /// look once the client has sent anything ahead, which is read here and kept for it.
-    pub async fn client_left(&self) {
-        let _working = Working::new(&self.working);
-        poll_fn(|cx| self.poll_client_left(cx)).await;
+    /// Whether another request can be read completely.
+    pub fn can_read_next_request(&self) -> bool {
+        let input = self.input.borrow();
+        !input.ended && !input.read_ahead_overflowed
+    }
+
+    /// Closes the connection, once the client stops sending or after a while.
+    pub async fn close_after_input(&self) {
+        let socket = self.input.borrow_mut().socket.take();
+        let ended = self.input.borrow().ended;
+        if let Some(socket) = socket.filter(|_| !ended) {
+            linger::close_after_input(socket).await;
+        }
     }
 
-    fn poll_client_left(&self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut data = [0; READ_AHEAD];
+    /// Reads ahead until the client disconnects.
+    fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
+        let mut data = [0; READ_AHEAD_CHUNK_BYTES];
         loop {
-            if self.state.borrow().ended {
+            if self.input.borrow().ended {
                 return Poll::Ready(());
             }
             let mut buf = ReadBuf::new(&mut data);
-            if ready!(self.poll_socket(|stream| stream.poll_read(cx, &mut buf))).is_err() {
+            if ready!(self.poll_socket(|socket| socket.poll_read(cx, &mut buf))).is_err() {
                 return Poll::Ready(());
             }
-            let mut state = self.state.borrow_mut();
+            let mut input = self.input.borrow_mut();
             if buf.filled().is_empty() {
-                state.ended = true;
+                input.ended = true;
                 return Poll::Ready(());
             }
-            self.buffer_ahead(&mut state, buf.filled());
+            self.keep_read_ahead(&mut input, buf.filled());
         }
     }
 
-    /// Whether a further request can be read, and not only part of what came.
-    pub fn wait_readable(&self) -> bool {
-        let state = self.state.borrow();
-        !state.ended && !state.overrun
+    /// Keeps bytes that arrived while a request is in progress.
+    fn keep_read_ahead(&self, input: &mut Input, data: &[u8]) {
+        input.extend_read_ahead(data);
+        self.last_read_at.set(Instant::now());
     }
 
-    /// Ends the sending side and reads a client out that may not have sent all, for a while.
-    pub async fn linger(&self) {
-        let (stream, ended) = {
-            let mut state = self.state.borrow_mut();
-            (state.stream.take(), state.ended)
-        };
-        let Some(mut stream) = stream.filter(|_| !ended) else { return };
-        let read_out = async {
-            let (mut data, mut left) = ([0; 4096], LINGER_BYTES);
-            stream.shutdown().await?;
-            while left > 0 {
-                match timeout(LINGER_SILENCE, stream.read(&mut data)).await?? {
-                    0 => break,
-                    n => left = left.saturating_sub(n),
-                }
-            }
-            io::Result::Ok(())
-        };
-        // However that ended, the connection closes now.
-        let _ = timeout(LINGER_MOST, read_out).await;
+    /// Moves what was read ahead to a buffer. False if there was nothing and the socket is to be read.
+    fn take_read_ahead(&self, buf: &mut ReadBuf<'_>) -> bool {
+        let mut input = self.input.borrow_mut();
+        let length = input.read_ahead.len().min(buf.remaining());
+        buf.put_slice(&input.read_ahead.split_to(length));
+        // Not every system reports an end again that was read before.
+        length > 0 || input.ended
     }
 
-    /// Hands on what was read ahead, if there is any.
-    fn take_buffered(&self, buf: &mut ReadBuf<'_>) -> bool {
-        let mut state = self.state.borrow_mut();
-        let length = state.ahead.len().min(buf.remaining());
-        buf.put_slice(&state.ahead.split_to(length));
-        // An end that was seen is not told anew by every system.
-        length > 0 || state.ended
+    /// Records what hyper has read. `is_buffer_full` if there may be more of it.
+    fn record_read(&self, data: &[u8], is_buffer_full: bool) {
+        let mut input = self.input.borrow_mut();
+        input.ended |= data.is_empty();
+        self.last_read_at.set(Instant::now());
+        input.scanner.scan(data);
+        let may_end_request = input.scanner.is_past_head() && !data.is_empty() && !is_buffer_full;
+        self.defers_next_read.set(may_end_request);
+        if self.request_began_at.get().is_none() && input.scanner.is_in_request() {
+            self.request_began_at.set(Some(Instant::now()));
+        }
     }
 
+    /// Polls the socket; an error where the connection has been closed.
     fn poll_socket<T>(
         &self,
-        act: impl FnOnce(Pin<&mut Socket<TcpStream>>) -> Poll<io::Result<T>>,
+        poll: impl FnOnce(Pin<&mut Socket<TcpStream>>) -> Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
-        match self.state.borrow_mut().stream.as_mut() {
-            Some(stream) => act(Pin::new(stream)),
+        match self.input.borrow_mut().socket.as_mut() {
+            Some(socket) => poll(Pin::new(socket)),
             None => Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into())),
         }
     }
 }
 
-/// A request is in work for as long as this lives.
-struct Working<'a>(&'a Cell<bool>);
+/// Marks a request as in progress until it is dropped.
+struct RequestInProgressGuard<'a> {
+    /// The mark.
+    request_in_progress: &'a Cell<bool>,
+}
 
-impl<'a> Working<'a> {
-    fn new(working: &'a Cell<bool>) -> Working<'a> {
-        working.set(true);
-        Working(working)
+impl<'a> RequestInProgressGuard<'a> {
+    /// Marks a request as in progress.
+    fn new(request_in_progress: &'a Cell<bool>) -> RequestInProgressGuard<'a> {
+        request_in_progress.set(true);
+        RequestInProgressGuard { request_in_progress }
     }
 }
 
-impl Drop for Working<'_> {
+impl Drop for RequestInProgressGuard<'_> {
     fn drop(&mut self) {
-        self.0.set(false);
+        self.request_in_progress.set(false);
     }
 }
 
-/// A wire as hyper reads and writes it.
+/// A connection as hyper reads and writes it.
 pub struct ClientStreamIo(pub Rc<ClientStream>);
 
 impl AsyncRead for ClientStreamIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
-        // hyper reads on by itself once the request has its answer.
-        if self.0.working.get() {
+        let stream = &self.0;
+        // hyper polls again by itself once the request has its response.
+        if stream.request_in_progress.get() {
             return Poll::Pending;
         }
-        if self.0.may_be_whole.replace(false) {
+        if stream.defers_next_read.replace(false) {
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
-        let read = match self.0.take_buffered(buf) {
-            true => Poll::Ready(Ok(())),
-            false => self.0.poll_socket(|stream| stream.poll_read(cx, buf)),
-        };
-        if let Poll::Ready(Ok(())) = &read {
-            let data = &buf.filled()[before..];
-            let mut state = self.0.state.borrow_mut();
-            state.ended |= data.is_empty();
-            self.0.heard.set(Instant::now());
-            state.scan.read(data);
-            let behind_head = matches!(state.scan.place, Place::Behind(_));
-            self.0.may_be_whole.set(behind_head && !data.is_empty() && buf.remaining() > 0);
-            if self.0.began.get().is_none() && state.scan.place != Place::Between {
-                self.0.began.set(Some(Instant::now()));
-            }
+        let filled_before = buf.filled().len();
+        if !stream.take_read_ahead(buf) {
+            ready!(stream.poll_socket(|socket| socket.poll_read(cx, buf)))?;
         }
-        read
+        stream.record_read(&buf.filled()[filled_before..], buf.remaining() == 0);
+        Poll::Ready(Ok(()))
     }
 }
 
 impl AsyncWrite for ClientStreamIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
-        let wrote = self.0.poll_socket(|stream| stream.poll_write(cx, data));
-        self.0.answering.set(true);
-        if wrote.is_ready() {
-            self.0.wrote.set(Instant::now());
+        let result = self.0.poll_socket(|socket| socket.poll_write(cx, data));
+        self.0.is_responding.set(true);
+        if result.is_ready() {
+            self.0.last_written_at.set(Instant::now());
         }
-        wrote
+        result
     }
 
-    // hyper flushes what lies under it once it has written all that it had.
+    // hyper flushes once it has written all that it had.
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let flushed = self.0.poll_socket(|stream| stream.poll_flush(cx));
-        if flushed.is_ready() {
-            self.0.answering.set(false);
+        let result = self.0.poll_socket(|socket| socket.poll_flush(cx));
+        if result.is_ready() {
+            self.0.is_responding.set(false);
         }
-        flushed
+        result
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.0.poll_socket(|stream| stream.poll_shutdown(cx))
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::{Framing, Place, Scan};
-
-    /// Both headers are found in any order, case and cut; a header that only looks alike is not one.
-    #[test]
-    fn framing_is_found_however_the_head_is_cut() {
-        let cases: [(&[u8], Framing); 4] = [
-            (
-                b"\r\nPOST /a HTTP/1.1\r\nContent-LENGTH: 5\r\nTransfer-Encoding: chunked\r\n\r\nbody",
-                Framing { length: true, coding: true },
-            ),
-            (
-                b"POST /a HTTP/1.1\ntransfer-encoding:chunked\ncontent-length:5\n\nbody",
-                Framing { length: true, coding: true },
-            ),
-            (b"POST /a HTTP/1.1\r\nX-Content-Length: 5\r\nHost: a\r\n\r\nbody", Framing::default()),
-            (
-                b"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody",
-                Framing { length: true, coding: false },
-            ),
-        ];
-        for (text, framing) in cases {
-            for cut in 0..text.len() {
-                let mut scan = Scan::default();
-                scan.read(&text[..cut]);
-                scan.read(&text[cut..]);
-                assert_eq!((scan.framing, scan.place), (framing, Place::Behind(4)), "cut at {cut}");
-            }
-        }
+        self.0.poll_socket(|socket| socket.poll_shutdown(cx))
     }
 }
--- a/crates/gateway/src/network/headers.rs
+++ b/crates/gateway/src/network/headers.rs
@@ -141,7 +141,7 @@
     Some(report).filter(|report| *report != LoadReport::default())
 }
 
-/// Whether a response tells where its body ends, in one way: by its length, by its last chunk, or by the end of a
+/// Whether the end of a response body is defined, in one way only: by its length, by its last chunk, or by the end of a
 /// connection that it announces to close. A server that dies resets its connections instead.
 pub fn has_body_end(headers: &HeaderMap) -> bool {
     let has_length = headers.contains_key(CONTENT_LENGTH);
--- a/crates/gateway/src/servers/attempt.rs
+++ b/crates/gateway/src/servers/attempt.rs
@@ -94,7 +94,7 @@
         self.connection.borrow().is_none()
     }
 
-    /// Gives the attempt its connection, or takes it away again.
+    /// Sets the connection of the attempt, or removes it again.
     pub fn set(&self, connection: Option<Rc<ServerConnection>>) {
         self.connection.replace(connection);
     }
--- a/crates/gateway/src/servers/connection.rs
+++ b/crates/gateway/src/servers/connection.rs
@@ -1,5 +1,5 @@
-//! One TCP connection to a server. Whoever gives up on its request closes it at once, and it knows whether that request
-//! has been written completely.
+//! One TCP connection to a server. It can be closed at once when its request is abandoned, and it knows whether that
+//! request has been written completely.
 
 use crate::network::socket::Socket;
 use crate::servers::request_progress::RequestProgress;
--- a/crates/gateway/src/servers/exchange.rs
+++ b/crates/gateway/src/servers/exchange.rs
@@ -34,7 +34,7 @@
     max_units: f64,
 }
 
-/// One attempt: the request and where it goes.
+/// One attempt: the request and its destination.
 struct Attempt<'a> {
     /// The server.
     server: ServerId,
@@ -138,10 +138,10 @@
     }
 
     /// Reads the body of a response as far as it is buffered. A longer one waits for the memory to forward it, and so
-    /// does its server. `None` if the response is not sound.
+    /// does its server. `None` if the response is not valid.
     async fn read_response_body(&self, head: &response::Parts, body: Incoming) -> Option<ReceivedBody> {
         let is_ok = head.status == StatusCode::OK;
-        // An interim response, or one that does not tell where it ends, is not sound.
+        // An interim response, or one whose end cannot be determined, is not valid.
         if head.status.is_informational() || is_ok && !headers::has_body_end(&head.headers) {
             return None;
         }
@@ -215,7 +215,7 @@
         request
     }
 
-    /// What it means that no response came over a connection, by how much of the request had been written.
+    /// How the attempt ended without a response, by how much of the request had been written.
     fn end_without_response(
         &self,
         connection: &ServerConnection,
--- a/crates/gateway/src/servers/pool.rs
+++ b/crates/gateway/src/servers/pool.rs
@@ -20,17 +20,17 @@
 /// is written would end that request with a reset.
 const MAX_IDLE_FRACTION: f64 = 0.5;
 /// The time between a response and the next request on a connection. A surplus response may arrive some milliseconds
-/// late, and could not be told from that to the next request.
+/// late, and could not be distinguished from that to the next request.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
 /// Largest read buffer that hyper keeps for a connection.
 const MAX_READ_BUFFER_BYTES: usize = 32 << 10;
 
-/// The process that serves a listed server, as far as the list tells one from another.
+/// The process of a listed server, as the list identifies it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ServerProcess {
     /// Where it listens.
     address: SocketAddr,
-    /// Its reported start, which identifies it; it is compared to no clock.
+    /// Its reported start, an identifier only: it is never compared to a clock.
     started_at: Option<Micros>,
 }
 
