--- a/crates/scale-laboratory/src/hollow/clients.rs
+++ b/crates/scale-laboratory/src/hollow/clients.rs
@@ -1,42 +1,55 @@
 //! Clients on simulated time: requests at random times, tenants, and how much of its quota each has used.
 
 use crate::experiment::{Fleet, Load};
-use crate::settings::METER;
+use crate::settings::USAGE_REPORT_PERIOD;
 use grebehook_core::Micros;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Spreads tenants' sets of gateways over the fleet.
-const MIX: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Multiplier that spreads tenants' sets of gateways over the fleet (2^64 divided by the golden ratio).
+const TENANT_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A request that waits for its answer.
+/// A request that waits for its response.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingRequest {
     /// Whose it is.
     pub tenant: usize,
     /// When it was sent.
-    pub sent: Micros,
+    pub sent_at: Micros,
     /// The gateway that has it.
     pub gateway: usize,
     /// Whether an attempt was sent for it.
     pub attempted: bool,
 }
 
+/// The gateways that serve a tenant; they follow one another.
+#[derive(Clone, Copy, Debug)]
+pub struct GatewaySet {
+    /// The first of them.
+    pub first: usize,
+    /// How many they are.
+    pub count: usize,
+}
+
+/// Units that a tenant used at the servers of one region.
 #[derive(Clone, Copy, Debug, Default)]
 struct Usage {
+    /// The period that `units` belong to.
     period: u64,
+    /// Units used in it.
     units: f64,
-    before: f64,
+    /// Units used in the period before.
+    previous_units: f64,
 }
 
 impl Usage {
-    /// Begins the period that it is now, if it has not begun.
-    fn roll(&mut self, now: Micros) {
-        let period = now / METER;
+    /// Begins the current period, if it has not begun.
+    fn roll_over(&mut self, now: Micros) {
+        let period = now / USAGE_REPORT_PERIOD;
         if self.period == period {
             return;
         }
-        self.before = if self.period + 1 == period { self.units } else { 0.0 };
+        self.previous_units = if self.period + 1 == period { self.units } else { 0.0 };
         self.units = 0.0;
         self.period = period;
     }
@@ -44,15 +57,23 @@
 
 /// The clients of all tenants.
 pub struct Clients {
+    /// How many tenants there are.
     tenants: usize,
+    /// How many gateways there are.
     gateways: usize,
-    spread: usize,
-    per_second: f64,
+    /// How many gateways serve a tenant.
+    gateways_per_tenant: usize,
+    /// Requests a second of all clients together.
+    requests_per_second: f64,
+    /// How many tenants are hot.
     hot_tenants: usize,
+    /// Share of the requests that hot tenants send.
     hot_share: f64,
+    /// Quota of a tenant, units a second.
     quota_rate: f64,
-    /// By tenant and the region whose servers it used: servers know the use that they can hear of.
+    /// Usage by tenant and by the region of the server: a server knows only the usage of regions it can reach.
     usage: Vec<Vec<Usage>>,
+    /// Units served to hot tenants since they were last taken.
     hot_units: f64,
 }
 
@@ -62,8 +83,8 @@
         Clients {
             tenants: fleet.tenants,
             gateways: fleet.gateways,
-            spread: fleet.gateways_per_tenant.min(fleet.gateways),
-            per_second: load.requests_per_second,
+            gateways_per_tenant: fleet.gateways_per_tenant.min(fleet.gateways),
+            requests_per_second: load.requests_per_second,
             hot_tenants: load.hot_tenants.min(fleet.tenants),
             hot_share: load.hot_share,
             quota_rate: load.quota_rate,
@@ -72,49 +93,52 @@
         }
     }
 
-    /// Time to the next request; none where clients send nothing.
+    /// Time to the next request, exponentially distributed; `None` if clients send nothing.
     pub fn next_arrival(&self, rng: &mut ChaCha8Rng) -> Option<Micros> {
-        if self.per_second <= 0.0 {
+        if self.requests_per_second <= 0.0 {
             return None;
         }
         let draw: f64 = rng.random();
-        let gap = -(1.0 - draw).ln() / self.per_second * 1e6;
+        let gap = -(1.0 - draw).ln() / self.requests_per_second * 1e6;
         Some(gap as Micros + 1)
     }
 
     /// The tenant of the next request.
     pub fn draw_tenant(&self, rng: &mut ChaCha8Rng) -> usize {
         let hot = self.hot_tenants > 0 && rng.random::<f64>() < self.hot_share;
-        match hot {
-            true => rng.random_range(0..self.hot_tenants),
-            false => rng.random_range(0..self.tenants),
-        }
+        rng.random_range(0..if hot { self.hot_tenants } else { self.tenants })
     }
 
-    /// The first gateway of a tenant's set, and how many follow each other in it.
-    pub fn gateways_of(&self, tenant: usize) -> (usize, usize) {
-        let mixed = (tenant as u64).wrapping_mul(MIX) >> 32;
-        (mixed as usize % self.gateways, self.spread)
+    /// The gateways that serve a tenant.
+    pub fn gateways_of(&self, tenant: usize) -> GatewaySet {
+        let hash = (tenant as u64).wrapping_mul(TENANT_HASH_MULTIPLIER) >> 32;
+        GatewaySet { first: hash as usize % self.gateways, count: self.gateways_per_tenant }
     }
 
-    /// Books a unit that a server of a region has served.
-    pub fn book(&mut self, now: Micros, tenant: usize, region: usize) {
+    /// Records a unit that a server of a region has served.
+    pub fn record_usage(&mut self, now: Micros, tenant: usize, region: usize) {
         let usage = &mut self.usage[tenant][region];
-        usage.roll(now);
+        usage.roll_over(now);
         usage.units += 1.0;
         if tenant < self.hot_tenants {
             self.hot_units += 1.0;
         }
     }
 
-    /// A tenant's use of its quota in the meter's last whole period, as a share, as far as it is heard of.
-    pub fn used(&mut self, now: Micros, tenant: usize, heard: impl Fn(usize) -> bool) -> Option<f64> {
-        let quota = self.quota_rate * METER as f64 / 1e6;
-        let regions = self.usage[tenant].iter_mut().enumerate().filter(|(region, _)| heard(*region));
+    /// A tenant's usage in the last complete report period, as a share of its quota, summed over the regions that the
+    /// reporting server reaches; `None` without a quota.
+    pub fn reported_usage(
+        &mut self,
+        now: Micros,
+        tenant: usize,
+        reaches: impl Fn(usize) -> bool,
+    ) -> Option<f64> {
+        let quota = self.quota_rate * USAGE_REPORT_PERIOD as f64 / 1e6;
+        let regions = self.usage[tenant].iter_mut().enumerate().filter(|(region, _)| reaches(*region));
         let used: f64 = regions
             .map(|(_, usage)| {
-                usage.roll(now);
-                usage.before
+                usage.roll_over(now);
+                usage.previous_units
             })
             .sum();
         (quota > 0.0).then(|| used / quota)
--- a/crates/scale-laboratory/src/hollow/gateway.rs
+++ b/crates/scale-laboratory/src/hollow/gateway.rs
@@ -1,37 +1,49 @@
-//! The host of a hollow gateway: its decision core, the requests it holds, and its version of the list.
+//! The host of a hollow gateway: its decision core, its requests in flight, and its version of the endpoint list.
 
-use super::queue::GatewayLife;
+use super::event_queue::Incarnation;
 use crate::error::Result;
 use grebehook_core::{AttemptStatus, Gateway, Micros, RequestId, Settings};
 use std::collections::BTreeMap;
 
-/// Calls of the counter that a gateway has out at once.
-pub const COUNTER_CALLS_MOST: usize = 16;
+/// Counter calls that a gateway has in flight at most.
+pub const MAX_COUNTER_CALLS: usize = 16;
 
 /// An attempt that was sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     /// Where to.
     pub server: usize,
-    /// The server's life then.
-    pub epoch: u32,
+    /// The server's incarnation then.
+    pub server_incarnation: u32,
     /// When.
     pub sent_at: Micros,
     /// How long the core waits for it.
     pub timeout: Micros,
     /// How it ends.
     pub status: AttemptStatus,
-    /// Whether it is still out.
+    /// Whether it has not ended yet.
     pub in_flight: bool,
 }
 
-/// A request that the host holds.
+/// A request that the host keeps until its last attempt has ended.
 #[derive(Debug, Default)]
-pub struct HeldRequest {
+pub struct HostedRequest {
     /// Its attempts, in the order of their sends.
     pub attempts: Vec<Attempt>,
-    /// The client has its answer or has left.
-    pub over: bool,
+    /// The client has its response or has disconnected.
+    pub finished: bool,
+}
+
+impl HostedRequest {
+    /// An attempt that has not ended.
+    pub fn attempt_in_flight(&mut self, number: u32) -> Option<&mut Attempt> {
+        self.attempts.get_mut(number as usize).filter(|attempt| attempt.in_flight)
+    }
+
+    /// Whether nothing more happens to it.
+    pub fn is_over(&self) -> bool {
+        self.finished && self.attempts.iter().all(|attempt| !attempt.in_flight)
+    }
 }
 
 /// A hollow gateway.
@@ -39,23 +51,23 @@
     /// Its number.
     pub number: usize,
     /// Counts its starts.
-    pub life: u32,
-    /// Its decisions; none while it is down.
+    starts: u32,
+    /// Its decision core; `None` while it is down.
     pub core: Option<Gateway>,
-    /// Requests it holds.
-    pub requests: BTreeMap<RequestId, HeldRequest>,
-    /// The version of the list that it has.
-    pub version: u64,
-    /// Counts its watches, so that an answered one does not expire.
-    pub watches: u64,
-    /// Calls of the counter that are out.
-    pub counter_calls: usize,
-    /// Which of the counters it calls, by its configuration.
-    pub configuration: u32,
-    /// Its host carries out nothing any more.
+    /// The requests it keeps.
+    pub requests: BTreeMap<RequestId, HostedRequest>,
+    /// The version of the endpoint list that it has.
+    pub list_version: u64,
+    /// The number of its last watch, so that an answered one does not time out.
+    pub last_watch: u64,
+    /// Counter calls that have not ended.
+    pub counter_calls_in_flight: usize,
+    /// The version of its configuration, which says which counter it calls.
+    pub configuration_version: u32,
+    /// Its host carries out no more actions.
     pub stalled: bool,
-    /// The front knows that it is down.
-    pub noticed_down: bool,
+    /// The load balancer knows that it is down.
+    pub marked_down: bool,
 }
 
 impl HollowGateway {
@@ -63,42 +75,42 @@
     pub fn new(number: usize) -> HollowGateway {
         HollowGateway {
             number,
-            life: 0,
+            starts: 0,
             core: None,
             requests: BTreeMap::new(),
-            version: 0,
-            watches: 0,
-            counter_calls: 0,
-            configuration: 0,
+            list_version: 0,
+            last_watch: 0,
+            counter_calls_in_flight: 0,
+            configuration_version: 0,
             stalled: false,
-            noticed_down: false,
+            marked_down: false,
         }
     }
 
-    /// Starts it from nothing.
+    /// Starts it without any state of an earlier incarnation.
     pub fn start(&mut self, now: Micros, settings: Settings, seed: u64) -> Result<()> {
-        self.life += 1;
-        let seed = seed ^ ((self.number as u64) << 32) ^ u64::from(self.life);
+        self.starts += 1;
+        let seed = seed ^ ((self.number as u64) << 32) ^ u64::from(self.starts);
         self.core = Some(Gateway::new(settings, seed, now)?);
-        self.counter_calls = 0;
-        self.noticed_down = false;
+        self.counter_calls_in_flight = 0;
+        self.marked_down = false;
         Ok(())
     }
 
-    /// Ends it with no warning; the requests that it held.
+    /// Kills it; the requests that had no response.
     pub fn kill(&mut self) -> Vec<RequestId> {
         self.core = None;
-        let held = std::mem::take(&mut self.requests);
-        held.into_iter().filter(|(_, r)| !r.over).map(|(id, _)| id).collect()
+        let requests = std::mem::take(&mut self.requests);
+        requests.into_iter().filter(|(_, request)| !request.finished).map(|(id, _)| id).collect()
     }
 
-    /// This life of it.
-    pub fn this_life(&self) -> GatewayLife {
-        GatewayLife { gateway: self.number, life: self.life }
+    /// Its current incarnation.
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation { gateway: self.number, number: self.starts }
     }
 
-    /// Whether this life goes on.
-    pub fn lives(&self, life: GatewayLife) -> bool {
-        self.core.is_some() && self.life == life.life
+    /// Whether it still runs as this incarnation.
+    pub fn is_running(&self, incarnation: Incarnation) -> bool {
+        self.core.is_some() && self.starts == incarnation.number
     }
 }
--- a/crates/scale-laboratory/src/hollow/mod.rs
+++ b/crates/scale-laboratory/src/hollow/mod.rs
@@ -1,18 +1,25 @@
 //! Hollow gateways: decision cores and their control traffic, many to a process, on simulated time. A run depends
 //! on nothing but its experiment and seed.
+//!
+//! `simulation` is the event loop. It owns the state of the network, the servers, discovery, the counter and the
+//! clients; the modules `requests`, `attempts`, `counter_calls`, `discovery`, `lifecycle` and `faults` are its
+//! handlers of events.
 
+mod attempts;
 mod clients;
-mod counter;
-mod counting;
+mod counter_calls;
 mod discovery;
+mod endpoint_history;
+mod event_queue;
 mod faults;
 mod gateway;
+mod lifecycle;
+mod measurements;
 mod network;
-mod queue;
-mod relay;
+mod requests;
 mod servers;
+mod shared_counter;
 mod simulation;
-mod tally;
 
 use crate::error::Result;
 use crate::experiment::Experiment;
--- a/crates/scale-laboratory/src/hollow/network.rs
+++ b/crates/scale-laboratory/src/hollow/network.rs
@@ -4,39 +4,42 @@
 use grebehook_core::Micros;
 use std::collections::BTreeSet;
 
-/// One way within a zone.
-const SAME_ZONE: Micros = 150;
-/// One way between zones of a region.
-const SAME_REGION: Micros = 600;
+/// One-way delay within a zone.
+const ZONE_DELAY: Micros = 150;
+/// One-way delay between zones of a region.
+const REGION_DELAY: Micros = 600;
 /// The region of the counter and of discovery's origin.
-pub const HOME_REGION: usize = 0;
+const HOME_REGION: usize = 0;
 
 /// The network between zones.
 pub struct Network {
+    /// Where servers and gateways stand.
     topology: Topology,
+    /// One-way delay between regions.
     between_regions: Micros,
-    cuts: BTreeSet<(usize, usize)>,
+    /// Pairs of regions that cannot reach each other, the smaller number first.
+    partitions: BTreeSet<(usize, usize)>,
 }
 
 impl Network {
-    /// A whole network.
+    /// A network without partitions.
     pub fn new(topology: Topology, between_regions: Micros) -> Network {
-        Network { topology, between_regions, cuts: BTreeSet::new() }
+        Network { topology, between_regions, partitions: BTreeSet::new() }
     }
 
-    /// Two regions reach each other no more, or again.
-    pub fn set_cut(&mut self, first: usize, second: usize, cut: bool) {
+    /// Two regions cannot reach each other from now on, or can again.
+    pub fn set_partitioned(&mut self, first: usize, second: usize, partitioned: bool) {
         let pair = (first.min(second), first.max(second));
-        if cut {
-            self.cuts.insert(pair);
+        if partitioned {
+            self.partitions.insert(pair);
         } else {
-            self.cuts.remove(&pair);
+            self.partitions.remove(&pair);
         }
     }
 
     /// Whether two regions reach each other.
     pub fn reaches(&self, first: usize, second: usize) -> bool {
-        !self.cuts.contains(&(first.min(second), first.max(second)))
+        !self.partitions.contains(&(first.min(second), first.max(second)))
     }
 
     /// Whether a gateway reaches the region of the counter and of discovery's origin.
@@ -49,30 +52,30 @@
         self.reaches(self.topology.region_of_gateway(gateway), self.topology.region_of_server(server))
     }
 
-    /// One way between a gateway and a server.
-    pub fn to_server(&self, gateway: usize, server: usize) -> Micros {
-        let zones = (self.topology.zone_of_gateway(gateway), self.topology.zone_of_server(server));
-        self.between_zones(zones.0, zones.1)
+    /// One-way delay between a gateway and a server.
+    pub fn delay_to_server(&self, gateway: usize, server: usize) -> Micros {
+        self.delay(self.topology.zone_of_gateway(gateway), self.topology.zone_of_server(server))
     }
 
-    /// One way between a gateway and the home region.
-    pub fn to_home(&self, gateway: usize) -> Micros {
+    /// One-way delay between two gateways.
+    pub fn delay_to_gateway(&self, from: usize, to: usize) -> Micros {
+        self.delay(self.topology.zone_of_gateway(from), self.topology.zone_of_gateway(to))
+    }
+
+    /// One-way delay between a gateway and the home region.
+    pub fn delay_to_home(&self, gateway: usize) -> Micros {
         match self.topology.region_of_gateway(gateway) {
-            HOME_REGION => SAME_REGION,
+            HOME_REGION => REGION_DELAY,
             _ => self.between_regions,
         }
     }
 
-    /// One way between two gateways.
-    pub fn to_gateway(&self, from: usize, to: usize) -> Micros {
-        self.between_zones(self.topology.zone_of_gateway(from), self.topology.zone_of_gateway(to))
-    }
-
-    fn between_zones(&self, first: usize, second: usize) -> Micros {
-        if first == second {
-            SAME_ZONE
-        } else if self.topology.region_of_zone(first) == self.topology.region_of_zone(second) {
-            SAME_REGION
+    /// One-way delay between two zones.
+    fn delay(&self, first_zone: usize, second_zone: usize) -> Micros {
+        if first_zone == second_zone {
+            ZONE_DELAY
+        } else if self.topology.region_of_zone(first_zone) == self.topology.region_of_zone(second_zone) {
+            REGION_DELAY
         } else {
             self.between_regions
         }
--- a/crates/scale-laboratory/src/hollow/servers.rs
+++ b/crates/scale-laboratory/src/hollow/servers.rs
@@ -1,4 +1,4 @@
-//! Servers on simulated time: a few requests at once, a short queue, a cold start, and loss.
+//! Servers on simulated time: a few requests at once, a short queue, slow start, and loss.
 
 use crate::experiment::Backend;
 use crate::settings::micros;
@@ -6,96 +6,107 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// How a server takes a request that reaches it.
+/// How a server responds to a request that reaches it.
 #[derive(Clone, Copy, Debug)]
-pub struct Service {
-    /// When it answers.
-    pub finishes: Micros,
-    /// How.
+pub struct ServerResponse {
+    /// When.
+    pub at: Micros,
+    /// With which status.
     pub status: AttemptStatus,
 }
 
 /// One server.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// When each of its places is free.
-    places: Vec<Micros>,
-    /// Counts its losses: an answer of an earlier life never comes.
-    pub epoch: u32,
-    /// Whether it is there.
-    pub present: bool,
-    /// When it last started; 0 means long past.
-    pub ready_at: Micros,
+    /// When each of its workers is idle.
+    workers_idle_at: Vec<Micros>,
+    /// Counts its stops: a response of an earlier incarnation never comes.
+    pub incarnation: u32,
+    /// Whether it runs.
+    pub running: bool,
+    /// When it last started; 0 if that was long ago.
+    pub started_at: Micros,
 }
 
 /// All servers.
 pub struct Servers {
-    list: Vec<Server>,
-    mean: f64,
-    queue: usize,
+    /// The servers by their numbers.
+    servers: Vec<Server>,
+    /// Mean service time of a warm server, microseconds.
+    mean_service_time_us: f64,
+    /// Requests that may wait for a worker.
+    queue_length: usize,
+    /// The figures of slow start.
     rules: ProtocolRules,
 }
 
 impl Servers {
-    /// So many warm servers.
+    /// Warm servers.
     pub fn new(count: usize, backend: &Backend, rules: ProtocolRules) -> Servers {
-        let server = Server { places: vec![0; backend.concurrency], epoch: 0, present: true, ready_at: 0 };
-        let mean = micros(backend.service_milliseconds) as f64;
-        Servers { list: vec![server; count], mean, queue: backend.queue, rules }
+        let server = Server {
+            workers_idle_at: vec![0; backend.concurrency],
+            incarnation: 0,
+            running: true,
+            started_at: 0,
+        };
+        Servers {
+            servers: vec![server; count],
+            mean_service_time_us: micros(backend.service_milliseconds) as f64,
+            queue_length: backend.queue,
+            rules,
+        }
     }
 
     /// How many there are.
     pub fn len(&self) -> usize {
-        self.list.len()
+        self.servers.len()
     }
 
     /// One server.
     pub fn get(&self, server: usize) -> &Server {
-        &self.list[server]
+        &self.servers[server]
     }
 
-    /// A server vanishes.
-    pub fn lose(&mut self, server: usize) {
-        let lost = &mut self.list[server];
-        lost.present = false;
-        lost.epoch += 1;
+    /// A server stops; its requests get no response.
+    pub fn stop(&mut self, server: usize) {
+        let server = &mut self.servers[server];
+        server.running = false;
+        server.incarnation += 1;
     }
 
-    /// A server starts, cold.
-    pub fn restore(&mut self, now: Micros, server: usize) {
-        let restored = &mut self.list[server];
-        restored.present = true;
-        restored.ready_at = now;
-        restored.places.fill(now);
+    /// A server starts, and has to warm up.
+    pub fn start(&mut self, now: Micros, server: usize) {
+        let server = &mut self.servers[server];
+        server.running = true;
+        server.started_at = now;
+        server.workers_idle_at.fill(now);
     }
 
-    /// A request reaches a server that is there.
-    pub fn take(&mut self, arrives: Micros, server: usize, rng: &mut ChaCha8Rng) -> Service {
-        let speed = self.speed(arrives, server);
-        let (mean, queue) = (self.mean / speed, self.queue);
-        let places = &mut self.list[server].places;
-        let count = places.len() as f64;
-        let Some(place) = places.iter_mut().min() else {
-            return Service { finishes: arrives, status: AttemptStatus::Rejected };
-        };
-        let starts = arrives.max(*place);
-        if (starts - arrives) as f64 > queue as f64 * mean / count {
-            return Service { finishes: arrives, status: AttemptStatus::Rejected };
+    /// A request reaches a server that runs. Service times are exponentially distributed around the mean.
+    pub fn serve(&mut self, arrives_at: Micros, server: usize, rng: &mut ChaCha8Rng) -> ServerResponse {
+        let mean_us = self.mean_service_time_us / self.slow_start_factor(arrives_at, server);
+        let queue_length = self.queue_length as f64;
+        let rejected = ServerResponse { at: arrives_at, status: AttemptStatus::Rejected };
+        let workers = &mut self.servers[server].workers_idle_at;
+        let max_wait_us = queue_length * mean_us / workers.len() as f64;
+        let Some(idle_at) = workers.iter_mut().min() else { return rejected };
+        let begins_at = arrives_at.max(*idle_at);
+        if (begins_at - arrives_at) as f64 > max_wait_us {
+            return rejected;
         }
-        // Exponentially distributed around the mean.
         let draw: f64 = rng.random();
-        let finishes = starts + (-(1.0 - draw).ln() * mean) as Micros;
-        *place = finishes;
-        Service { finishes, status: AttemptStatus::Ok }
+        let at = begins_at + (-(1.0 - draw).ln() * mean_us) as Micros;
+        *idle_at = at;
+        ServerResponse { at, status: AttemptStatus::Ok }
     }
 
-    /// Share of its capacity that a server has, while it warms up.
-    fn speed(&self, now: Micros, server: usize) -> f64 {
-        let ready_at = self.list[server].ready_at;
-        if ready_at == 0 {
+    /// Share of its capacity that a server has.
+    fn slow_start_factor(&self, now: Micros, server: usize) -> f64 {
+        let started_at = self.servers[server].started_at;
+        if started_at == 0 {
             return 1.0;
         }
-        let warm = now.saturating_sub(ready_at) as f64 / self.rules.warm_up as f64;
-        (self.rules.initial_capacity + (1.0 - self.rules.initial_capacity) * warm).min(1.0)
+        let warmed_up = now.saturating_sub(started_at) as f64 / self.rules.warm_up as f64;
+        (self.rules.initial_capacity + (1.0 - self.rules.initial_capacity) * warmed_up).min(1.0)
     }
 }
--- a/crates/scale-laboratory/src/memory.rs
+++ b/crates/scale-laboratory/src/memory.rs
@@ -73,7 +73,7 @@
 }
 
 /// Ends a run that has come to hold more than the bound, with `children` bytes in processes it started.
-pub fn check_held(children: u64) -> Result<()> {
+pub fn check_memory(children: u64) -> Result<()> {
     let (held, bound) = (heap_bytes() + children, bound_bytes()?);
     if held > bound {
         return Err(exceeded("the run".to_owned(), held, bound));
--- a/crates/scale-laboratory/src/real/agent.rs
+++ b/crates/scale-laboratory/src/real/agent.rs
@@ -2,7 +2,7 @@
 
 use super::http::{answer, listen, query, Answer};
 use super::traffic::Traffic;
-use crate::wire::{EndpointMessage, Listing};
+use crate::wire::{EndpointListMessage, EndpointMessage};
 use hyper::body::Incoming;
 use hyper::Request;
 use std::io;
@@ -64,9 +64,9 @@
     }
 
     /// The list as a gateway knows it at its start.
-    pub fn known(&self) -> Listing {
+    pub fn known(&self) -> EndpointListMessage {
         let index = *self.shared.version.borrow();
-        Listing { index, snapshot: true, endpoints: self.shared.list().whole.clone() }
+        EndpointListMessage { index, snapshot: true, endpoints: self.shared.list().whole.clone() }
     }
 
     /// Makes changes one new version.
@@ -126,7 +126,7 @@
 
 fn whole(shared: &Shared) -> Answer {
     let index = *shared.version.borrow();
-    json(&Listing { index, snapshot: true, endpoints: shared.list().whole.clone() })
+    json(&EndpointListMessage { index, snapshot: true, endpoints: shared.list().whole.clone() })
 }
 
 fn since(shared: &Shared, index: u64) -> Answer {
@@ -138,9 +138,9 @@
         endpoints.retain(|e| e.name != changed.name);
         endpoints.push(changed.clone());
     }
-    json(&Listing { index: version, snapshot: false, endpoints })
+    json(&EndpointListMessage { index: version, snapshot: false, endpoints })
 }
 
-fn json(listing: &Listing) -> Answer {
+fn json(listing: &EndpointListMessage) -> Answer {
     answer(serde_json::to_vec(listing).unwrap_or_default())
 }
--- a/crates/scale-laboratory/src/real/client.rs
+++ b/crates/scale-laboratory/src/real/client.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for clients: each holds one connection to one gateway and sends requests at random times.
 
 use crate::settings::{CLASS, DEADLINE, PLAN};
-use crate::timeline::{Ending, Timeline};
+use crate::timeline::{Outcome, Timeline};
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Empty};
@@ -97,23 +97,23 @@
         let (now, mut seen) = (Instant::now(), self.seen());
         if let Some(begins) = seen.begins {
             seen.arrivals += 1;
-            seen.timeline.sent((now - begins).as_micros() as u64);
+            seen.timeline.record_arrival((now - begins).as_micros() as u64);
         }
         now
     }
 
-    fn ended(&self, gateway: usize, sent: Instant, ending: Ending, added: Option<u64>) {
+    fn ended(&self, gateway: usize, sent: Instant, ending: Outcome, added: Option<u64>) {
         let mut seen = self.seen();
-        let silent = ending == Ending::Lost && self.address(gateway).is_some();
+        let silent = ending == Outcome::Lost && self.address(gateway).is_some();
         seen.silent[gateway] = if silent { seen.silent[gateway] + 1 } else { 0 };
         let Some(at) = seen.begins.and_then(|begins| sent.checked_duration_since(begins)) else { return };
         match ending {
-            Ending::Served => seen.served += 1,
-            Ending::Refused => seen.refused += 1,
-            Ending::Failed => seen.failed += 1,
-            Ending::Lost => seen.lost += 1,
+            Outcome::Served => seen.served += 1,
+            Outcome::Rejected => seen.refused += 1,
+            Outcome::Failed => seen.failed += 1,
+            Outcome::Lost => seen.lost += 1,
         }
-        seen.timeline.ended(at.as_micros() as u64, ending);
+        seen.timeline.record_outcome(at.as_micros() as u64, ending);
         if let Some(added) = added {
             seen.added.saturating_record(added.max(1));
         }
@@ -177,23 +177,23 @@
     };
     let sent = clients.sent();
     let Some(mut connection) = connection else {
-        clients.ended(workload.gateway, sent, Ending::Lost, None);
+        clients.ended(workload.gateway, sent, Outcome::Lost, None);
         sleep(RECONNECT).await;
         return None;
     };
     let patience = Duration::from_micros(DEADLINE) + SLACK;
     let answer = timeout(patience, exchange(&mut connection, request)).await;
     let (ending, server_time) = match answer {
-        Ok(Some((StatusCode::OK, body))) => (Ending::Served, number(&body)),
+        Ok(Some((StatusCode::OK, body))) => (Outcome::Served, number(&body)),
         Ok(Some((StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE, _))) => {
-            (Ending::Refused, None)
+            (Outcome::Rejected, None)
         }
-        Ok(Some(_)) => (Ending::Failed, None),
-        Ok(None) | Err(_) => (Ending::Lost, None),
+        Ok(Some(_)) => (Outcome::Failed, None),
+        Ok(None) | Err(_) => (Outcome::Lost, None),
     };
     let took = sent.elapsed().as_micros() as u64;
     clients.ended(workload.gateway, sent, ending, server_time.map(|server| took.saturating_sub(server)));
-    (ending != Ending::Lost).then_some(connection)
+    (ending != Outcome::Lost).then_some(connection)
 }
 
 async fn exchange(
--- a/crates/scale-laboratory/src/real/fleet.rs
+++ b/crates/scale-laboratory/src/real/fleet.rs
@@ -9,7 +9,7 @@
 use super::traffic::TrafficCount;
 use crate::error::{LaboratoryError, Result};
 use crate::experiment::{Domain, Experiment};
-use crate::memory::check_held;
+use crate::memory::check_memory;
 use crate::metric::Metric;
 use crate::progress::Progress;
 use crate::results::Point;
@@ -219,7 +219,7 @@
         }
         drop(seen);
         match looks.is_multiple_of(MEMORY_LOOKS) {
-            true => check_held(self.gateways.iter().flatten().map(GatewayProcess::resident).sum()),
+            true => check_memory(self.gateways.iter().flatten().map(GatewayProcess::resident).sum()),
             false => Ok(()),
         }
     }
@@ -271,7 +271,8 @@
         if let Some(taken) = self.configuration_in_force() {
             point.metrics.insert(Metric::ConfigurationInForce, taken.as_secs_f64() * 1e3);
         }
-        point.faults = seen.timeline.costs(&self.experiment.faults, micros(load.duration_seconds * 1e3));
+        point.faults =
+            seen.timeline.fault_costs(&self.experiment.faults, micros(load.duration_seconds * 1e3));
         point
     }
 
@@ -312,10 +313,10 @@
         name: format!("s-{server:08x}"),
         address: servers[server].address.to_string(),
         zone: zone_name(zone),
-        machine: MACHINE,
+        machine_type: MACHINE,
         group: zone as u32,
         status,
         weight: 1.0,
-        since_ms,
+        started_at_ms: since_ms,
     }
 }
--- a/crates/scale-laboratory/src/wire.rs
+++ b/crates/scale-laboratory/src/wire.rs
@@ -3,6 +3,14 @@
 
 use serde::Serialize;
 
+/// The machine type of all servers.
+pub const MACHINE_TYPE: &str = "std";
+
+/// A server's name on the wire.
+pub fn server_name(server: usize) -> String {
+    format!("s-{server:08x}")
+}
+
 /// One server as discovery names it.
 #[derive(Clone, Debug, Serialize)]
 pub struct EndpointMessage {
@@ -14,23 +22,24 @@
     pub zone: String,
     /// Its machine type.
     #[serde(rename = "type")]
-    pub machine: &'static str,
-    /// The group of servers that share what they have seen.
+    pub machine_type: &'static str,
+    /// The group of servers that share the idempotency keys they have seen.
     pub group: u32,
     /// `ready`, `draining` or `gone`.
     pub status: &'static str,
-    /// A figure to compare with other servers'.
+    /// Its capacity relative to other servers'.
     pub weight: f64,
     /// Last start, Unix time.
-    pub since_ms: u64,
+    #[serde(rename = "since_ms")]
+    pub started_at_ms: u64,
 }
 
-/// The body of an answer of discovery.
+/// The body of a response of discovery.
 #[derive(Clone, Debug, Serialize)]
-pub struct Listing {
+pub struct EndpointListMessage {
     /// The version.
     pub index: u64,
-    /// The whole list.
+    /// Whether this is the complete list.
     pub snapshot: bool,
     /// The entries.
     pub endpoints: Vec<EndpointMessage>,
@@ -42,28 +51,28 @@
 }
 
 /// A watch call of a discovery agent.
-pub fn watch_call(agent: &str, index: u64, wait_milliseconds: u64) -> String {
-    format!("GET /catalog/members?index={index}&wait={wait_milliseconds} HTTP/1.1\r\nhost: {agent}\r\n\r\n")
+pub fn watch_call(agent: &str, index: u64, wait_ms: u64) -> String {
+    format!("GET /catalog/members?index={index}&wait={wait_ms} HTTP/1.1\r\nhost: {agent}\r\n\r\n")
 }
 
-/// The head of an answer with a JSON body.
-pub fn answer_head(body_length: u64) -> String {
+/// The head of a response with a JSON body.
+pub fn response_head(body_length: u64) -> String {
     format!(
         "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: {body_length}\r\n\
          date: Thu, 01 Jan 1970 00:00:00 GMT\r\n\r\n"
     )
 }
 
-/// A call of the counter.
-pub fn counter_call(counter: &str, name: u64, amount: f64, life_milliseconds: u64) -> String {
+/// A counter call.
+pub fn counter_call(address: &str, key: u64, amount: f64, ttl_ms: u64) -> String {
     format!(
-        "POST /v2/numbers/{name:x}?delta={amount}&life_ms={life_milliseconds} HTTP/1.1\r\nhost: {counter}\r\n\
+        "POST /v2/numbers/{key:x}?delta={amount}&life_ms={ttl_ms} HTTP/1.1\r\nhost: {address}\r\n\
          content-length: 0\r\n\r\n"
     )
 }
 
-/// The counter's answer with a total.
-pub fn counter_answer(total: f64) -> String {
+/// The counter's reply with a total.
+pub fn counter_reply(total: f64) -> String {
     let body = total.to_string();
     format!(
         "HTTP/1.1 200 OK\r\ncontent-length: {}\r\ndate: Thu, 01 Jan 1970 00:00:00 GMT\r\n\r\n{body}",
