--- a/crates/scale-laboratory/src/hollow/measurements.rs
+++ b/crates/scale-laboratory/src/hollow/measurements.rs
@@ -1,8 +1,6 @@
 //! What is measured in a simulation.
 
-use super::simulation::Simulation;
 use crate::metric::Metric;
-use crate::results::Point;
 use crate::timeline::{histogram, Outcome, OutcomeCounts, Timeline};
 use grebehook_core::Micros;
 use hdrhistogram::Histogram;
@@ -50,11 +48,11 @@
     /// Times from a request's arrival to its first attempt.
     queueing_times: Histogram<u64>,
     /// Requests of tenants that keep to their quotas: a rejection of a hot tenant is no cost of a fault.
-    timeline: Timeline,
+    pub timeline: Timeline,
     /// Servers and the gateways that sent to them.
-    senders: BTreeSet<(usize, usize)>,
+    pub senders: BTreeSet<(usize, usize)>,
     /// Units served to hot tenants in the measured time.
-    hot_units: f64,
+    pub hot_units: f64,
 }
 
 impl Measurements {
@@ -89,7 +87,7 @@
     }
 
     /// Counts of the measured time, with the outcomes of all requests sent in it.
-    fn final_counts(&self) -> Counts {
+    pub fn final_counts(&self) -> Counts {
         Counts { outcomes: self.counts.outcomes, ..self.counts_at_end.unwrap_or(self.counts) }
     }
 
@@ -130,47 +128,18 @@
     pub fn record_configuration_in_force(&mut self, elapsed: Micros) {
         self.configuration_in_force = self.configuration_in_force.max(elapsed);
     }
-}
-
-impl Simulation {
-    /// What was measured.
-    pub fn point(self) -> Point {
-        let counts = self.measurements.final_counts();
-        let mut point = Point::default();
-        point.metrics.extend(count_metrics(&counts));
-        point.metrics.extend(self.time_metrics());
-        if counts.attempts > 0 {
-            let senders = self.measurements.senders.len() as f64 / self.servers.len() as f64;
-            point.metrics.insert(Metric::GatewaysOfServer, senders);
-        }
-        if let Some(share) = self.over_quota() {
-            point.metrics.insert(Metric::OverQuota, share);
-        }
-        if counts.arrivals > 0 {
-            let duration = self.measure_until - self.measure_from;
-            point.faults = self.measurements.timeline.fault_costs(&self.experiment.faults, duration);
-        }
-        point
-    }
 
-    /// The times that were measured at all.
-    fn time_metrics(&self) -> impl Iterator<Item = (Metric, f64)> {
-        let measured = &self.measurements;
-        let queueing_times = Some(&measured.queueing_times).filter(|times| !times.is_empty());
+    /// The counts and the times that were measured at all, under the names of the results.
+    pub fn metrics(&self) -> impl Iterator<Item = (Metric, f64)> {
+        let queueing_times = Some(&self.queueing_times).filter(|times| !times.is_empty());
         let milliseconds = |time: Micros| (time > 0).then_some(time as f64 / 1e3);
         let times = [
             (Metric::HoldP99, queueing_times.map(|times| times.value_at_quantile(0.99) as f64)),
-            (Metric::ChangeInForce, milliseconds(measured.change_in_force)),
-            (Metric::ConfigurationInForce, milliseconds(measured.configuration_in_force)),
+            (Metric::ChangeInForce, milliseconds(self.change_in_force)),
+            (Metric::ConfigurationInForce, milliseconds(self.configuration_in_force)),
         ];
-        times.into_iter().filter_map(|(metric, time)| Some((metric, time?)))
-    }
-
-    /// What the hot tenants were served beyond their quotas, as a share of these; `None` without hot tenants.
-    fn over_quota(&self) -> Option<f64> {
-        let load = &self.experiment.load;
-        let quota = load.quota_rate * load.duration_seconds * self.clients.hot_tenants() as f64;
-        (quota > 0.0).then(|| self.measurements.hot_units / quota - 1.0)
+        let times = times.into_iter().filter_map(|(metric, time)| Some((metric, time?)));
+        count_metrics(&self.final_counts()).chain(times)
     }
 }
 
--- a/crates/scale-laboratory/src/hollow/mod.rs
+++ b/crates/scale-laboratory/src/hollow/mod.rs
@@ -16,6 +16,7 @@
 mod lifecycle;
 mod measurements;
 mod network;
+mod point;
 mod requests;
 mod servers;
 mod shared_counter;
--- a/crates/scale-laboratory/src/real/process.rs
+++ b/crates/scale-laboratory/src/real/gateway_process.rs
@@ -14,27 +14,35 @@
 use tokio::time::timeout;
 
 /// A gateway that does not listen by then has failed to start.
-const START_MOST: Duration = Duration::from_secs(20);
-/// The log's line that names the address.
-const LISTENS: &str = "listens on ";
-/// The log's line on a new address of the counter.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// What precedes the address in the gateway's log line about its listener.
+const LISTENS_ON: &str = "listens on ";
+/// Part of the gateway's log line about a new address of the counter.
 const COUNTER_MOVES: &str = "the counter moves";
-/// Ticks of a second in `/proc/PID/stat`.
+/// Units of time in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Fields of `/proc/PID/stat` after the program's name: user and system time.
-const USER_FIELD: usize = 11;
-const SYSTEM_FIELD: usize = 12;
+/// Field of `/proc/PID/stat` after the program's name: processor time in user mode.
+const USER_TIME_FIELD: usize = 11;
+/// The same for processor time in the kernel.
+const SYSTEM_TIME_FIELD: usize = 12;
+
+/// The lines of a gateway's log.
+type LogLines = Lines<BufReader<ChildStderr>>;
 
 /// A running gateway.
 pub struct GatewayProcess {
     /// Its number.
-    pub number: usize,
+    number: usize,
     /// Where clients connect.
     pub address: SocketAddr,
+    /// The process.
     child: Child,
+    /// Its process id.
     pid: u32,
-    counter_moves: Arc<AtomicU64>,
+    /// When the process was started; the base of `counter_moved_us`.
     epoch: Instant,
+    /// When it last logged that the counter moved, microseconds after `epoch`; 0 before it did.
+    counter_moved_us: Arc<AtomicU64>,
 }
 
 impl GatewayProcess {
@@ -49,85 +57,86 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .map_err(|e| failed(format!("{} cannot be started: {e}", program.display())))?;
+            .map_err(|error| failed(format!("{} cannot be started: {error}", program.display())))?;
         let pid = child.id().ok_or_else(|| failed("it ended at once".to_owned()))?;
         let log = child.stderr.take().ok_or_else(|| failed("it has no log".to_owned()))?;
         let mut lines = BufReader::new(log).lines();
-        let address = timeout(START_MOST, listening(&mut lines))
+        let address = timeout(START_TIMEOUT, listener_address(&mut lines))
             .await
             .map_err(|_| failed("it did not listen in time".to_owned()))?
             .map_err(failed)?;
-        let (counter_moves, epoch) = (Arc::new(AtomicU64::new(0)), Instant::now());
-        tokio::spawn(follow(lines, counter_moves.clone(), epoch));
-        Ok(GatewayProcess { number, address, child, pid, counter_moves, epoch })
+        let epoch = Instant::now();
+        let counter_moved_us = Arc::new(AtomicU64::new(0));
+        tokio::spawn(follow_log(lines, counter_moved_us.clone(), epoch));
+        Ok(GatewayProcess { number, address, child, pid, epoch, counter_moved_us })
     }
 
     /// Processor time that it has used.
-    pub fn cpu(&self) -> Duration {
-        let text = fs::read_to_string(self.proc("stat")).unwrap_or_default();
+    pub fn cpu_time(&self) -> Duration {
+        let text = fs::read_to_string(self.proc_file("stat")).unwrap_or_default();
         let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-        let ticks = |field: usize| fields.get(field).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0);
-        Duration::from_secs_f64((ticks(USER_FIELD) + ticks(SYSTEM_FIELD)) as f64 / TICKS_PER_SECOND)
+        let ticks = |field: usize| fields.get(field).and_then(|ticks| ticks.parse::<u64>().ok()).unwrap_or(0);
+        Duration::from_secs_f64((ticks(USER_TIME_FIELD) + ticks(SYSTEM_TIME_FIELD)) as f64 / TICKS_PER_SECOND)
     }
 
-    /// Memory that it holds, in bytes.
-    pub fn resident(&self) -> u64 {
-        let text = fs::read_to_string(self.proc("status")).unwrap_or_default();
+    /// Its resident memory, in bytes.
+    pub fn resident_bytes(&self) -> u64 {
+        let text = fs::read_to_string(self.proc_file("status")).unwrap_or_default();
         let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
         line.split_whitespace().next().and_then(|kib| kib.parse::<u64>().ok()).unwrap_or(0) * 1024
     }
 
-    fn proc(&self, file: &str) -> PathBuf {
+    /// A file of its folder in `/proc`.
+    fn proc_file(&self, file: &str) -> PathBuf {
         PathBuf::from(format!("/proc/{}/{file}", self.pid))
     }
 
     /// Fails if it has ended by itself.
     pub fn check_alive(&mut self) -> Result<()> {
-        match self.child.try_wait() {
-            Ok(None) => Ok(()),
-            Ok(Some(status)) => {
-                Err(LaboratoryError::Process { gateway: self.number, reason: format!("ended: {status}") })
-            }
-            Err(e) => Err(LaboratoryError::Process { gateway: self.number, reason: e.to_string() }),
-        }
+        let reason = match self.child.try_wait() {
+            Ok(None) => return Ok(()),
+            Ok(Some(status)) => format!("ended: {status}"),
+            Err(error) => error.to_string(),
+        };
+        Err(LaboratoryError::Process { gateway: self.number, reason })
     }
 
     /// Tells it to read its configuration again.
-    pub fn reread(&self) {
+    pub fn reload(&self) {
         if let Some(pid) = i32::try_from(self.pid).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, Signal::HUP);
         }
     }
 
-    /// When it last said that the counter moved; none before it did.
-    pub fn counter_moved(&self) -> Option<Instant> {
-        let micros = self.counter_moves.load(Ordering::Relaxed);
+    /// When it last logged that the counter moved; `None` before it did.
+    pub fn counter_moved_at(&self) -> Option<Instant> {
+        let micros = self.counter_moved_us.load(Ordering::Relaxed);
         (micros > 0).then(|| self.epoch + Duration::from_micros(micros))
     }
 
-    /// Ends it with no warning and waits for that.
+    /// Kills it and waits for its end.
     pub async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
 }
 
-/// Waits for the line with the address; what the log says instead, where the process ends before.
-async fn listening(lines: &mut Lines<BufReader<ChildStderr>>) -> std::result::Result<SocketAddr, String> {
-    let mut said = String::new();
+/// Waits for the log line with the address; an error has the last line of a process that ends before.
+async fn listener_address(lines: &mut LogLines) -> std::result::Result<SocketAddr, String> {
+    let mut last_line = String::new();
     while let Ok(Some(line)) = lines.next_line().await {
-        if let Some((_, address)) = line.split_once(LISTENS) {
+        if let Some((_, address)) = line.split_once(LISTENS_ON) {
             return address.trim().parse().map_err(|_| format!("no address in '{line}'"));
         }
-        said = line;
+        last_line = line;
     }
-    Err(format!("it ended before it listened: {said}"))
+    Err(format!("it ended before it listened: {last_line}"))
 }
 
 /// Reads the log on, so that the process never waits for a reader.
-async fn follow(mut lines: Lines<BufReader<ChildStderr>>, counter_moves: Arc<AtomicU64>, epoch: Instant) {
+async fn follow_log(mut lines: LogLines, counter_moved_us: Arc<AtomicU64>, epoch: Instant) {
     while let Ok(Some(line)) = lines.next_line().await {
         if line.contains(COUNTER_MOVES) {
-            counter_moves.store(epoch.elapsed().as_micros() as u64, Ordering::Relaxed);
+            counter_moved_us.store(epoch.elapsed().as_micros() as u64, Ordering::Relaxed);
         }
     }
 }
--- a/crates/scale-laboratory/src/real/mod.rs
+++ b/crates/scale-laboratory/src/real/mod.rs
@@ -1,14 +1,20 @@
-//! Gateway processes on loopback, between stand-ins for discovery agents, the counter, servers and clients. All
-//! that is started ends with the measurement, however that ends.
+//! Gateway processes on loopback, between stubs of discovery agents, the counter, servers and clients. All that is
+//! started ends with the measurement, however that ends.
+//!
+//! `run` plays one point: it starts a `fleet` of `gateway_process`es and stubs, applies the steps of `schedule` by way
+//! of `faults`, and ends with the `measurements`.
 
-mod agent;
-mod client;
-mod counter;
+mod clients;
+mod counter_stub;
+mod discovery_agents;
+mod faults;
 mod fleet;
-mod http;
-mod process;
+mod gateway_process;
+mod measurements;
+mod run;
 mod schedule;
-mod server;
+mod server_stub;
+mod stub_http;
 mod traffic;
 
 use crate::error::{LaboratoryError, Result};
@@ -18,10 +24,10 @@
 use std::path::Path;
 use tokio::runtime::Builder;
 
-/// Threads of the stand-ins.
-const THREADS: usize = 2;
+/// Threads of the stubs.
+const STUB_THREADS: usize = 2;
 
-/// Refuses a gateway program that is not there.
+/// Refuses a gateway program that does not exist.
 pub fn check_program(program: &Path) -> Result<()> {
     if program.is_file() {
         return Ok(());
@@ -39,12 +45,12 @@
     progress: &Progress,
 ) -> Result<Point> {
     let runtime = Builder::new_multi_thread()
-        .worker_threads(THREADS)
+        .worker_threads(STUB_THREADS)
         .enable_all()
         .build()
-        .map_err(|e| LaboratoryError::io("no runtime", e))?;
-    let point = runtime.block_on(fleet::play(experiment, program, progress));
-    // Tasks of the stand-ins wait for calls that will not come any more.
+        .map_err(|error| LaboratoryError::io("no runtime", error))?;
+    let point = runtime.block_on(run::play(experiment, program, progress));
+    // Tasks of the stubs wait for calls that will not come any more.
     runtime.shutdown_background();
     Ok(Point { size, ..point? })
 }
--- a/crates/scale-laboratory/src/real/traffic.rs
+++ b/crates/scale-laboratory/src/real/traffic.rs
@@ -1,6 +1,7 @@
 //! A connection that counts its bytes.
 
 use std::io;
+use std::ops::{Add, Sub};
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -8,10 +9,12 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Calls and bytes that a stand-in has seen.
+/// Calls and bytes that a stub has seen.
 #[derive(Debug, Default)]
 pub struct Traffic {
+    /// Calls.
     calls: AtomicU64,
+    /// Bytes both ways.
     bytes: AtomicU64,
 }
 
@@ -24,13 +27,30 @@
     pub bytes: u64,
 }
 
+impl Add for TrafficCount {
+    type Output = TrafficCount;
+
+    fn add(self, other: TrafficCount) -> TrafficCount {
+        TrafficCount { calls: self.calls + other.calls, bytes: self.bytes + other.bytes }
+    }
+}
+
+impl Sub for TrafficCount {
+    type Output = TrafficCount;
+
+    fn sub(self, earlier: TrafficCount) -> TrafficCount {
+        TrafficCount { calls: self.calls - earlier.calls, bytes: self.bytes - earlier.bytes }
+    }
+}
+
 impl Traffic {
     /// A call came.
-    pub fn called(&self) {
+    pub fn record_call(&self) {
         self.calls.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn moved(&self, bytes: usize) {
+    /// Bytes were read or written.
+    fn record_bytes(&self, bytes: usize) {
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
@@ -51,30 +71,34 @@
 impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &mut ReadBuf<'_>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
-        let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
-        self.traffic.moved(buf.filled().len() - before);
+        let before = buffer.filled().len();
+        let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
+        self.traffic.record_bytes(buffer.filled().len() - before);
         polled
     }
 }
 
 impl AsyncWrite for CountedStream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut self.stream).poll_write(cx, data);
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        data: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        let polled = Pin::new(&mut self.stream).poll_write(context, data);
         if let Poll::Ready(Ok(written)) = &polled {
-            self.traffic.moved(*written);
+            self.traffic.record_bytes(*written);
         }
         polled
     }
 
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_flush(cx)
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(context)
     }
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_shutdown(cx)
+    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(context)
     }
 }
