--- a/crates/scale-laboratory/src/capacity/fault_table.rs
+++ b/crates/scale-laboratory/src/capacity/fault_table.rs
@@ -1,119 +1,139 @@
-//! The tables of what faults cost, and of how far quotas are passed while parts of the network do without the counter.
+//! The tables of what faults cost, and of the use beyond quotas while parts of the network cannot use the counter.
 
 use super::run_set::{RunSet, RunSets};
-use super::target;
-use crate::error::Result;
+use super::{or_missing, target, MISSING};
 use crate::metric::Metric;
 use crate::report::number;
 use crate::results::{FaultCost, Run};
 use std::fmt::Write;
 
 /// The experiments with faults.
-const FAULT_RUNS: &[&str] = &["fault-domains", "fault-control", "real-faults"];
-/// The experiments with hot tenants, and what is amiss in each.
-const QUOTA_RUNS: &[(&str, &str)] = &[
-    ("fault-cut-none", "nothing"),
-    ("fault-cut", "the two regions cannot reach each other"),
-    ("fault-counter-quota", "the counter answers nobody"),
+const FAULT_EXPERIMENTS: &[&str] = &["fault-domains", "fault-control", "real-faults"];
+
+/// An experiment with hot tenants.
+struct QuotaExperiment {
+    /// Its name.
+    name: &'static str,
+    /// Its fault.
+    fault: &'static str,
+}
+
+/// The experiments with hot tenants.
+const QUOTA_EXPERIMENTS: &[QuotaExperiment] = &[
+    QuotaExperiment { name: "fault-cut-none", fault: "nothing" },
+    QuotaExperiment { name: "fault-cut", fault: "the two regions cannot reach each other" },
+    QuotaExperiment { name: "fault-counter-quota", fault: "the counter answers nobody" },
 ];
 
-/// What one fault cost over all sizes of a run.
+/// What one fault cost at all sizes of a run.
 struct Costs<'a> {
+    /// The cost at each size.
     costs: Vec<&'a FaultCost>,
-    per_second: f64,
+    /// Requests a second of the run.
+    requests_per_second: f64,
 }
 
 /// The table of faults as Markdown.
-pub fn markdown(sets: &RunSets) -> Result<String> {
+pub fn markdown(sets: &RunSets) -> String {
     let mut text = String::from(
         "| experiment | fault | before: requests lost, ms of the fleet's traffic | refused or failed, ms | recovery, s \
          | after: lost, ms | refused or failed, ms | recovery, s | lost at the target's traffic |\n\
          |---|---|---:|---:|---:|---:|---:|---:|---:|\n",
     );
-    for experiment in FAULT_RUNS {
+    for experiment in FAULT_EXPERIMENTS {
         let Some(run) = sets.before.run(experiment) else { continue };
-        for (index, fault) in run.points.first().map_or(&[][..], |p| &p.faults).iter().enumerate() {
-            let latest = sets.after.as_ref().unwrap_or(&sets.before);
-            let at_target = costs(latest, experiment, index).map(|costs| costs.lost_share());
-            let _ = writeln!(
-                text,
-                "| {experiment} | {} | {} | {} | {} |",
-                fault.fault,
-                cells(costs(&sets.before, experiment, index)),
-                cells(sets.after.as_ref().and_then(|after| costs(after, experiment, index))),
-                at_target
-                    .map_or("–".to_owned(), |share| number((share * target::REQUESTS_PER_SECOND).round())),
-            );
+        let faults = run.points.first().map_or(&[][..], |point| &point.faults);
+        for (index, fault) in faults.iter().enumerate() {
+            let before = Costs::of(&sets.before, experiment, index);
+            let after = sets.after.as_ref().and_then(|after| Costs::of(after, experiment, index));
+            let latest = Costs::of(sets.latest(), experiment, index);
+            let lost_at_target = latest.map(|costs| costs.lost_seconds() * target::REQUESTS_PER_SECOND);
+            let cells = [
+                (*experiment).to_owned(),
+                fault.fault.clone(),
+                cells(before),
+                cells(after),
+                or_missing(lost_at_target.map(|lost| number(lost.round()))),
+            ];
+            let _ = writeln!(text, "| {} |", cells.join(" | "));
         }
     }
-    Ok(text)
-}
-
-fn costs<'a>(runs: &'a RunSet, experiment: &str, index: usize) -> Option<Costs<'a>> {
-    let run: &Run = runs.run(experiment)?;
-    let costs: Vec<&FaultCost> = run.points.iter().filter_map(|p| p.faults.get(index)).collect();
-    let per_second = run.experiment.load.requests_per_second;
-    (!costs.is_empty()).then_some(Costs { costs, per_second })
+    text
 }
 
 impl Costs<'_> {
-    /// The mean over the sizes, in seconds of the fleet's requests.
-    fn share(&self, of: impl Fn(&FaultCost) -> u64) -> f64 {
-        let sum: u64 = self.costs.iter().map(|cost| of(cost)).sum();
-        sum as f64 / self.costs.len() as f64 / self.per_second
+    /// The costs of a fault of an experiment; `None` if it was not run.
+    fn of<'a>(runs: &'a RunSet, experiment: &str, fault: usize) -> Option<Costs<'a>> {
+        let run = runs.run(experiment)?;
+        let costs: Vec<&FaultCost> = run.points.iter().filter_map(|point| point.faults.get(fault)).collect();
+        let requests_per_second = run.experiment.load.requests_per_second;
+        (!costs.is_empty()).then_some(Costs { costs, requests_per_second })
+    }
+
+    /// The mean of a count over the sizes, as seconds of the fleet's traffic.
+    fn traffic_seconds(&self, count: impl Fn(&FaultCost) -> u64) -> f64 {
+        let sum: u64 = self.costs.iter().map(|cost| count(cost)).sum();
+        sum as f64 / self.costs.len() as f64 / self.requests_per_second
     }
 
-    fn lost_share(&self) -> f64 {
-        self.share(|cost| cost.lost)
+    /// Requests lost, as seconds of the fleet's traffic.
+    fn lost_seconds(&self) -> f64 {
+        self.traffic_seconds(|cost| cost.lost)
     }
 
     /// The shortest and the longest recovery, seconds.
     fn recovery(&self) -> String {
-        let seen: Vec<f64> =
-            self.costs.iter().filter_map(|c| c.recovery_milliseconds).map(|ms| ms / 1e3).collect();
-        let missing = self.costs.len() - seen.len();
-        let least = seen.iter().copied().reduce(f64::min);
-        let most = seen.iter().copied().reduce(f64::max);
-        let span = match (least, most) {
-            (Some(least), Some(most)) if least < most => format!("{least:.1} to {most:.1}"),
-            (Some(least), _) => format!("{least:.1}"),
-            _ => "not seen".to_owned(),
+        let recoveries = self.costs.iter().filter_map(|cost| cost.recovery_milliseconds);
+        let seconds: Vec<f64> = recoveries.map(|milliseconds| milliseconds / 1e3).collect();
+        let shortest = seconds.iter().copied().reduce(f64::min);
+        let longest = seconds.iter().copied().reduce(f64::max);
+        let range = match (shortest, longest) {
+            (Some(shortest), Some(longest)) if shortest < longest => {
+                format!("{shortest:.1} to {longest:.1}")
+            }
+            (Some(shortest), _) => format!("{shortest:.1}"),
+            _ => return "not seen".to_owned(),
         };
-        if missing == 0 || seen.is_empty() {
-            return span;
+        match self.costs.len() - seconds.len() {
+            0 => range,
+            not_seen => format!("{range}, not seen at {not_seen} sizes"),
         }
-        format!("{span}, not seen at {missing} sizes")
     }
 }
 
+/// Three cells: requests lost, requests refused or failed, recovery.
 fn cells(costs: Option<Costs>) -> String {
-    let Some(costs) = costs else { return "– | – | –".to_owned() };
-    let milliseconds = |share: f64| format!("{:.1}", share * 1e3);
-    let refused = costs.share(|cost| cost.refused_or_failed);
-    format!("{} | {} | {}", milliseconds(costs.lost_share()), milliseconds(refused), costs.recovery())
+    let Some(costs) = costs else { return [MISSING; 3].join(" | ") };
+    let milliseconds = |seconds: f64| format!("{:.1}", seconds * 1e3);
+    let lost = milliseconds(costs.lost_seconds());
+    let refused_or_failed = milliseconds(costs.traffic_seconds(|cost| cost.refused_or_failed));
+    [lost, refused_or_failed, costs.recovery()].join(" | ")
 }
 
 /// The table of use beyond quotas as Markdown.
-pub fn quota_markdown(sets: &RunSets) -> Result<String> {
+pub fn quota_markdown(sets: &RunSets) -> String {
     let mut text = String::from(
         "| experiment | amiss | gateways | before: use beyond the quota | after |\n|---|---|---|---|---|\n",
     );
-    for (experiment, amiss) in QUOTA_RUNS {
-        let Some(run) = sets.before.run(experiment) else { continue };
-        let sizes: Vec<String> = run.points.iter().filter_map(|p| Some(p.size?.to_string())).collect();
-        let _ = writeln!(
-            text,
-            "| {experiment} | {amiss} | {} | {} | {} |",
+    for QuotaExperiment { name, fault } in QUOTA_EXPERIMENTS {
+        let Some(before) = sets.before.run(name) else { continue };
+        let sizes = before.points.iter().filter_map(|point| point.size);
+        let sizes: Vec<String> = sizes.map(|size| size.to_string()).collect();
+        let after = sets.after.as_ref().and_then(|after| after.run(name));
+        let cells = [
+            (*name).to_owned(),
+            (*fault).to_owned(),
             sizes.join(", "),
-            over(Some(run)),
-            over(sets.after.as_ref().and_then(|after| after.run(experiment)))
-        );
+            over_quota(before),
+            or_missing(after.map(over_quota)),
+        ];
+        let _ = writeln!(text, "| {} |", cells.join(" | "));
     }
-    Ok(text)
+    text
 }
 
-fn over(run: Option<&Run>) -> String {
-    let Some(run) = run else { return "–".to_owned() };
+/// The use beyond quotas at each size.
+fn over_quota(run: &Run) -> String {
     let shares = run.series(Metric::OverQuota);
-    shares.iter().map(|(_, share)| format!("{:.0}%", share * 100.0)).collect::<Vec<_>>().join(", ")
+    shares.iter().map(|point| format!("{:.0}%", point.y * 100.0)).collect::<Vec<_>>().join(", ")
 }
--- a/crates/scale-laboratory/src/capacity/mod.rs
+++ b/crates/scale-laboratory/src/capacity/mod.rs
@@ -4,27 +4,39 @@
 mod fault_table;
 mod need;
 mod need_table;
+mod needs;
 mod page;
 mod probe_table;
 mod run_set;
 mod slope_table;
 mod target;
 
-pub use page::update as update_page;
-
 use crate::error::Result;
 use run_set::RunSets;
 use std::path::Path;
 
+/// A cell of something that was not measured.
+const MISSING: &str = "–";
+
+/// A cell of something that may not have been measured.
+fn or_missing(cell: Option<String>) -> String {
+    cell.unwrap_or_else(|| MISSING.to_owned())
+}
+
 /// All tables as Markdown.
 pub fn tables(folder: &Path) -> Result<String> {
     let sets = RunSets::read(folder)?;
     let parts = [
         need_table::markdown(&sets)?,
         probe_table::markdown(&sets),
-        fault_table::markdown(&sets)?,
-        fault_table::quota_markdown(&sets)?,
+        fault_table::markdown(&sets),
+        fault_table::quota_markdown(&sets),
         slope_table::markdown(&sets),
     ];
     Ok(parts.join("\n"))
 }
+
+/// Replaces the tables of a page by those of the results.
+pub fn update_page(folder: &Path, page: &Path) -> Result<()> {
+    page::replace_tables(page, &tables(folder)?)
+}
--- a/crates/scale-laboratory/src/capacity/need_table.rs
+++ b/crates/scale-laboratory/src/capacity/need_table.rs
@@ -1,7 +1,9 @@
 //! The table of needs beside budgets.
 
-use super::need::{Need, NEEDS};
+use super::need::Need;
+use super::needs::NEEDS;
 use super::run_set::{RunSet, RunSets};
+use super::{or_missing, MISSING};
 use crate::error::Result;
 use crate::report::number;
 use std::fmt::Write;
@@ -13,41 +15,44 @@
          |---|---|---|---:|---:|---:|---:|---:|---:|---|\n",
     );
     for need in NEEDS {
-        for part in need.parts {
-            sets.require(part.slope)?;
+        for contribution in need.contributions {
+            sets.require(contribution.slope)?;
         }
         let _ = writeln!(text, "{}", row(need, sets));
     }
     Ok(text)
 }
 
+/// The row of a need.
 fn row(need: &Need, sets: &RunSets) -> String {
-    let cells = |runs: Option<&RunSet>| {
-        let value = runs.and_then(|runs| need.value(runs));
-        let ratio = value.zip(need.budget).map(|(value, budget)| value / budget);
-        (cell(value), ratio.map_or("–".to_owned(), |r| format!("**{}**", number(r))))
-    };
-    let (before, after) = (cells(Some(&sets.before)), cells(sets.after.as_ref()));
-    let latest = sets.after.as_ref().unwrap_or(&sets.before);
-    let reach = need.reach(latest).or(need.reach(&sets.before));
-    let reach =
-        reach
-            .map_or("–".to_owned(), |r| if r <= 1.0 { "within".to_owned() } else { format!("{r:.1} times") });
-    let slopes: Vec<String> = need.parts.iter().map(|part| part.slope.name()).collect();
-    format!(
-        "| {} | {} | {} | {} | {} | {} | {} | {} | {reach} | {} |",
-        need.role,
-        need.quantity,
-        need.unit,
-        cell(need.budget),
-        before.0,
-        before.1,
-        after.0,
-        after.1,
-        slopes.join(", ")
-    )
+    let extrapolation = need.extrapolation(sets.latest()).or_else(|| need.extrapolation(&sets.before));
+    let slopes: Vec<String> =
+        need.contributions.iter().map(|contribution| contribution.slope.name()).collect();
+    let cells = [
+        need.role.name().to_owned(),
+        need.quantity.to_owned(),
+        need.unit.to_owned(),
+        or_missing(need.budget.map(number)),
+        value_and_ratio(need, Some(&sets.before)),
+        value_and_ratio(need, sets.after.as_ref()),
+        or_missing(extrapolation.map(extrapolation_text)),
+        slopes.join(", "),
+    ];
+    format!("| {} |", cells.join(" | "))
 }
 
-fn cell(value: Option<f64>) -> String {
-    value.map_or("–".to_owned(), number)
+/// Two cells: a need, and its ratio to the budget.
+fn value_and_ratio(need: &Need, runs: Option<&RunSet>) -> String {
+    let Some(value) = runs.and_then(|runs| need.value(runs)) else { return format!("{MISSING} | {MISSING}") };
+    let ratio = need.budget.map(|budget| format!("**{}**", number(value / budget)));
+    format!("{} | {}", number(value), or_missing(ratio))
+}
+
+/// How far a size lies beyond the largest measured one.
+fn extrapolation_text(extrapolation: f64) -> String {
+    if extrapolation <= 1.0 {
+        "within".to_owned()
+    } else {
+        format!("{extrapolation:.1} times")
+    }
 }
--- a/crates/scale-laboratory/src/capacity/run_set.rs
+++ b/crates/scale-laboratory/src/capacity/run_set.rs
@@ -1,4 +1,4 @@
-//! The committed results of all scale runs, before and after the change of the core.
+//! The committed results of all scale runs, before and after a change of the core.
 
 use crate::error::{LaboratoryError, Result};
 use crate::fit::Line;
@@ -28,12 +28,13 @@
     }
 }
 
-/// The runs of one state of the core.
+/// The runs of one version of the core.
 pub struct RunSet {
+    /// The runs by their experiments.
     runs: BTreeMap<String, Run>,
 }
 
-/// The runs before and, where they were made, after the change.
+/// The runs before the change of the core and, if they were made, after it.
 pub struct RunSets {
     /// Before.
     pub before: RunSet,
@@ -51,7 +52,12 @@
         })
     }
 
-    /// Fails where neither set has a slope that the tables cannot do without.
+    /// The runs of the newest version of the core.
+    pub fn latest(&self) -> &RunSet {
+        self.after.as_ref().unwrap_or(&self.before)
+    }
+
+    /// Fails if neither set has a slope that the tables need.
     pub fn require(&self, slope: Slope) -> Result<()> {
         let sets = [Some(&self.before), self.after.as_ref()];
         if sets.into_iter().flatten().any(|set| set.line(slope).is_some()) {
@@ -63,9 +69,10 @@
 }
 
 impl RunSet {
+    /// Reads all runs of a folder.
     fn read(folder: &Path) -> Result<RunSet> {
         let folders = run_folders(folder)?;
-        let runs = folders.iter().map(|f| Run::read_complete(f));
+        let runs = folders.iter().map(|folder| Run::read_complete(folder));
         let named = runs.map(|run| run.map(|run| (run.experiment.name.clone(), run)));
         Ok(RunSet { runs: named.collect::<Result<_>>()? })
     }
@@ -75,14 +82,14 @@
         self.runs.get(experiment)
     }
 
-    /// The line through a slope's points; none where the run or the metric is missing.
+    /// The line through a slope's points; `None` if the run or the metric is missing.
     pub fn line(&self, slope: Slope) -> Option<Line> {
         Line::through(&self.run(slope.experiment)?.series(slope.metric))
     }
 
     /// The largest size that a slope was measured at.
-    pub fn largest(&self, slope: Slope) -> Option<f64> {
+    pub fn largest_size(&self, slope: Slope) -> Option<f64> {
         let points = self.run(slope.experiment)?.series(slope.metric);
-        points.iter().map(|p| p.0).reduce(f64::max)
+        points.iter().map(|point| point.x).reduce(f64::max)
     }
 }
--- a/crates/scale-laboratory/src/capacity/slope_table.rs
+++ b/crates/scale-laboratory/src/capacity/slope_table.rs
@@ -1,10 +1,14 @@
-//! The table of the slopes that the figures rest on, and of the others that were measured.
+//! The table of all measured slopes.
 
-use super::run_set::{RunSet, RunSets, Slope};
+use super::or_missing;
+use super::run_set::{RunSets, Slope};
+
+use crate::fit::Line;
 use crate::metric::Metric;
 use crate::report::number;
 use std::fmt::Write;
 
+/// A metric of an experiment.
 const fn slope(experiment: &'static str, metric: Metric) -> Slope {
     Slope { experiment, metric }
 }
@@ -64,29 +68,32 @@
          |---|---|---|---|---|\n",
     );
     for slope in SLOPES {
-        let run = |set: &'_ RunSet| set.line(*slope).and(set.run(slope.experiment)).cloned();
-        let Some(run) = run(&sets.before).or_else(|| sets.after.as_ref().and_then(run)) else { continue };
-        let Some(sweep) = &run.experiment.sweep else { continue };
-        let ends = (sweep.values.first(), sweep.values.last());
-        let sizes = match ends {
-            (Some(first), Some(last)) => format!("{} from {first} to {last}", sweep.values.len()),
-            _ => continue,
-        };
-        let _ = writeln!(
-            text,
-            "| {} ({}) | {} | {sizes} | {} | {} |",
-            slope.name(),
-            slope.metric.unit(),
-            sweep.parameter,
-            cell(Some(&sets.before), *slope),
-            cell(sets.after.as_ref(), *slope)
-        );
+        if let Some(row) = row(sets, *slope) {
+            let _ = writeln!(text, "{row}");
+        }
     }
     text
 }
 
-fn cell(runs: Option<&RunSet>, slope: Slope) -> String {
-    let Some(line) = runs.and_then(|runs| runs.line(slope)) else { return "–".to_owned() };
+/// The row of a slope; `None` if neither set has it.
+fn row(sets: &RunSets, slope: Slope) -> Option<String> {
+    let before = sets.before.line(slope);
+    let after = sets.after.as_ref().and_then(|runs| runs.line(slope));
+    let measured = if before.is_some() { &sets.before } else { sets.latest() };
+    let sweep = measured.run(slope.experiment)?.experiment.sweep.as_ref()?;
+    before.or(after)?;
+    let cells = [
+        format!("{} ({})", slope.name(), slope.metric.unit()),
+        sweep.parameter.to_string(),
+        format!("{} from {} to {}", sweep.values.len(), sweep.values.first()?, sweep.values.last()?),
+        or_missing(before.map(cell)),
+        or_missing(after.map(cell)),
+    ];
+    Some(format!("| {} |", cells.join(" | ")))
+}
+
+/// The cell of a line.
+fn cell(line: Line) -> String {
     let figures = [line.slope, line.intercept, line.residual].map(number);
     format!("{}, {:.3}", figures.join(", "), line.r_squared)
 }
--- a/crates/scale-laboratory/src/fit.rs
+++ b/crates/scale-laboratory/src/fit.rs
@@ -2,8 +2,17 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Fewest points that give a slope.
-pub const FEWEST_POINTS: usize = 5;
+/// A measured point.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Sample {
+    /// The swept quantity.
+    pub x: f64,
+    /// The measured value.
+    pub y: f64,
+}
+
+/// Fewest points that give a line.
+const MIN_POINTS: usize = 5;
 
 /// A line `intercept + slope * x` and how far the points lie from it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -21,22 +30,22 @@
 }
 
 impl Line {
-    /// The line through these points; none for too few points or where all lie at one `x`.
-    pub fn through(points: &[(f64, f64)]) -> Option<Line> {
-        if points.len() < FEWEST_POINTS {
+    /// The line through these points; `None` if they are too few or all lie at one `x`.
+    pub fn through(points: &[Sample]) -> Option<Line> {
+        if points.len() < MIN_POINTS {
             return None;
         }
         let count = points.len() as f64;
-        let mean_x = points.iter().map(|p| p.0).sum::<f64>() / count;
-        let mean_y = points.iter().map(|p| p.1).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+        let mean_x = points.iter().map(|point| point.x).sum::<f64>() / count;
+        let mean_y = points.iter().map(|point| point.y).sum::<f64>() / count;
+        let spread: f64 = points.iter().map(|point| (point.x - mean_x).powi(2)).sum();
         if spread == 0.0 {
             return None;
         }
-        let slope = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum::<f64>() / spread;
+        let slope = points.iter().map(|point| (point.x - mean_x) * (point.y - mean_y)).sum::<f64>() / spread;
         let intercept = mean_y - slope * mean_x;
-        let squares: f64 = points.iter().map(|p| (p.1 - intercept - slope * p.0).powi(2)).sum();
-        let variance: f64 = points.iter().map(|p| (p.1 - mean_y).powi(2)).sum();
+        let squares: f64 = points.iter().map(|point| (point.y - intercept - slope * point.x).powi(2)).sum();
+        let variance: f64 = points.iter().map(|point| (point.y - mean_y).powi(2)).sum();
         // Values that differ by rounding alone lie on the line.
         let flat = variance <= f64::EPSILON * count * mean_y.powi(2);
         let r_squared = if flat { 1.0 } else { 1.0 - squares / variance };
--- a/crates/scale-laboratory/src/results.rs
+++ b/crates/scale-laboratory/src/results.rs
@@ -2,6 +2,7 @@
 
 use crate::error::{LaboratoryError, Result};
 use crate::experiment::Experiment;
+use crate::fit::Sample;
 use crate::metric::Metric;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -10,7 +11,9 @@
 
 /// The results file of a folder.
 pub const RUN_FILE: &str = "run.json";
-/// The form of the file; one of another form is refused.
+/// The same while it is written.
+const PARTIAL_RUN_FILE: &str = "run.json.partial";
+/// The format of the file; one of another format is refused.
 const FORMAT: u32 = 1;
 
 /// How far a run has come.
@@ -54,7 +57,7 @@
 /// A run of an experiment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// The form of this file.
+    /// The format of this file.
     pub format: u32,
     /// How far the run has come.
     pub status: RunStatus,
@@ -74,53 +77,56 @@
 
     /// Writes the run into its folder, in one step.
     pub fn write(&self, folder: &Path) -> Result<()> {
-        let context = || format!("{} cannot be written", folder.display());
-        fs::create_dir_all(folder).map_err(|e| LaboratoryError::io(context(), e))?;
-        let text = serde_json::to_string_pretty(self).map_err(|e| LaboratoryError::results(folder, e))?;
-        let partial = folder.join("run.json.partial");
-        fs::write(&partial, text + "\n").map_err(|e| LaboratoryError::io(context(), e))?;
-        fs::rename(&partial, folder.join(RUN_FILE)).map_err(|e| LaboratoryError::io(context(), e))
+        let failed = |error| LaboratoryError::io(format!("{} cannot be written", folder.display()), error);
+        fs::create_dir_all(folder).map_err(failed)?;
+        let text =
+            serde_json::to_string_pretty(self).map_err(|error| LaboratoryError::results(folder, error))?;
+        let partial = folder.join(PARTIAL_RUN_FILE);
+        fs::write(&partial, text + "\n").map_err(failed)?;
+        fs::rename(&partial, folder.join(RUN_FILE)).map_err(failed)
     }
 
     /// Reads a run, complete or not.
     pub fn read(folder: &Path) -> Result<Run> {
         let path = folder.join(RUN_FILE);
-        let text = fs::read_to_string(&path).map_err(|e| LaboratoryError::results(&path, e))?;
-        let run: Run = serde_json::from_str(&text).map_err(|e| LaboratoryError::results(&path, e))?;
+        let text = fs::read_to_string(&path).map_err(|error| LaboratoryError::results(&path, error))?;
+        let run: Run = serde_json::from_str(&text).map_err(|error| LaboratoryError::results(&path, error))?;
         if run.format != FORMAT {
             return Err(LaboratoryError::results(&path, format!("has format {}, not {FORMAT}", run.format)));
         }
         Ok(run)
     }
 
-    /// Reads a run, and refuses one that is half written.
+    /// Reads a run, and refuses one that is not complete.
     pub fn read_complete(folder: &Path) -> Result<Run> {
         let run = Run::read(folder)?;
         if run.status == RunStatus::Complete {
             return Ok(run);
         }
-        let (done, all) = (run.points.len(), run.experiment.points().len());
+        let done = run.points.len();
+        let all = run.experiment.points().len();
         let cause = run.error.as_deref().unwrap_or("the run did not end");
         let reason = format!("is half written: {done} of {all} points ({cause})");
         Err(LaboratoryError::results(&folder.join(RUN_FILE), reason))
     }
 
     /// The points of a metric that have a size.
-    pub fn series(&self, metric: Metric) -> Vec<(f64, f64)> {
-        let value = |p: &Point| Some((p.size? as f64, *p.metrics.get(&metric)?));
-        self.points.iter().filter_map(value).collect()
+    pub fn series(&self, metric: Metric) -> Vec<Sample> {
+        let sample = |point: &Point| Some(Sample { x: point.size? as f64, y: *point.metrics.get(&metric)? });
+        self.points.iter().filter_map(sample).collect()
     }
 
     /// The metrics that are not zero at every size.
     pub fn varied_metrics(&self) -> Vec<Metric> {
-        let some = |m: &Metric| self.series(*m).iter().any(|(_, value)| *value != 0.0);
-        self.metrics().into_iter().filter(some).collect()
+        let varies = |metric: &Metric| self.series(*metric).iter().any(|sample| sample.y != 0.0);
+        self.metrics().into_iter().filter(varies).collect()
     }
 
     /// The metrics that any point has.
     pub fn metrics(&self) -> Vec<Metric> {
-        let has = |m: &Metric| self.points.iter().any(|p| p.metrics.contains_key(m));
-        Metric::ALL.iter().copied().filter(has).collect()
+        let is_measured =
+            |metric: &Metric| self.points.iter().any(|point| point.metrics.contains_key(metric));
+        Metric::ALL.iter().copied().filter(is_measured).collect()
     }
 }
 
@@ -129,9 +135,9 @@
     if folder.join(RUN_FILE).exists() {
         return Ok(vec![folder.to_owned()]);
     }
-    let entries = fs::read_dir(folder).map_err(|e| LaboratoryError::results(folder, e))?;
-    let mut folders: Vec<PathBuf> =
-        entries.filter_map(|e| Some(e.ok()?.path())).filter(|p| p.join(RUN_FILE).exists()).collect();
+    let entries = fs::read_dir(folder).map_err(|error| LaboratoryError::results(folder, error))?;
+    let paths = entries.filter_map(|entry| Some(entry.ok()?.path()));
+    let mut folders: Vec<PathBuf> = paths.filter(|path| path.join(RUN_FILE).exists()).collect();
     if folders.is_empty() {
         return Err(LaboratoryError::results(folder, format!("holds no {RUN_FILE}")));
     }
--- a/crates/scale-laboratory/tests/fit.rs
+++ b/crates/scale-laboratory/tests/fit.rs
@@ -1,10 +1,15 @@
 //! Least-squares lines.
 
-use grebehook_scale_laboratory::fit::Line;
+use grebehook_scale_laboratory::fit::{Line, Sample};
+
+/// Points from pairs of `x` and `y`.
+fn samples<const N: usize>(points: [(f64, f64); N]) -> [Sample; N] {
+    points.map(|(x, y)| Sample { x, y })
+}
 
 #[test]
 fn a_line_through_points_on_a_line_has_no_residual() {
-    let points: Vec<(f64, f64)> = (1..=5).map(|x| (f64::from(x), 3.0 + 2.0 * f64::from(x))).collect();
+    let points = samples([1.0, 2.0, 3.0, 4.0, 5.0].map(|x| (x, 3.0 + 2.0 * x)));
     let line = Line::through(&points).unwrap();
     assert!((line.slope - 2.0).abs() < 1e-12 && (line.intercept - 3.0).abs() < 1e-12);
     assert!(line.residual < 1e-12 && line.r_squared > 0.999_999);
@@ -13,7 +18,7 @@
 /// Worked by hand: slope 0.9, intercept 0.5, squares 0.7 over three degrees of freedom.
 #[test]
 fn a_line_through_scattered_points() {
-    let line = Line::through(&[(1.0, 1.5), (2.0, 2.0), (3.0, 3.5), (4.0, 4.0), (5.0, 5.0)]).unwrap();
+    let line = Line::through(&samples([(1.0, 1.5), (2.0, 2.0), (3.0, 3.5), (4.0, 4.0), (5.0, 5.0)])).unwrap();
     assert!((line.slope - 0.9).abs() < 1e-12, "{line:?}");
     assert!((line.intercept - 0.5).abs() < 1e-12, "{line:?}");
     assert!((line.residual - (0.2_f64 / 3.0).sqrt()).abs() < 1e-12, "{line:?}");
@@ -21,7 +26,7 @@
 
 #[test]
 fn constant_values_lie_on_their_line() {
-    let points: Vec<(f64, f64)> = [61.0, 610.0, 2000.0, 6100.0, 190_000.0].map(|x| (x, 324.1)).to_vec();
+    let points = samples([61.0, 610.0, 2000.0, 6100.0, 190_000.0].map(|x| (x, 324.1)));
     let line = Line::through(&points).unwrap();
     assert_eq!(line.r_squared, 1.0);
     assert!(line.slope.abs() < 1e-12, "{line:?}");
@@ -29,6 +34,6 @@
 
 #[test]
 fn too_few_points_give_no_line() {
-    assert!(Line::through(&[(1.0, 1.0), (2.0, 2.0), (3.0, 3.0), (4.0, 4.0)]).is_none());
-    assert!(Line::through(&[(1.0, 1.0); 6]).is_none());
+    assert!(Line::through(&samples([(1.0, 1.0), (2.0, 2.0), (3.0, 3.0), (4.0, 4.0)])).is_none());
+    assert!(Line::through(&samples([(1.0, 1.0); 6])).is_none());
 }
