--- a/crates/gateway/tests/loopback/clients.rs
+++ b/crates/gateway/tests/loopback/clients.rs
@@ -28,6 +28,7 @@
     (0..count).map(served).collect()
 }
 
+/// Several requests share one connection to the server; the response has headers that the gateway reads.
 #[test]
 fn request_is_forwarded_and_its_response_returned_unchanged() {
     let body: Vec<u8> = (0..60_000u32).map(|position| position as u8).collect();
@@ -46,7 +47,7 @@
         assert_eq!(seen.start_line, "POST /api HTTP/1.1");
         assert_eq!(seen.body, b"hail on the upper rows");
         assert_eq!((seen.header("idempotency-key"), seen.header("x-call-id").len()), ("k1", 16));
-        let timeout_ms: u64 = seen.header("x-budget-ms").parse().unwrap();
+        let timeout_ms = seen.client_timeout_ms().unwrap();
         assert!((1..=1_900).contains(&timeout_ms), "client timeout {timeout_ms} ms");
     }
     assert_eq!(client.call(&idempotent_request()).status(), 200);
@@ -121,11 +122,11 @@
     assert!(!seen.headers.contains_key("idempotency-key"));
 }
 
+/// The announced length is enough for the response.
 #[test]
 fn request_body_over_the_limit_gets_413() {
     let server = Server::healthy();
     let gateway = GatewayProcess::in_front_of(&server);
-    // The announced length is enough; no byte of the body is sent.
     let long = with_framing(&keyed_request(""), "Content-Length: 33554433");
     assert_eq!(gateway.connect().call(&long).status(), 413);
     assert!(server.unread_events().is_empty());
--- a/crates/gateway/tests/loopback/discovery.rs
+++ b/crates/gateway/tests/loopback/discovery.rs
@@ -32,6 +32,7 @@
     Deployment::with_server(server).gateway_count(gateways)
 }
 
+/// Discovery publishes a known name with another address.
 #[test]
 fn endpoint_that_changes_its_address_is_followed() {
     let old = Server::responding_with("old");
@@ -44,6 +45,7 @@
     assert_eq!(response_body(&mut client), b"new");
 }
 
+/// An endpoint in the other zone takes its place.
 #[test]
 fn draining_or_removed_endpoint_gets_no_new_requests() {
     for status in [EndpointStatus::Draining, EndpointStatus::Gone] {
@@ -265,8 +267,8 @@
     publish_replacement(&deployment.agent, &first, &second);
     let known_after = restored_at.elapsed();
     assert!(known_after < NOTIFICATION_DEADLINE, "after {known_after:?}");
-    let answer = gateway.connect().call(&idempotent_request());
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"second"[..]));
+    let response = gateway.connect().call(&idempotent_request());
+    assert_eq!((response.status(), response.body.as_slice()), (200, &b"second"[..]));
     assert!(counter.next_request().start_line.starts_with("POST /v2/numbers/"));
     drop(idle);
 }
--- a/crates/gateway/tests/loopback/lifecycle.rs
+++ b/crates/gateway/tests/loopback/lifecycle.rs
@@ -16,6 +16,7 @@
 /// The gateway's log line for a configuration that it does not load.
 const RELOAD_REFUSED: &str = "the old one stays";
 
+/// The configuration is no JSON, lacks a part or holds an invalid value.
 #[test]
 fn malformed_configuration_exits_with_one_log_line() {
     let valid = Deployment::new(Vec::new()).config_text();
@@ -123,7 +124,7 @@
 }
 
 /// A reload moves the watch to the configured agent, which is asked for its full list though its version is the same; the
-/// previous agent still holds a call open. An invalid file changes nothing.
+/// previous agent leaves a call open. An invalid file changes nothing.
 #[test]
 fn configuration_reload_moves_the_watch_and_ignores_an_invalid_file() {
     let first = Server::responding_with("first");
--- a/crates/gateway/tests/loopback/rig/deployment.rs
+++ b/crates/gateway/tests/loopback/rig/deployment.rs
@@ -6,7 +6,7 @@
 use super::launch::Launch;
 use super::server::Server;
 use super::settings::configuration;
-use serde_json::{json, Value};
+use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
 
@@ -125,7 +125,7 @@
 
     /// Sets the address at which clients connect.
     pub fn listen(self, address: SocketAddr) -> Deployment {
-        self.set("/listen", json!(address.to_string()))
+        self.set("/listen", address.to_string())
     }
 
     /// Limits the descriptors of the processes, whatever the configuration says.
--- a/crates/gateway/tests/loopback/rig/fault_library.rs
+++ b/crates/gateway/tests/loopback/rig/fault_library.rs
@@ -10,7 +10,7 @@
 /// What the library reads: `key=number` pairs, described in `syscall_faults.c`.
 pub const SPECIFICATION: &str = "SYSCALL_FAULTS";
 
-/// Where the library is, built if it was not yet.
+/// The path of the library, which the first call builds.
 pub fn path() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
--- a/crates/gateway/tests/loopback/rig/message.rs
+++ b/crates/gateway/tests/loopback/rig/message.rs
@@ -23,6 +23,11 @@
         self.headers.get(name).map_or("", String::as_str)
     }
 
+    /// How long the client of a request waits, in milliseconds.
+    pub fn client_timeout_ms(&self) -> Option<u64> {
+        self.header("x-budget-ms").parse().ok()
+    }
+
     /// The status code of a response, 0 if its status line is malformed.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
--- a/crates/gateway/tests/loopback/rig/server.rs
+++ b/crates/gateway/tests/loopback/rig/server.rs
@@ -187,7 +187,7 @@
     }
 }
 
-/// Sends a reply; `Break` if the server closes the connection then. A gateway that is gone is no failure.
+/// Sends a reply; `Break` if the server closes the connection then. Write errors are ignored: the gateway may have closed the connection.
 fn send_reply(reply: Reply, reader: &mut BufReader<TcpStream>, writer: &mut TcpStream) -> ControlFlow<()> {
     match reply {
         Reply::Response { head, body } => {
--- a/crates/gateway/tests/loopback/servers.rs
+++ b/crates/gateway/tests/loopback/servers.rs
@@ -310,9 +310,9 @@
     for _ in 0..20 {
         assert_eq!(client.call(&idempotent_request()).status(), 200);
         server.next_request_on_any_connection();
-        // The connection of the previous response is not used for 20 ms.
+        // The gateway uses the connection of the previous response again only after 20 ms.
         client.call(&with_client_timeout(&idempotent_request(), 100));
-        let forwarded: u64 = server.next_request_on_any_connection().header("x-budget-ms").parse().unwrap();
+        let forwarded = server.next_request_on_any_connection().client_timeout_ms().unwrap();
         assert!(forwarded <= 100);
         shortest_forwarded = shortest_forwarded.min(forwarded);
     }
--- a/crates/gateway/tests/loopback/soak/mod.rs
+++ b/crates/gateway/tests/loopback/soak/mod.rs
@@ -183,6 +183,7 @@
     from.parse().expect("a seed")..=to.parse().expect("a seed")
 }
 
+/// Runs all seeds before it reports what violated the terms.
 #[test]
 fn the_terms_hold_through_failing_system_calls_signals_and_bad_peers() {
     let seeds = Mutex::new(seeds());
--- a/crates/gateway/tests/loopback/soak/server.rs
+++ b/crates/gateway/tests/loopback/soak/server.rs
@@ -9,6 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// The forwarded timeout of a request without one: longer than any client waits, so that the checks name it.
+const MISSING_TIMEOUT_MS: u64 = u64::MAX / 2;
+
 /// What a server does with a request.
 #[derive(Clone, Copy, PartialEq)]
 enum Behaviour {
@@ -63,7 +66,7 @@
         let first_byte_at = Instant::now();
         let Some(message) = read_message(&mut reader).filter(|message| message.complete) else { return };
         let behaviour = Behaviour::draw(&mut rng);
-        let timeout_ms = message.header("x-budget-ms").parse().unwrap_or(u64::MAX / 2);
+        let timeout_ms = message.client_timeout_ms().unwrap_or(MISSING_TIMEOUT_MS);
         let request_id = message.header("x-call-id").to_owned();
         record.receipts.lock().unwrap().push(Receipt {
             request_id: request_id.clone(),
--- a/crates/gateway/tests/loopback/syscall_faults.c
+++ b/crates/gateway/tests/loopback/syscall_faults.c
@@ -1,11 +1,22 @@
-// Preloaded into the gateway process alone, by its name: makes system calls fail in ways that Linux documents.
+// Preloaded into the gateway process: makes system calls fail in ways that Linux documents. Other processes that inherit the
+// environment, such as the shell that starts the gateway, are recognised by their name and left alone.
 //
-// SYSCALL_FAULTS holds pairs "key=number" with spaces between them. Percent of the calls that fail: accept (the
-// connection or the network), accept_full (no descriptor, no memory), socket, bind, descriptor (epoll, eventfd,
-// socketpair), connect, wait (EINTR), read (short), write (short), broken (a connection that the gateway opened
-// breaks at a read or write), hold (150 ms before a write, once a second at most). for_ms: faults end so long after the
-// start. seed: of the draws. wall_s: what the wall clock is ahead. wall_step_ms: so often the wall clock
-// steps by an hour, forward or back.
+// SYSCALL_FAULTS holds "key=number" pairs separated by spaces.
+//
+// Percentage of calls that fail:
+//   accept       for the connection or the network
+//   accept_full  for lack of descriptors or memory
+//   socket, bind, connect
+//   descriptor   epoll_create1, eventfd and socketpair, for lack of descriptors
+//   wait         epoll_wait is interrupted (EINTR)
+//   read, write  fewer bytes than asked for are transferred
+//   broken       a connection that the gateway opened breaks at a read or write
+//   hold         a write is delayed by 150 ms, at most once a second
+// Others:
+//   for_ms        faults end this long after the start of the process
+//   seed          of the random draws
+//   wall_s        by how much the wall clock is ahead
+//   wall_step_ms  the wall clock steps by an hour, forward or back, at this interval
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -19,12 +30,18 @@
 #include <unistd.h>
 
 #define REAL(name) static __typeof__(name) *real; if (!real) real = dlsym(RTLD_NEXT, #name)
+
+/* The length of a clock step, and the length and the least interval of delayed writes. */
 enum { HOUR_S = 3600, HOLD_MS = 150, HOLD_EVERY_MS = 1000 };
 
+/* Whether this process is the gateway; -1 until that is known. */
 static int active = -1;
+/* The state of the random draws. */
 static unsigned draw_state;
+/* The monotonic time of the first intercepted call. */
 static long started_ms;
 
+/* The number of a key in SYSCALL_FAULTS, or a default. */
 static long number(const char *key, long otherwise) {
   const char *at = getenv("SYSCALL_FAULTS");
   size_t length = strlen(key);
@@ -36,14 +53,17 @@
   return otherwise;
 }
 
+/* The real clock_gettime, which the library replaces. */
 static int real_clock(clockid_t clock, struct timespec *time) { REAL(clock_gettime); return real(clock, time); }
 
+/* The monotonic clock in milliseconds. */
 static long monotonic_ms(void) {
   struct timespec now;
   real_clock(CLOCK_MONOTONIC, &now);
   return now.tv_sec * 1000 + now.tv_nsec / 1000000;
 }
 
+/* Whether this process is the gateway; the first call reads the process name and the seed. */
 static int is_active(void) {
   if (active < 0) {
     char name[32] = "";
@@ -56,8 +76,10 @@
   return active;
 }
 
+/* A pseudo-random number of 16 bits. */
 static unsigned draw(void) { draw_state = draw_state * 1103515245u + 12345u; return draw_state >> 16; }
 
+/* Draws whether a call of a kind fails; leaves errno as it is. */
 static int fails(const char *kind) {
   int kept = errno;
   if (!is_active()) return 0;
@@ -67,21 +89,25 @@
   return percent && !over && (long)(draw() % 100) < percent;
 }
 
+/* Fails with one of these errors. */
 static int fail_with(const int *errors, int count) { errno = errors[draw() % count]; return -1; }
 #define FAIL(...) do { static const int errors[] = {__VA_ARGS__}; return fail_with(errors, sizeof errors / sizeof *errors); } while (0)
 
-enum { MOST_DESCRIPTORS = 4096 };
-static char opened_here[MOST_DESCRIPTORS];
+/* Descriptors of connections that the gateway itself opened. */
+enum { MAX_DESCRIPTORS = 4096 };
+static char opened_here[MAX_DESCRIPTORS];
 
-static void note_opened(int fd, int opened) { if (fd >= 0 && fd < MOST_DESCRIPTORS) opened_here[fd] = opened; }
+/* Records whether the gateway opened the connection of a descriptor itself. */
+static void note_opened(int fd, int opened) { if (fd >= 0 && fd < MAX_DESCRIPTORS) opened_here[fd] = opened; }
 
-/* Breaks a connection for both sides; what was handed to the system before still goes out. */
+/* Draws whether a connection breaks, for both sides; what was written before is still delivered. */
 static int breaks(int fd) {
-  if (fd < 0 || fd >= MOST_DESCRIPTORS || !opened_here[fd] || !fails("broken")) return 0;
+  if (fd < 0 || fd >= MAX_DESCRIPTORS || !opened_here[fd] || !fails("broken")) return 0;
   shutdown(fd, SHUT_RDWR);
   return 1;
 }
 
+/* Draws whether a write is delayed. */
 static void hold(void) {
   static long last_ms;
   struct timespec time = {0, HOLD_MS * 1000000L};
@@ -90,6 +116,7 @@
   last_ms = monotonic_ms();
 }
 
+/* The intercepted calls. Unix sockets and data that is only peeked at are left alone. */
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) { REAL(accept4);
   if (fails("accept")) FAIL(ECONNABORTED, EPROTO, ENETUNREACH, EHOSTUNREACH, ENETDOWN, EINTR);
   if (fails("accept_full")) FAIL(ENFILE, ENOBUFS, EMFILE, ENOMEM);
