--- a/crates/core/src/admission/client_timeouts.rs
+++ b/crates/core/src/admission/client_timeouts.rs
@@ -18,7 +18,7 @@
 }
 
 impl ClientTimeouts {
-    /// Before any request, clients are expected to wait for a class's whole deadline.
+    /// Before any request, clients are expected to wait until a class's deadline.
     pub fn new(classes: &[Class]) -> ClientTimeouts {
         ClientTimeouts { usual_us: classes.iter().map(|class| class.deadline as f64).collect() }
     }
--- a/crates/core/src/admission/final_answer.rs
+++ b/crates/core/src/admission/final_answer.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// What clients are told of when to retry, if they may be told.
+    /// When clients are advised to retry, if rejections may carry that advice.
     fn retry_advice(&self, retry_after: Micros) -> Option<Micros> {
         let capabilities = &self.settings.capabilities;
         let advice = retry_after.min(capabilities.max_retry_after);
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -14,7 +14,7 @@
 const MAX_QUEUEING_OF_OBJECTIVE: f64 = 0.15;
 /// Most of the client's remaining time that queueing may use; it may be far shorter than the objective.
 const MAX_QUEUEING_OF_CLIENT_TIME: f64 = 0.25;
-/// Batches of events between an answer and its delivery, which a request's deadline leaves room for.
+/// Batches of events between an answer and its delivery, which a request's deadline leaves time for.
 const MARGIN_BATCHES: Micros = 2;
 /// Units of a request above this make no sense.
 const MAX_UNITS: f64 = 1e9;
--- a/crates/core/src/api/endpoints.rs
+++ b/crates/core/src/api/endpoints.rs
@@ -1,6 +1,6 @@
 //! The endpoint list as service discovery tells it.
 
-use super::{Micros, ServerId};
+use super::{NonZeroMicros, ServerId};
 
 /// What the endpoint list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     /// Its state.
     pub state: EndpointState,
     /// When it last started; `None` if that was long ago.
-    pub started_at: Option<Micros>,
+    pub started_at: Option<NonZeroMicros>,
     /// Its capacity relative to other servers'.
     pub relative_size: f64,
     /// Its zone.
--- a/crates/core/src/api/events.rs
+++ b/crates/core/src/api/events.rs
@@ -118,7 +118,7 @@
         /// The request.
         id: RequestId,
     },
-    /// Part of the request's body was forwarded and is not kept: no further attempt can be sent.
+    /// Part of the request's body was forwarded and is not buffered: no further attempt can be sent.
     BodyConsumed {
         /// The request.
         id: RequestId,
--- a/crates/core/src/api/ids.rs
+++ b/crates/core/src/api/ids.rs
@@ -3,6 +3,9 @@
 /// A time or a span, in microseconds on the clock of whoever drives the gateway.
 pub type Micros = u64;
 
+/// A time that is not zero, so that an unknown one takes no more memory.
+pub type NonZeroMicros = std::num::NonZeroU64;
+
 /// Defines a number that names something.
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -10,7 +10,7 @@
 pub use actions::Action;
 pub use endpoints::{Endpoint, EndpointState, WatchEvent};
 pub use events::{AttemptReport, AttemptStatus, CounterResult, Event, LoadReport, RequestArrival};
-pub use ids::{CounterId, CustomerId, Micros, RequestId, ServerId, TimerId};
+pub use ids::{CounterId, CustomerId, Micros, NonZeroMicros, RequestId, ServerId, TimerId};
 pub use settings::{
     Capabilities, Class, DeduplicationScope, Idempotency, LoadReports, Plan, ProtocolRules, Settings,
     SettingsError,
--- a/crates/core/src/api/settings.rs
+++ b/crates/core/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! Everything a gateway is configured with.
+//! What a gateway is configured with.
 
 use super::Micros;
 
@@ -137,7 +137,7 @@
     pub overload_window: Micros,
 }
 
-/// Everything a gateway is told at its start.
+/// The configuration of a gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// This gateway's number, below [`Self::gateway_count`].
--- a/crates/core/src/attempts/outcome.rs
+++ b/crates/core/src/attempts/outcome.rs
@@ -17,7 +17,7 @@
     plan: usize,
     /// Requests that the server was expected to have in flight at the send.
     expected_in_flight: f64,
-    /// The server had the whole request.
+    /// The server had received the complete request.
     fully_sent: bool,
     /// It took longer than a slow answer, or than the latency objective.
     is_late: bool,
--- a/crates/core/src/customer/counter_account.rs
+++ b/crates/core/src/customer/counter_account.rs
@@ -1,5 +1,5 @@
-//! What this gateway has told the shared counter of a customer's use and what it knows of the counter's
-//! total.
+//! What this gateway has reported to the shared counter of a customer's use and what it knows of the
+//! counter's total.
 //!
 //! A total means different things to few and to many gateways. Few see the customer often: what a total rose
 //! by besides a gateway's own use is the others' ([`CounterAccount::use_of_others`]). One of many sees it
@@ -11,13 +11,14 @@
 use crate::decaying_rate::seconds;
 use crate::handover::text::handover_record;
 
-/// The longest life of a counter's key.
+/// The longest lifetime of a counter's key.
 pub(crate) const COUNTER_KEY_LIFETIME: Micros = 60_000_000;
 /// A total as young as this needs no second look.
 pub(crate) const TOTAL_FRESH_FOR: Micros = 200_000;
 /// A total that fell below this part of the last one has started anew.
 const RESTARTED_TOTAL: f64 = 0.5;
-/// Part of the burst kept for what a total never hears of: use that found no call, true units.
+/// Part of the burst reserved for use that never reaches a total: use without a call, differences of true
+/// units.
 const RESERVE_OF_BURST: f64 = 0.2;
 /// A total that lags by more than this part of the burst hides how much the bucket could not hold.
 const MAX_LAG_OF_BURST: f64 = 0.25;
--- a/crates/core/src/customer/peer_usage.rs
+++ b/crates/core/src/customer/peer_usage.rs
@@ -4,7 +4,7 @@
 use crate::gossip::message::TOTAL_BITS;
 use std::collections::BTreeMap;
 
-/// Fractions of a unit in which totals are told.
+/// Fractions of a unit in which totals are sent.
 const PARTS_PER_UNIT: f64 = 8.0;
 
 /// The last total heard from a gateway.
@@ -30,7 +30,7 @@
         self.own_units += units;
     }
 
-    /// Whether more than one unit was forwarded here: a customer seen once need not be told of.
+    /// Whether more than one unit was forwarded here: a customer seen once need not be published.
     pub fn is_repeated(&self) -> bool {
         self.own_units > 1.0
     }
--- a/crates/core/src/customer/table.rs
+++ b/crates/core/src/customer/table.rs
@@ -10,7 +10,7 @@
 pub(crate) struct CustomerTable {
     /// The records.
     customers: BTreeMap<CustomerId, Box<Customer>>,
-    /// By a time before which the customer is surely kept; looked at again then.
+    /// By a time before which the customer cannot be idle; it is examined again then.
     idle_queue: BTreeSet<(Micros, CustomerId)>,
     /// Customers examined by the queue since the start.
     visited: u64,
--- a/crates/core/src/customer/token_bucket.rs
+++ b/crates/core/src/customer/token_bucket.rs
@@ -78,8 +78,8 @@
         units: f64,
         keeps_level: bool,
     ) {
-        let kept = if keeps_level { self.allowance } else { 0.0 };
-        let max = (plan.burst * share).max(MIN_ALLOWANCE_REQUESTS * units).max(kept);
+        let retained = if keeps_level { self.allowance } else { 0.0 };
+        let max = (plan.burst * share).max(MIN_ALLOWANCE_REQUESTS * units).max(retained);
         self.allowance = (self.allowance + elapsed_s * plan.rate * share).min(max);
     }
 
--- a/crates/core/src/endpoints/ranked_tree.rs
+++ b/crates/core/src/endpoints/ranked_tree.rs
@@ -5,7 +5,7 @@
 
 use crate::random_source::RandomSource;
 
-/// Where a record is kept.
+/// The place of a record.
 pub(crate) type Slot = u32;
 
 /// No slot.
--- a/crates/core/src/endpoints/server.rs
+++ b/crates/core/src/endpoints/server.rs
@@ -1,6 +1,6 @@
 //! A server as one gateway sees it.
 
-use crate::api::{Endpoint, Micros, ProtocolRules};
+use crate::api::{Endpoint, Micros, NonZeroMicros, ProtocolRules};
 use crate::decaying_rate::decay;
 use crate::handover::text::handover_record;
 use crate::health::outlier::OutlierState;
@@ -31,7 +31,7 @@
     /// As it is listed; its start by this process's clock.
     pub endpoint: Endpoint,
     /// Its start by the fleet's clock, as it was listed.
-    pub reported_start: Option<Micros>,
+    pub reported_start: Option<NonZeroMicros>,
     /// Attempts in flight there from here.
     pub attempts_in_flight: u32,
     /// Time per request in flight, microseconds.
--- a/crates/core/src/endpoints/server_index.rs
+++ b/crates/core/src/endpoints/server_index.rs
@@ -2,7 +2,7 @@
 //! position, those that warm up, ejected ones by the end of their ejection, and those of a zone or a cell.
 //! Each change of a record keeps it up to date in logarithmic time; nothing is decided here.
 
-use crate::api::{Endpoint, EndpointState, Micros, ProtocolRules, ServerId};
+use crate::api::{Endpoint, EndpointState, Micros, NonZeroMicros, ProtocolRules, ServerId};
 use crate::endpoints::ranked_tree::{RankedTree, Slot, Subset};
 use crate::endpoints::server::Server;
 use std::cell::Cell;
@@ -30,7 +30,7 @@
     /// Its cell.
     cell: u32,
     /// When it started.
-    started_at: Option<Micros>,
+    started_at: Option<NonZeroMicros>,
     /// The end of its ejection.
     ejected_until: Micros,
     /// No attempt of this gateway is in flight there.
@@ -95,7 +95,7 @@
     /// Ejected servers, by the end of the ejection.
     ejected: BTreeSet<(Micros, Slot)>,
     /// Servers that warm up by the time of their start, so that the first is the next to be warm.
-    warming_up: BTreeSet<(Option<Micros>, Slot)>,
+    warming_up: BTreeSet<(Option<NonZeroMicros>, Slot)>,
     /// Ready servers by zone.
     zones: BTreeSet<(u32, Slot)>,
     /// Ready servers by cell.
--- a/crates/core/src/endpoints/start_times.rs
+++ b/crates/core/src/endpoints/start_times.rs
@@ -7,7 +7,7 @@
 //! now, which errs on the side of the slower slow start. What remains unseen is a clock ahead by less than
 //! [`CHANGE_DELAY`], and one that is ahead when the first list tells of a start that was recent then.
 
-use crate::api::{Endpoint, Micros, WatchEvent};
+use crate::api::{Endpoint, Micros, NonZeroMicros, WatchEvent};
 
 /// Changes of the list arrive some seconds late; by a correct clock hardly any are older.
 const CHANGE_DELAY: Micros = 10_000_000;
@@ -45,14 +45,15 @@
 
     /// The newest start of a list, if it is newer than any listed before.
     fn newest_start(&self, now: Micros, endpoints: &[Endpoint]) -> Option<Micros> {
-        let starts = endpoints.iter().filter_map(|endpoint| endpoint.started_at);
+        let starts = endpoints.iter().filter_map(|endpoint| endpoint.started_at).map(NonZeroMicros::get);
         let newest = starts.filter(|at| self.age(now, *at) > -(MAX_STEP as i64)).max();
         newest.filter(|at| self.newest.is_none_or(|known| *at > known))
     }
 
     /// A start by this process's clock, from the fleet's.
-    pub fn local(&self, started_at: Micros) -> Micros {
-        started_at.saturating_add_signed(self.clock_offset).max(1)
+    pub fn local(&self, started_at: NonZeroMicros) -> NonZeroMicros {
+        let local = started_at.get().saturating_add_signed(self.clock_offset);
+        NonZeroMicros::new(local).unwrap_or(NonZeroMicros::MIN)
     }
 
     /// How long ago a start was; negative where it would lie in the future.
--- a/crates/core/src/gossip/message.rs
+++ b/crates/core/src/gossip/message.rs
@@ -15,7 +15,7 @@
 pub(crate) const MAX_ENTRIES: usize = (MAX_MESSAGE_BYTES - HEADER_BYTES) / ENTRY_BYTES;
 /// Bits of a running total that an entry carries.
 pub(crate) const TOTAL_BITS: u32 = 24;
-/// Fractions of the quota in which demand is told.
+/// Fractions of the quota in which demand is sent.
 const DEMAND_PARTS: f64 = 16.0;
 
 /// What one gateway tells of one customer.
@@ -28,7 +28,7 @@
     pub gateway_count: usize,
     /// Running total of units used, in eighths, modulo 2^[`TOTAL_BITS`].
     pub total_eighths: u32,
-    /// Demand in multiples of the quota, told in sixteenths, up to 15.9.
+    /// Demand in multiples of the quota, sent in sixteenths, up to 15.9.
     pub demand: f64,
 }
 
--- a/crates/core/src/gossip/mod.rs
+++ b/crates/core/src/gossip/mod.rs
@@ -1,5 +1,5 @@
-//! Gossip between gateways: what is told of customers' use, to whom and how often, and what is made of what
-//! others tell.
+//! Gossip between gateways: what is published of customers' use, to whom and how often, and what follows from
+//! what others tell.
 
 pub(crate) mod message;
 pub(crate) mod queue;
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Sends what is queued. Use is told as running totals, so that a lost message only delays it.
+    /// Sends what is queued. Use is sent as running totals, so that a lost message only delays it.
     pub(crate) fn send_gossip(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for to in self.gossip.due_gateways(now, self.settings.gateway_count) {
             if to == self.settings.gateway_index {
--- a/crates/core/src/gossip/queue.rs
+++ b/crates/core/src/gossip/queue.rs
@@ -3,7 +3,7 @@
 use crate::api::CustomerId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Customers to be told of, by gateway.
+/// Customers whose use is to be published, by gateway.
 #[derive(Default)]
 pub(crate) struct GossipQueue {
     /// The customers queued for each gateway.
--- a/crates/core/src/gossip/state.rs
+++ b/crates/core/src/gossip/state.rs
@@ -1,7 +1,7 @@
 //! What this gateway knows of its gossip: the budget, the queue and when each peer was last heard.
 
 use super::queue::GossipQueue;
-use crate::api::{CustomerId, Micros, Settings};
+use crate::api::{CustomerId, Micros, NonZeroMicros, Settings};
 
 /// A peer not heard for so long may be down or cut off.
 const PEER_TIMEOUT: Micros = 1_500_000;
@@ -24,18 +24,18 @@
 pub(crate) struct Gossip {
     /// Distinguishes this start of the gateway from earlier ones: running totals begin anew with each.
     incarnation: u32,
-    /// So few gateways that each tells every other all use; among more, only demand over the quota is told.
+    /// So few gateways that each publishes all use to every other; among more, only demand over the quota.
     full_mesh: bool,
     /// Time between two messages to each peer, so that all of them fill no one's intake.
     interval: Micros,
     /// Entries that may be queued now.
     budget: f64,
-    /// Customers to be told of.
+    /// Customers whose use is to be published.
     queued: GossipQueue,
     /// When the last message was sent.
     sent_at: Micros,
     /// When each gateway was last heard.
-    heard_at: Vec<Option<Micros>>,
+    heard_at: Vec<Option<NonZeroMicros>>,
 }
 
 impl Gossip {
@@ -59,19 +59,19 @@
         self.incarnation
     }
 
-    /// Whether every gateway tells every other all use.
+    /// Whether every gateway publishes all use to every other.
     pub fn is_full_mesh(&self) -> bool {
         self.full_mesh
     }
 
     /// Whether a gateway was heard lately.
     pub fn is_peer_alive(&self, now: Micros, gateway: usize) -> bool {
-        self.heard_at[gateway].is_some_and(|at| now < at.saturating_add(PEER_TIMEOUT))
+        self.heard_at[gateway].is_some_and(|at| now < at.get().saturating_add(PEER_TIMEOUT))
     }
 
     /// Notes a message from a gateway.
     pub fn record_received(&mut self, now: Micros, from: usize) {
-        self.heard_at[from] = Some(now);
+        self.heard_at[from] = NonZeroMicros::new(now);
     }
 
     /// Adds what a request earns to the budget.
@@ -79,7 +79,8 @@
         self.budget = (self.budget + ENTRIES_PER_REQUEST).min(MAX_SAVED_ENTRIES);
     }
 
-    /// Pays for telling so many gateways of a customer, if the budget allows it; in a full mesh that is free.
+    /// Pays for publishing a customer to so many gateways, if the budget allows it; in a full mesh that is
+    /// free.
     pub fn pay_for(&mut self, gateway_count: usize) -> bool {
         let cost = if self.full_mesh { 0.0 } else { gateway_count as f64 };
         let is_affordable = self.budget >= cost;
--- a/crates/core/src/health/outlier.rs
+++ b/crates/core/src/health/outlier.rs
@@ -5,7 +5,7 @@
 use crate::decaying_rate::decay;
 use crate::handover::text::handover_record;
 
-/// When more than this share of the servers looks bad, none is kept ejected (the panic threshold).
+/// When more than this share of the servers looks bad, none stays ejected (the panic threshold).
 const MAX_EJECTED_SHARE: f64 = 0.5;
 /// Weight of one outcome in a server's success rate.
 const OUTCOME_WEIGHT: f64 = 0.1;
--- a/crates/core/src/quota/counter_calls.rs
+++ b/crates/core/src/quota/counter_calls.rs
@@ -15,8 +15,9 @@
 const MAX_SAVED_CALLS: f64 = 10.0;
 /// Calls saved up at the start, where many gateways may start at once.
 const INITIAL_SAVED_CALLS_OF_MANY: f64 = 2.0;
-/// Saved calls that are kept for requests: use that no request waits for is reported with what is over these.
-const CALLS_KEPT_FOR_REQUESTS: f64 = MAX_SAVED_CALLS / 2.0;
+/// Saved calls that are reserved for requests: use that no request waits for is reported with what is over
+/// these.
+const CALLS_RESERVED_FOR_REQUESTS: f64 = MAX_SAVED_CALLS / 2.0;
 /// Factor on the calls for each request after a quick reply.
 const INCREASE: f64 = 1.05;
 /// Factor on the calls for each request after a slow reply or none.
@@ -95,14 +96,14 @@
         self.saved = self.saved.max(1.0);
     }
 
-    /// Whether a call that no request waits for leaves enough for those that requests need.
+    /// Whether a call that no request waits for leaves enough for requests.
     pub fn has_surplus(&self) -> bool {
-        self.saved >= CALLS_KEPT_FOR_REQUESTS
+        self.saved >= CALLS_RESERVED_FOR_REQUESTS
     }
 
-    /// Part of the calls kept for requests that is used up; negative where more are saved.
+    /// Part of the calls reserved for requests that is used up; negative where more are saved.
     pub fn scarcity(&self) -> f64 {
-        1.0 - self.saved / CALLS_KEPT_FOR_REQUESTS
+        1.0 - self.saved / CALLS_RESERVED_FOR_REQUESTS
     }
 
     /// Calls for each request, for the next process.
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -16,7 +16,7 @@
     pub expected_in_flight: f64,
     /// Waited for no longer than a slow response takes.
     pub uses_attempt_timeout: bool,
-    /// The server has the whole request.
+    /// The server has received the complete request.
     pub fully_sent: bool,
 }
 
@@ -43,7 +43,7 @@
     pub within_quota: bool,
     /// Its response has begun to stream.
     pub response_started: bool,
-    /// Part of its body was forwarded and is not kept.
+    /// Part of its body was forwarded and is not buffered.
     pub body_consumed: bool,
     /// Part of its body is still to come.
     pub body_incomplete: bool,
--- a/crates/core/tests/bounded_work.rs
+++ b/crates/core/tests/bounded_work.rs
@@ -9,7 +9,7 @@
 use common::{MILLISECOND, SECOND};
 use grebehook_core::{
     Action, AttemptReport, AttemptStatus, DeduplicationScope, Endpoint, EndpointState, Event, Gateway,
-    Idempotency, Micros, Plan, RequestArrival, RequestId, ServerId, Settings,
+    Idempotency, Micros, NonZeroMicros, Plan, RequestArrival, RequestId, ServerId, Settings,
 };
 use std::collections::BTreeSet;
 
@@ -100,7 +100,7 @@
             if k % 3 == 0 {
                 most.tick = most.tick.max(self.tick());
                 let new_server = endpoint(server_count as u64 + 1 + k, 0);
-                let added = Endpoint { started_at: Some(self.now), ..new_server.clone() };
+                let added = Endpoint { started_at: NonZeroMicros::new(self.now), ..new_server.clone() };
                 most.list_change = most.list_change.max(self.handle(endpoint_delta(vec![added])));
                 let removed = Endpoint { state: EndpointState::Gone, ..new_server };
                 most.list_change = most.list_change.max(self.handle(endpoint_delta(vec![removed])));
@@ -216,7 +216,7 @@
         // This gateway's subset begins at 0.326 of the list.
         let from = server_count as u64 * 3 / 10;
         let restarted: Vec<Endpoint> = (from..from + server_count as u64 / 4)
-            .map(|k| Endpoint { started_at: Some(gateway.now), ..endpoint(k, 0) })
+            .map(|k| Endpoint { started_at: NonZeroMicros::new(gateway.now), ..endpoint(k, 0) })
             .collect();
         let warming: BTreeSet<ServerId> = restarted.iter().map(|endpoint| endpoint.server).collect();
         gateway.handle(endpoint_delta(restarted));
--- a/crates/core/tests/fleet_balancing.rs
+++ b/crates/core/tests/fleet_balancing.rs
@@ -6,7 +6,7 @@
 use common::fleet_gateway::FleetGateway;
 use common::settings::{endpoint, endpoints, in_fleet, settings_with_usage_reports};
 use common::{MILLISECOND, SECOND};
-use grebehook_core::{Endpoint, ServerId, Settings};
+use grebehook_core::{Endpoint, NonZeroMicros, ServerId, Settings};
 use std::collections::BTreeSet;
 
 /// The default settings of one gateway of so many, with usage reports.
@@ -67,7 +67,7 @@
 /// Sends a gateway's twelve requests in three seconds; a server starts before the fifth, and every third gateway
 /// restarts before the ninth, with no memory of what it sent.
 fn send_while_a_server_warms_up(gateway: &mut FleetGateway, index: usize, counts: &mut RequestCounts) {
-    let started = Endpoint { started_at: Some(3 * SECOND), ..endpoint(WARMING, 0) };
+    let started = Endpoint { started_at: NonZeroMicros::new(3 * SECOND), ..endpoint(WARMING, 0) };
     for k in 0..12 {
         let now = 2 * SECOND + k * 250 * MILLISECOND + index as u64 * 300;
         if k == 4 {
--- a/crates/core/tests/fleet_slow_start.rs
+++ b/crates/core/tests/fleet_slow_start.rs
@@ -8,8 +8,8 @@
 use common::settings::{ample_plan, endpoint, endpoints, in_fleet, settings_with_usage_reports};
 use common::{MILLISECOND, SECOND};
 use grebehook_core::{
-    AttemptReport, AttemptStatus, Endpoint, EndpointState, Event, Micros, ProtocolRules, RequestId, ServerId,
-    Settings,
+    AttemptReport, AttemptStatus, Endpoint, EndpointState, Event, Micros, NonZeroMicros, ProtocolRules,
+    RequestId, ServerId, Settings,
 };
 
 /// The server that warms up.
@@ -62,7 +62,7 @@
     fn list_changes(&self, tick: u64) -> Vec<Endpoint> {
         let start_tick = STARTED_AT / TICK;
         if tick == start_tick {
-            return vec![Endpoint { started_at: Some(STARTED_AT), ..endpoint(WARMING, 0) }];
+            return vec![Endpoint { started_at: NonZeroMicros::new(STARTED_AT), ..endpoint(WARMING, 0) }];
         }
         if self.servers_change && tick > start_tick && tick.is_multiple_of(3) {
             let removed = endpoint(tick / 3 % (self.server_count / 2), 0);
--- a/crates/core/tests/handover.rs
+++ b/crates/core/tests/handover.rs
@@ -6,7 +6,7 @@
 use common::settings::{endpoint, endpoints, plan, settings, with_shared_counter};
 use common::test_gateway::TestGateway;
 use common::{MILLISECOND, SECOND};
-use grebehook_core::{AttemptStatus, Endpoint, Plan, ServerId, Settings};
+use grebehook_core::{AttemptStatus, Endpoint, NonZeroMicros, Plan, ServerId, Settings};
 
 /// The customer that spends its quota.
 const CUSTOMER: u64 = 5;
@@ -84,7 +84,7 @@
         hard_limit_overdraft: 5.0,
         ..plan()
     });
-    let started_at = |server| (server == 6).then_some(SECOND / 2);
+    let started_at = |server| NonZeroMicros::new(SECOND / 2).filter(|_| server == 6);
     let server = |number| Endpoint { started_at: started_at(number), ..endpoint(number, number as u32 % 2) };
     TestGateway::new(settings, &(1..=6).map(server).collect::<Vec<_>>())
 }
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -7,7 +7,7 @@
 use common::settings::{endpoint, endpoints, settings};
 use common::test_gateway::TestGateway;
 use common::{MILLISECOND, SECOND};
-use grebehook_core::{AttemptStatus, Endpoint, ServerId, Settings};
+use grebehook_core::{AttemptStatus, Endpoint, NonZeroMicros, ServerId, Settings};
 use std::collections::VecDeque;
 
 /// Requests to server 2 within the overload window after its start beside a warm server.
@@ -18,7 +18,7 @@
     for k in 0..3 * offered {
         gateway.run_until(SECOND + k * 1_500 * MILLISECOND / offered);
         if k == 2 * offered {
-            let started = Endpoint { started_at: Some(gateway.now), ..endpoint(2, 0) };
+            let started = Endpoint { started_at: NonZeroMicros::new(gateway.now), ..endpoint(2, 0) };
             gateway.handle(endpoint_delta(vec![started]));
         }
         let (id, actions) = gateway.request(100 + k);
@@ -53,7 +53,7 @@
         gateway.run_until(SECOND + k * 10 * MILLISECOND);
         if k == 300 {
             for server in (1..=60).filter(|server| restarts(*server)) {
-                let started = Endpoint { started_at: Some(gateway.now), ..endpoint(server, 0) };
+                let started = Endpoint { started_at: NonZeroMicros::new(gateway.now), ..endpoint(server, 0) };
                 gateway.handle(endpoint_delta(vec![started]));
             }
         }
--- a/crates/core/tests/start_times.rs
+++ b/crates/core/tests/start_times.rs
@@ -8,7 +8,7 @@
 use common::settings::{endpoint, settings};
 use common::test_gateway::TestGateway;
 use common::SECOND;
-use grebehook_core::{AttemptStatus, Endpoint, Micros, ServerId, Settings};
+use grebehook_core::{AttemptStatus, Endpoint, Micros, NonZeroMicros, ServerId, Settings};
 use std::collections::VecDeque;
 
 /// An hour of the gateway's clock.
@@ -46,7 +46,8 @@
             gateway.handle(endpoint_delta(Vec::new()));
         }
         if k == REQUESTS_PER_SECOND {
-            let started = Endpoint { started_at: Some(fleet_time(gateway.now)), ..endpoint(2, 0) };
+            let started =
+                Endpoint { started_at: NonZeroMicros::new(fleet_time(gateway.now)), ..endpoint(2, 0) };
             gateway.handle(endpoint_delta(vec![started]));
         }
         let (id, actions) = gateway.request(100 + k);
--- a/crates/core/tests/unit/server_index.rs
+++ b/crates/core/tests/unit/server_index.rs
@@ -1,4 +1,4 @@
-use crate::api::{Endpoint, EndpointState, Micros, ProtocolRules, ServerId};
+use crate::api::{Endpoint, EndpointState, Micros, NonZeroMicros, ProtocolRules, ServerId};
 use crate::endpoints::ranked_tree::Subset;
 use crate::endpoints::server::Server;
 use crate::endpoints::server_index::{ServerIndex, Site};
@@ -129,7 +129,7 @@
     for step in steps {
         match step {
             Step::List { server, state, site, age_s } => {
-                let started_at = age_s.map(|age| now - age * SECOND);
+                let started_at = age_s.and_then(|age| NonZeroMicros::new(now - age * SECOND));
                 let (id, zone, cell) = (ServerId(server), site % 3, site);
                 let entry = Endpoint { server: id, state, started_at, relative_size: 1.0, zone, cell };
                 let fresh = || Server {
@@ -179,7 +179,7 @@
 fn sums_kept_by_changes_agree_with_sums_made_anew() {
     let (mut index, now) = (ServerIndex::new(rules()), 20 * SECOND);
     for k in 0..2_000_u64 {
-        let started_at = (k % 3 == 0).then(|| now - k * 5_000);
+        let started_at = NonZeroMicros::new(now - k * 5_000).filter(|_| k % 3 == 0);
         let entry =
             Endpoint { server: ServerId(k), state: EndpointState::Ready, started_at, ..Endpoint::default() };
         index.insert(
--- a/crates/gateway/src/control/endpoint_list.rs
+++ b/crates/gateway/src/control/endpoint_list.rs
@@ -2,7 +2,7 @@
 //! are mapped to the decision core's terms here and nowhere else.
 
 use crate::config::names::WireNames;
-use grebehook_core::{Endpoint, EndpointState, Micros, ServerId};
+use grebehook_core::{Endpoint, EndpointState, Micros, NonZeroMicros, ServerId};
 use grebehook_simulator_adapter::fields;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -108,9 +108,9 @@
     }
 
     /// When the server last started; a time of 0 means that it is unknown.
-    fn started_at(&self) -> Option<Micros> {
+    fn started_at(&self) -> Option<NonZeroMicros> {
         let started_at = usable(self.started_at_ms).map(|ms| (ms * MICROS_PER_MILLISECOND) as Micros);
-        started_at.filter(|micros| *micros > 0)
+        started_at.and_then(NonZeroMicros::new)
     }
 }
 
--- a/crates/gateway/src/servers/pool.rs
+++ b/crates/gateway/src/servers/pool.rs
@@ -4,7 +4,7 @@
 use crate::control::endpoint_list::ListedEndpoint;
 use crate::servers::connection::{OpenConnectionGuard, ServerConnection, ServerConnectionIo};
 use crate::servers::dial::dial;
-use grebehook_core::{AttemptStatus, EndpointState, Micros, ServerId};
+use grebehook_core::{AttemptStatus, EndpointState, NonZeroMicros, ServerId};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use std::cell::{Cell, RefCell};
@@ -31,7 +31,7 @@
     /// Where it listens.
     address: SocketAddr,
     /// Its reported start, an identifier only: it is never compared to a clock.
-    started_at: Option<Micros>,
+    started_at: Option<NonZeroMicros>,
 }
 
 impl ServerProcess {
--- a/crates/scale-laboratory/src/core_cost.rs
+++ b/crates/scale-laboratory/src/core_cost.rs
@@ -11,7 +11,7 @@
 use crate::topology::Topology;
 use grebehook_core::{
     Action, AttemptReport, AttemptStatus, CounterId, CounterResult, CustomerId, Endpoint, EndpointState,
-    Event, Gateway, Micros, RequestArrival, RequestId, ServerId, TimerId, WatchEvent,
+    Event, Gateway, Micros, NonZeroMicros, RequestArrival, RequestId, ServerId, TimerId, WatchEvent,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -132,7 +132,7 @@
 }
 
 /// The entry of a server that is ready.
-fn endpoint(topology: &Topology, server: usize, started_at: Option<Micros>) -> Endpoint {
+fn endpoint(topology: &Topology, server: usize, started_at: Option<NonZeroMicros>) -> Endpoint {
     let zone = topology.zone_of_server(server) as u32;
     Endpoint {
         server: ServerId(server as u64),
@@ -287,7 +287,8 @@
         let topology = Topology::new(&self.core.experiment.fleet);
         let servers = self.core.experiment.fleet.servers();
         let cost = self.run_batches(|core, rng| {
-            let mut changed = || endpoint(&topology, rng.random_range(0..servers), Some(core.now));
+            let mut changed =
+                || endpoint(&topology, rng.random_range(0..servers), NonZeroMicros::new(core.now));
             let changed: Vec<Endpoint> = (0..CHANGES_PER_BATCH).map(|_| changed()).collect();
             let cpu_us = measure_micros(|| {
                 for endpoint in changed {
--- a/crates/scale-laboratory/src/hollow/endpoint_history.rs
+++ b/crates/scale-laboratory/src/hollow/endpoint_history.rs
@@ -4,7 +4,7 @@
 use crate::settings::zone_name;
 use crate::topology::Topology;
 use crate::wire::{self, EndpointListMessage, EndpointMessage};
-use grebehook_core::{Endpoint, EndpointState, Micros, ServerId};
+use grebehook_core::{Endpoint, EndpointState, Micros, NonZeroMicros, ServerId};
 use std::collections::BTreeSet;
 
 /// An agent's address in calls, for their length.
@@ -127,7 +127,7 @@
         Endpoint {
             server: ServerId(server as u64),
             state: record.state,
-            started_at: Some(record.started_at).filter(|at| *at > 0),
+            started_at: NonZeroMicros::new(record.started_at),
             relative_size: 1.0,
             zone,
             cell: zone,
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -8,7 +8,7 @@
 use fnv::FnvHasher;
 use grebehook_core::{
     AttemptReport, AttemptStatus, CounterId, CounterResult, CustomerId, Endpoint, EndpointState, Event,
-    LoadReport, RequestArrival, ServerId, TimerId, WatchEvent,
+    LoadReport, NonZeroMicros, RequestArrival, ServerId, TimerId, WatchEvent,
 };
 use serde_json::Value;
 use std::hash::Hasher;
@@ -86,7 +86,7 @@
             2 => EndpointState::Draining,
             _ => return Err(ColumnError { column: "readiness" }),
         },
-        started_at: row.positive("readyAtUs")?,
+        started_at: row.positive("readyAtUs")?.and_then(NonZeroMicros::new),
         relative_size: row.optional_number("size").unwrap_or(1.0),
         zone: row.unsigned_or_zero("locality")? as u32,
         server: server(instance, row)?,
