--- a/crates/gateway/tests/loopback/takeover.rs
+++ b/crates/gateway/tests/loopback/takeover.rs
@@ -1,7 +1,7 @@
 //! Takeover: a successor process gets the listener and the state of the process that serves.
 //!
 //! Over the control socket in `$TMPDIR` the predecessor sends its listener, the length of its state and the state: the text
-//! that the decision core writes (`crates/core/src/handover.rs`), whose first line is its version, `grebehook-2`. Both
+//! that the decision core writes (its `handover` module), whose first line is its version, `grebehook-2`. Both
 //! processes of these tests are of the same build.
 
 use crate::rig::client::operator_get;
