--- a/crates/scale-laboratory/src/catalog.rs
+++ b/crates/scale-laboratory/src/catalog.rs
@@ -1,6 +1,6 @@
-//! The experiments that ship with the program.
+//! The experiments that are built into the program.
 
-/// An experiment that ships.
+/// An experiment that is built into the program.
 pub struct Shipped {
     /// Its name.
     pub name: &'static str,
@@ -9,16 +9,17 @@
 }
 
 impl Shipped {
-    /// A line on it.
+    /// Its name and description in one line.
     pub fn line(&self) -> String {
         let description = self.text.lines().find_map(|line| line.strip_prefix("description = "));
         format!("{:<28}{}", self.name, description.unwrap_or_default().trim_matches('"'))
     }
 }
 
+/// The list of the experiments, each with the text of its file.
 macro_rules! shipped {
     ($($name:literal),+ $(,)?) => {
-        /// All of them.
+        /// All experiments that are built in.
         pub const SHIPPED: &[Shipped] = &[$(Shipped {
             name: $name,
             text: include_str!(concat!("../../../experiments/", $name, ".toml")),
--- a/crates/scale-laboratory/src/cli.rs
+++ b/crates/scale-laboratory/src/cli.rs
@@ -73,7 +73,7 @@
     };
 }
 
-/// Does what a command says.
+/// Carries out a command.
 pub fn execute(command: Command) -> Result<()> {
     match command {
         Command::Run { file, results, gateway_program } => {
@@ -84,7 +84,7 @@
             tracing::info!(folder = %folder.display(), "report written");
             Ok(())
         }
-        Command::Report { folder } => run_folders(&folder)?.iter().try_for_each(|f| report::write(f)),
+        Command::Report { folder } => run_folders(&folder)?.iter().try_for_each(|run| report::write(run)),
         Command::List => {
             catalog::SHIPPED.iter().for_each(|shipped| println!("{}", shipped.line()));
             Ok(())
@@ -97,6 +97,7 @@
     }
 }
 
+/// Reads an experiment from a file, or a built-in one of this name where there is no such file.
 fn read_experiment(file: &Path) -> Result<Experiment> {
     let shipped = catalog::find(&file.to_string_lossy());
     match shipped {
--- a/crates/scale-laboratory/src/error.rs
+++ b/crates/scale-laboratory/src/error.rs
@@ -27,7 +27,7 @@
         /// Why.
         source: std::io::Error,
     },
-    /// A field of the experiment makes no sense.
+    /// A field of the experiment is invalid.
     #[error("{field}: {reason}")]
     InvalidField {
         /// The field, as a path in the file.
@@ -47,7 +47,7 @@
         /// The bound.
         bound_mib: u64,
     },
-    /// A results folder is missing, half written or unreadable.
+    /// A results folder is missing, incomplete or unreadable.
     #[error("{path}: {reason}")]
     Results {
         /// The folder or file.
@@ -55,7 +55,7 @@
         /// What is wrong with it.
         reason: String,
     },
-    /// A gateway under test no longer answers.
+    /// A gateway under test does not respond any more.
     #[error("gateway {gateway} stopped answering at {at_seconds:.1} s of the experiment: {symptom}")]
     GatewayStalled {
         /// Its number.
@@ -71,7 +71,7 @@
         /// Wall time without progress.
         seconds: u64,
     },
-    /// The thread that plays the points ended without a word.
+    /// The thread that plays the points panicked.
     #[error("the run panicked, in a decision core or in the laboratory; the log above says where")]
     Panicked,
     /// The run was interrupted.
--- a/crates/scale-laboratory/src/experiment/fault.rs
+++ b/crates/scale-laboratory/src/experiment/fault.rs
@@ -27,7 +27,7 @@
         /// How many.
         count: usize,
     },
-    /// All servers and gateways of a domain vanish: they say nothing and come back at the end.
+    /// All servers of a domain stop without notice, and start again at the end.
     Lose {
         /// When it begins.
         at_seconds: f64,
@@ -37,11 +37,11 @@
         domain: Domain,
         /// Which one, from 0.
         index: usize,
-        /// Whether the gateways there vanish as well.
+        /// Whether the gateways there stop as well.
         #[serde(default)]
         gateways_too: bool,
     },
-    /// The counter takes calls and answers none.
+    /// The counter accepts calls and replies to none.
     SilenceCounter {
         /// When it begins.
         at_seconds: f64,
@@ -78,7 +78,7 @@
         /// The other.
         second: usize,
     },
-    /// A gateway takes requests and answers none; the run has to notice.
+    /// A gateway accepts requests and responds to none; the run has to fail.
     StopAnswering {
         /// When it begins.
         at_seconds: f64,
--- a/crates/scale-laboratory/src/experiment/mod.rs
+++ b/crates/scale-laboratory/src/experiment/mod.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// What stands in for a gateway.
+/// What plays the part of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
@@ -31,7 +31,7 @@
     pub name: String,
     /// One line on its purpose.
     pub description: String,
-    /// What stands in for a gateway.
+    /// What plays the part of a gateway.
     pub mode: Mode,
     /// Seed of all random numbers.
     pub seed: u64,
@@ -62,14 +62,14 @@
 pub struct Fleet {
     /// Gateways that run. In core mode one runs, told that it is one of so many.
     pub gateways: usize,
-    /// Services; today's gateway lists the servers of all of them.
+    /// Services; the gateway lists the servers of all of them.
     #[serde(default = "one")]
     pub services: usize,
     /// Servers of each service.
     pub servers_per_service: usize,
     /// Tenants.
     pub tenants: usize,
-    /// Gateways that each tenant comes through.
+    /// Gateways that serve each tenant.
     #[serde(default = "one")]
     pub gateways_per_tenant: usize,
     /// Regions.
@@ -83,6 +83,7 @@
     pub racks_per_zone: usize,
 }
 
+/// The default of sizes that are rarely given.
 fn one() -> usize {
     1
 }
@@ -111,13 +112,13 @@
     pub warm_up_seconds: f64,
     /// A tenant's quota, units a second.
     pub quota_rate: f64,
-    /// Most units a tenant saves up.
+    /// Units that a tenant's token bucket holds at most.
     pub quota_burst: f64,
     /// Tenants that share `hot_share` of the requests.
     pub hot_tenants: usize,
     /// Part of the requests that the hot tenants send.
     pub hot_share: f64,
-    /// Connections that clients hold open to the gateways; real mode only.
+    /// Client connections to the gateways; real mode only.
     pub connections: usize,
     /// Changes of one server's entry, at random times of the measured time.
     pub changes: usize,
@@ -156,7 +157,7 @@
     pub service_milliseconds: f64,
     /// Requests that a server works on at once.
     pub concurrency: usize,
-    /// Requests that may wait for that; further ones are turned away.
+    /// Requests that may wait for that; further ones are rejected.
     pub queue: usize,
 }
 
@@ -174,9 +175,9 @@
     pub region_milliseconds: f64,
     /// Most time a relay takes to pass a change to an agent; drawn evenly from zero.
     pub relay_milliseconds: f64,
-    /// How long a lost server goes unnoticed.
+    /// Time until discovery notices that a server stopped.
     pub notice_milliseconds: f64,
-    /// Changes a relay keeps; an agent further behind is sent the whole list.
+    /// Changes a relay keeps; an agent further behind is sent a snapshot.
     pub history: usize,
 }
 
@@ -201,7 +202,7 @@
     pub capacity_per_second: f64,
     /// Time of a call without a queue.
     pub latency_milliseconds: f64,
-    /// A gateway gives a call up after this time.
+    /// A gateway gives up a call after this time.
     pub limit_milliseconds: f64,
 }
 
--- a/crates/scale-laboratory/src/experiment/sweep.rs
+++ b/crates/scale-laboratory/src/experiment/sweep.rs
@@ -18,7 +18,7 @@
     Tenants,
     /// Requests a second at all gateways together.
     RequestsPerSecond,
-    /// Connections that clients hold.
+    /// Client connections.
     Connections,
     /// Changes of one server's entry within the measured time.
     Changes,
@@ -59,7 +59,8 @@
     pub fn at(&self, size: u64, base: &Experiment) -> SizedExperiment {
         let mut experiment = base.clone();
         let count = size as usize;
-        let (fleet, load) = (&mut experiment.fleet, &mut experiment.load);
+        let fleet = &mut experiment.fleet;
+        let load = &mut experiment.load;
         match self.parameter {
             Parameter::Gateways => fleet.gateways = count,
             Parameter::Services => fleet.services = count,
--- a/crates/scale-laboratory/src/experiment/validate.rs
+++ b/crates/scale-laboratory/src/experiment/validate.rs
@@ -4,18 +4,18 @@
 use crate::error::{LaboratoryError, Result};
 
 /// Most gateway processes; the laboratory itself is one more process.
-pub const MOST_PROCESSES: usize = 150;
-/// Most stand-in servers of a real run: one listener each.
-const MOST_REAL_SERVERS: usize = 2_000;
+pub const MAX_PROCESSES: usize = 150;
+/// Most stubs of servers of a real run: one listener each.
+const MAX_REAL_SERVERS: usize = 2_000;
 /// Most client connections of a real run.
-const MOST_CONNECTIONS: usize = 2_000;
+const MAX_CONNECTIONS: usize = 2_000;
 /// Longest measured time of a point.
-const MOST_SECONDS: f64 = 3_600.0;
+const MAX_SECONDS: f64 = 3_600.0;
 
 /// Checks an experiment at one size.
 pub fn check(experiment: &Experiment) -> Result<()> {
-    let name_is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-';
-    if experiment.name.is_empty() || !experiment.name.chars().all(name_is_plain) {
+    let is_plain = |letter: char| letter.is_ascii_alphanumeric() || letter == '-';
+    if experiment.name.is_empty() || !experiment.name.chars().all(is_plain) {
         return Err(LaboratoryError::field("name", "must be made of letters, digits and '-'"));
     }
     check_fleet(&experiment.fleet)?;
@@ -42,6 +42,7 @@
     Ok(())
 }
 
+/// Checks the sizes of the fleet.
 fn check_fleet(fleet: &Fleet) -> Result<()> {
     let at_least_one: [(&'static str, usize); 8] = [
         ("fleet.gateways", fleet.gateways),
@@ -59,16 +60,17 @@
     }
 }
 
+/// Checks the clients' requests.
 fn check_load(load: &Load) -> Result<()> {
-    let within = |field, value: f64, most: f64| {
-        if value.is_finite() && value >= 0.0 && value <= most {
+    let within = |field, value: f64, max: f64| {
+        if value.is_finite() && value >= 0.0 && value <= max {
             return Ok(());
         }
-        Err(LaboratoryError::field(field, format!("must lie between 0 and {most}")))
+        Err(LaboratoryError::field(field, format!("must lie between 0 and {max}")))
     };
     within("load.requests_per_second", load.requests_per_second, 1e7)?;
-    within("load.duration_seconds", load.duration_seconds, MOST_SECONDS)?;
-    within("load.warm_up_seconds", load.warm_up_seconds, MOST_SECONDS)?;
+    within("load.duration_seconds", load.duration_seconds, MAX_SECONDS)?;
+    within("load.warm_up_seconds", load.warm_up_seconds, MAX_SECONDS)?;
     within("load.quota_rate", load.quota_rate, 1e9)?;
     within("load.quota_burst", load.quota_burst, 1e9)?;
     within("load.hot_share", load.hot_share, 1.0)?;
@@ -87,6 +89,7 @@
     Ok(())
 }
 
+/// Checks the servers, the counter and discovery.
 fn check_services(experiment: &Experiment) -> Result<()> {
     let positive: [(&'static str, f64); 4] = [
         ("backend.service_milliseconds", experiment.backend.service_milliseconds),
@@ -100,17 +103,19 @@
         ("discovery.relay_milliseconds", experiment.discovery.relay_milliseconds),
         ("discovery.notice_milliseconds", experiment.discovery.notice_milliseconds),
     ];
-    if let Some((field, _)) = positive.iter().find(|(_, v)| !v.is_finite() || *v <= 0.0) {
+    if let Some((field, _)) = positive.iter().find(|(_, value)| !value.is_finite() || *value <= 0.0) {
         return Err(LaboratoryError::field(field, "must be more than 0"));
     }
-    if let Some((field, _)) = not_negative.iter().find(|(_, v)| !v.is_finite() || *v < 0.0) {
+    if let Some((field, _)) = not_negative.iter().find(|(_, value)| !value.is_finite() || *value < 0.0) {
         return Err(LaboratoryError::field(field, "must not be negative"));
     }
     Ok(())
 }
 
+/// Checks a fault against the fleet and the measured time.
 fn check_fault(fault: &Fault, experiment: &Experiment) -> Result<()> {
-    let (begins, lasts) = (fault.at_seconds(), fault.lasts_seconds());
+    let begins = fault.at_seconds();
+    let lasts = fault.lasts_seconds();
     if !begins.is_finite() || begins < 0.0 || begins >= experiment.load.duration_seconds {
         return Err(LaboratoryError::field("fault.at_seconds", "must lie within the measured time"));
     }
@@ -147,23 +152,25 @@
     }
 }
 
+/// Checks what real mode bounds.
 fn check_real(experiment: &Experiment) -> Result<()> {
-    let (fleet, load) = (&experiment.fleet, &experiment.load);
-    if fleet.gateways > MOST_PROCESSES {
-        let reason = format!("must be at most {MOST_PROCESSES} processes in real mode");
+    let fleet = &experiment.fleet;
+    let load = &experiment.load;
+    if fleet.gateways > MAX_PROCESSES {
+        let reason = format!("must be at most {MAX_PROCESSES} processes in real mode");
         return Err(LaboratoryError::field("fleet.gateways", reason));
     }
-    if fleet.servers() > MOST_REAL_SERVERS {
-        let reason = format!("must come to at most {MOST_REAL_SERVERS} servers in real mode");
+    if fleet.servers() > MAX_REAL_SERVERS {
+        let reason = format!("must come to at most {MAX_REAL_SERVERS} servers in real mode");
         return Err(LaboratoryError::field("fleet.servers_per_service", reason));
     }
-    if load.connections == 0 || load.connections > MOST_CONNECTIONS {
-        let reason = format!("must lie between 1 and {MOST_CONNECTIONS} in real mode");
+    if load.connections == 0 || load.connections > MAX_CONNECTIONS {
+        let reason = format!("must lie between 1 and {MAX_CONNECTIONS} in real mode");
         return Err(LaboratoryError::field("load.connections", reason));
     }
-    let covered = |f: &Fault| !matches!(f, Fault::CutRegions { .. } | Fault::StopAnswering { .. });
-    match experiment.faults.iter().all(covered) {
-        true => Ok(()),
-        false => Err(LaboratoryError::field("fault.kind", "is covered by hollow mode only")),
+    let hollow_only = |fault: &Fault| matches!(fault, Fault::CutRegions { .. } | Fault::StopAnswering { .. });
+    if experiment.faults.iter().any(hollow_only) {
+        return Err(LaboratoryError::field("fault.kind", "is covered by hollow mode only"));
     }
+    Ok(())
 }
--- a/crates/scale-laboratory/src/fit.rs
+++ b/crates/scale-laboratory/src/fit.rs
@@ -4,6 +4,7 @@
 
 /// A measured point.
 #[derive(Clone, Copy, Debug, PartialEq)]
+#[expect(clippy::min_ident_chars, reason = "the coordinates of a plane")]
 pub struct Sample {
     /// The swept quantity.
     pub x: f64,
@@ -53,8 +54,8 @@
         Some(Line { slope, intercept, residual, r_squared, points: points.len() })
     }
 
-    /// The line's value at `x`.
-    pub fn at(&self, x: f64) -> f64 {
-        self.intercept + self.slope * x
+    /// The line's value at a size.
+    pub fn at(&self, size: f64) -> f64 {
+        self.intercept + self.slope * size
     }
 }
--- a/crates/scale-laboratory/src/memory.rs
+++ b/crates/scale-laboratory/src/memory.rs
@@ -1,4 +1,4 @@
-//! The memory bound: half of the machine's, held by an estimate before a run and by a check while it goes on.
+//! The bound on memory, half of the machine's: kept by an estimate before a run and by checks during it.
 
 use crate::error::{LaboratoryError, Result};
 use crate::experiment::{Experiment, Mode};
@@ -12,15 +12,15 @@
 
 /// One MiB.
 const MIB: u64 = 1 << 20;
-/// Heap of a listed server in a decision core, with allowance: entry, state and share of the tree.
+/// Heap of a listed server in a decision core, rounded up: entry, state and share of the tree.
 const SERVER_BYTES: u64 = 500;
-/// Heap of a tenant in a decision core, with allowance.
+/// Heap of a tenant in a decision core, rounded up.
 const TENANT_BYTES: u64 = 900;
-/// Heap of a named gateway in a decision core: when it was heard and its outbox.
+/// Heap of another gateway in a decision core: its last gossip and its outbox.
 const PEER_BYTES: u64 = 40;
-/// What a gateway process holds besides, with its connections.
+/// Other memory of a gateway process, with its connections.
 const PROCESS_BYTES: u64 = 64 * MIB;
-/// What the laboratory holds besides gateways.
+/// Memory of the laboratory besides gateways.
 const BASE_BYTES: u64 = 64 * MIB;
 
 /// Bytes on this process's heap.
@@ -30,30 +30,32 @@
 
 /// Half of the machine's memory, in bytes.
 pub fn bound_bytes() -> Result<u64> {
-    let text = fs::read_to_string("/proc/meminfo").map_err(|e| LaboratoryError::io("/proc/meminfo", e))?;
+    let text =
+        fs::read_to_string("/proc/meminfo").map_err(|error| LaboratoryError::io("/proc/meminfo", error))?;
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:")).unwrap_or_default();
-    let kib: u64 = line.split_whitespace().next().and_then(|n| n.parse().ok()).unwrap_or(0);
+    let kib: u64 = line.split_whitespace().next().and_then(|kib| kib.parse().ok()).unwrap_or(0);
     Ok(kib * 1024 / 2)
 }
 
 /// What an experiment at one size needs at most, in bytes.
 pub fn estimate_bytes(experiment: &Experiment) -> u64 {
     let fleet = &experiment.fleet;
-    let (gateways, servers) = (fleet.gateways as u64, fleet.servers() as u64);
-    let per_gateway = |tenants: u64| {
-        let lists = servers.saturating_mul(SERVER_BYTES).saturating_add(gateways * PEER_BYTES);
-        lists.saturating_add(tenants.saturating_mul(TENANT_BYTES))
+    let gateways = fleet.gateways as u64;
+    let tenants = fleet.tenants as u64;
+    let list_bytes = (fleet.servers() as u64).saturating_mul(SERVER_BYTES);
+    let core_bytes = |tenants: u64| {
+        let peers_bytes = gateways * PEER_BYTES;
+        list_bytes.saturating_add(peers_bytes).saturating_add(tenants.saturating_mul(TENANT_BYTES))
     };
-    let shared = servers.saturating_mul(SERVER_BYTES).saturating_add(fleet.tenants as u64 * TENANT_BYTES);
-    let tenants = fleet.tenants as u64 * (fleet.gateways_per_tenant as u64).min(gateways);
+    let tenants_of_all_gateways = tenants * (fleet.gateways_per_tenant as u64).min(gateways);
+    let tenants_per_gateway = tenants_of_all_gateways / gateways.max(1);
     let gateways_bytes = match experiment.mode {
-        Mode::Core => per_gateway(fleet.tenants as u64),
-        Mode::Hollow => gateways.saturating_mul(per_gateway(tenants / gateways.max(1))),
-        Mode::Real => {
-            gateways.saturating_mul(PROCESS_BYTES.saturating_add(per_gateway(tenants / gateways.max(1))))
-        }
+        Mode::Core => core_bytes(tenants),
+        Mode::Hollow => gateways.saturating_mul(core_bytes(tenants_per_gateway)),
+        Mode::Real => gateways.saturating_mul(PROCESS_BYTES.saturating_add(core_bytes(tenants_per_gateway))),
     };
-    BASE_BYTES.saturating_add(shared).saturating_add(gateways_bytes)
+    let shared_bytes = list_bytes.saturating_add(tenants * TENANT_BYTES);
+    BASE_BYTES.saturating_add(shared_bytes).saturating_add(gateways_bytes)
 }
 
 /// Refuses an experiment whose largest point does not fit.
@@ -72,15 +74,17 @@
     Ok(())
 }
 
-/// Ends a run that has come to hold more than the bound, with `children` bytes in processes it started.
-pub fn check_memory(children: u64) -> Result<()> {
-    let (held, bound) = (heap_bytes() + children, bound_bytes()?);
-    if held > bound {
-        return Err(exceeded("the run".to_owned(), held, bound));
+/// Fails if a run uses more than the bound, with `children_bytes` in the processes it started.
+pub fn check_memory(children_bytes: u64) -> Result<()> {
+    let used = heap_bytes() + children_bytes;
+    let bound = bound_bytes()?;
+    if used > bound {
+        return Err(exceeded("the run".to_owned(), used, bound));
     }
     Ok(())
 }
 
+/// The error of something that needs more than the bound.
 fn exceeded(what: String, needed: u64, bound: u64) -> LaboratoryError {
     LaboratoryError::MemoryBound { what, needed_mib: needed / MIB, bound_mib: bound / MIB }
 }
--- a/crates/scale-laboratory/src/metric.rs
+++ b/crates/scale-laboratory/src/metric.rs
@@ -2,6 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
+/// The metrics with their names and units; the doc comment of each is its help in `metrics.prom`.
 macro_rules! metrics {
     ($($(#[doc = $doc:literal])+ $variant:ident = $name:literal, $unit:literal;)+) => {
         /// A measured quantity.
--- a/crates/scale-laboratory/src/metrics.rs
+++ b/crates/scale-laboratory/src/metrics.rs
@@ -32,10 +32,11 @@
         }
     }
     let mut text = String::new();
-    encode(&mut text, &registry).map_err(|e| LaboratoryError::Plot(format!("metrics: {e}")))?;
+    encode(&mut text, &registry).map_err(|error| LaboratoryError::Plot(format!("metrics: {error}")))?;
     Ok(text)
 }
 
+/// The labels of a point's values.
 fn labels(run: &Run, size: Option<u64>) -> Labels {
     let mut labels = vec![("experiment", run.experiment.name.clone())];
     if let (Some(sweep), Some(size)) = (&run.experiment.sweep, size) {
@@ -48,10 +49,10 @@
 /// Writes them into the run's folder.
 pub fn write(run: &Run, folder: &Path) -> Result<()> {
     let path = folder.join(METRICS_FILE);
-    std::fs::write(&path, text(run)?).map_err(|e| LaboratoryError::io(path.display().to_string(), e))
+    std::fs::write(&path, text(run)?).map_err(|error| LaboratoryError::io(path.display().to_string(), error))
 }
 
 /// The metric of a name, as tables use it.
 pub fn metric_of(name: &str) -> Option<Metric> {
-    Metric::ALL.iter().copied().find(|m| m.name() == name)
+    Metric::ALL.iter().copied().find(|metric| metric.name() == name)
 }
--- a/crates/scale-laboratory/src/progress.rs
+++ b/crates/scale-laboratory/src/progress.rs
@@ -1,4 +1,4 @@
-//! What a run shares with whoever watches over it: signs of progress, and the wish that it end.
+//! What a run shares with its watcher: steps of progress, and cancellation.
 
 use crate::error::{LaboratoryError, Result};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -7,12 +7,14 @@
 /// Shared between a run and its watcher.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
+    /// Steps so far.
     steps: Arc<AtomicU64>,
+    /// The run is to end.
     cancelled: Arc<AtomicBool>,
 }
 
 impl Progress {
-    /// The run has made a step; fails where it is to end.
+    /// The run has made a step; fails if it is cancelled.
     pub fn step(&self) -> Result<()> {
         self.steps.fetch_add(1, Ordering::Relaxed);
         if self.cancelled.load(Ordering::Relaxed) {
@@ -26,12 +28,12 @@
         self.steps.load(Ordering::Relaxed)
     }
 
-    /// Asks the run to end.
+    /// Cancels the run.
     pub fn cancel(&self) {
         self.cancelled.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the run was asked to end.
+    /// Whether the run is cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.cancelled.load(Ordering::Relaxed)
     }
--- a/crates/scale-laboratory/src/report/mod.rs
+++ b/crates/scale-laboratory/src/report/mod.rs
@@ -23,17 +23,19 @@
     let run = Run::read_complete(folder)?;
     let report = Report::of(&run);
     write_file(&folder.join(MARKDOWN_FILE), &report.markdown())?;
-    let json = serde_json::to_string_pretty(&report).map_err(|e| LaboratoryError::results(folder, e))?;
+    let json =
+        serde_json::to_string_pretty(&report).map_err(|error| LaboratoryError::results(folder, error))?;
     write_file(&folder.join(JSON_FILE), &(json + "\n"))?;
     metrics::write(&run, folder)?;
     let plots = folder.join(PLOTS_FOLDER);
-    fs::create_dir_all(&plots).map_err(|e| LaboratoryError::io(plots.display().to_string(), e))?;
+    fs::create_dir_all(&plots).map_err(|error| LaboratoryError::io(plots.display().to_string(), error))?;
     for metric in run.varied_metrics() {
         plot::write(&run, metric, &plots)?;
     }
     Ok(())
 }
 
+/// Writes a file of the report.
 fn write_file(path: &Path, text: &str) -> Result<()> {
-    fs::write(path, text).map_err(|e| LaboratoryError::io(path.display().to_string(), e))
+    fs::write(path, text).map_err(|error| LaboratoryError::io(path.display().to_string(), error))
 }
--- a/crates/scale-laboratory/src/report/plot.rs
+++ b/crates/scale-laboratory/src/report/plot.rs
@@ -16,7 +16,7 @@
 /// Length of an axis where all values are 0.
 const MIN_AXIS_LENGTH: f64 = 1e-9;
 
-/// Writes one metric's plot; nothing where there is no sweep.
+/// Writes one metric's plot, if the experiment has a sweep.
 pub fn write(run: &Run, metric: Metric, folder: &Path) -> Result<()> {
     let Some(sweep) = &run.experiment.sweep else { return Ok(()) };
     let path = folder.join(format!("{}.svg", metric.name()));
--- a/crates/scale-laboratory/src/report/table.rs
+++ b/crates/scale-laboratory/src/report/table.rs
@@ -26,11 +26,11 @@
     pub description: String,
     /// The seed of all random numbers.
     pub seed: u64,
-    /// The swept quantity; none for a single point.
+    /// The swept quantity; `None` for a single point.
     pub parameter: Option<String>,
     /// What was measured at each size.
     pub points: Vec<Point>,
-    /// Lines through it, where there are points enough.
+    /// Lines through it, if there are enough points.
     pub fits: Vec<Fit>,
 }
 
@@ -45,7 +45,7 @@
             experiment: run.experiment.name.clone(),
             description: run.experiment.description.clone(),
             seed: run.experiment.seed,
-            parameter: run.experiment.sweep.as_ref().map(|s| s.parameter.to_string()),
+            parameter: run.experiment.sweep.as_ref().map(|sweep| sweep.parameter.to_string()),
             points: run.points.clone(),
             fits: run.varied_metrics().into_iter().filter_map(fit).collect(),
         }
@@ -60,24 +60,27 @@
         text
     }
 
+    /// The table of the points.
     fn write_points(&self, text: &mut String) {
         let metrics: Vec<Metric> = Metric::ALL
             .iter()
             .copied()
-            .filter(|m| self.points.iter().any(|p| p.metrics.contains_key(m)))
+            .filter(|metric| self.points.iter().any(|point| point.metrics.contains_key(metric)))
             .collect();
         let parameter = self.parameter.as_deref().unwrap_or("");
-        let sizes: Vec<String> =
-            self.points.iter().map(|p| p.size.map_or("value".to_owned(), |s| s.to_string())).collect();
+        let size = |point: &Point| point.size.map_or("value".to_owned(), |size| size.to_string());
+        let sizes: Vec<String> = self.points.iter().map(size).collect();
         let _ = writeln!(text, "\n| {parameter} | {} |", sizes.join(" | "));
         let _ = writeln!(text, "|---|{}", "---:|".repeat(sizes.len()));
         for metric in metrics {
-            let cell = |p: &Point| p.metrics.get(&metric).map_or(String::new(), |v| number(*v));
+            let cell =
+                |point: &Point| point.metrics.get(&metric).map_or(String::new(), |value| number(*value));
             let cells: Vec<String> = self.points.iter().map(cell).collect();
             let _ = writeln!(text, "| {} ({}) | {} |", metric.name(), metric.unit(), cells.join(" | "));
         }
     }
 
+    /// The table of the lines.
     fn write_fits(&self, text: &mut String) {
         if self.fits.is_empty() {
             return;
@@ -98,14 +101,15 @@
         }
     }
 
+    /// The table of the faults.
     fn write_faults(&self, text: &mut String) {
-        if self.points.iter().all(|p| p.faults.is_empty()) {
+        if self.points.iter().all(|point| point.faults.is_empty()) {
             return;
         }
         let _ = writeln!(text, "\n| size | fault | at s | lost | refused or failed | recovered after ms |");
         let _ = writeln!(text, "|---|---|---:|---:|---:|---:|");
         for point in &self.points {
-            let size = point.size.map_or(String::new(), |s| s.to_string());
+            let size = point.size.map_or(String::new(), |size| size.to_string());
             for fault in &point.faults {
                 let recovery = fault.recovery_milliseconds.map_or("not seen".to_owned(), number);
                 let _ = writeln!(
--- a/crates/scale-laboratory/src/runner.rs
+++ b/crates/scale-laboratory/src/runner.rs
@@ -1,4 +1,4 @@
-//! Plays an experiment point by point, keeps what was measured so far, and watches over the run.
+//! Plays an experiment point by point, keeps what was measured so far, and watches the run.
 
 use crate::error::{LaboratoryError, Result};
 use crate::experiment::{Experiment, Mode, SizedExperiment};
@@ -10,16 +10,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tokio::runtime::Runtime;
-use tokio::signal::unix::{signal, SignalKind};
-use tokio::sync::mpsc;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::time::interval;
 
 /// A run without any step for so long has failed.
-const NO_PROGRESS: Duration = Duration::from_secs(120);
-/// How often the watcher looks.
-const LOOK: Duration = Duration::from_millis(500);
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(120);
+/// How often the run's progress is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// How long a cancelled run may take to end what it started.
-const END_MOST: Duration = Duration::from_secs(10);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Where results go and what real experiments start.
 #[derive(Clone, Debug)]
@@ -30,9 +30,11 @@
     pub gateway_program: PathBuf,
 }
 
-/// What the thread that plays the points tells.
+/// What the thread that plays the points reports.
 enum Message {
+    /// A point was measured.
     Point(Point),
+    /// The run ended.
     Ended(Result<()>),
 }
 
@@ -44,9 +46,9 @@
     }
     let mut run = Run::new(experiment);
     run.write(&options.folder)?;
-    let runtime = Runtime::new().map_err(|e| LaboratoryError::io("no runtime", e))?;
+    let runtime = Runtime::new().map_err(|error| LaboratoryError::io("no runtime", error))?;
     let ended = runtime.block_on(watch(&mut run, options));
-    // A hollow gateway that never returns must not hold the program.
+    // A hollow gateway that never returns must not keep the program from ending.
     runtime.shutdown_background();
     run.status = if ended.is_ok() { RunStatus::Complete } else { RunStatus::Failed };
     run.error = ended.as_ref().err().map(ToString::to_string);
@@ -55,70 +57,63 @@
     ended
 }
 
-/// Plays the points on a thread of their own, and watches over it.
+/// Plays the points on a thread of their own, and watches it.
 async fn watch(run: &mut Run, options: &RunOptions) -> Result<()> {
     let progress = Progress::default();
-    let (sender, mut messages) = mpsc::unbounded_channel();
-    let points = run.experiment.points();
-    let (watched, program) = (progress.clone(), options.gateway_program.clone());
-    thread::spawn(move || {
-        let ended = play(&points, &program, &watched, |point| drop(sender.send(Message::Point(point))));
-        let _ = sender.send(Message::Ended(ended));
-    });
-    let context = "signals cannot be listened to";
-    let listen = |kind| signal(kind).map_err(|e| LaboratoryError::io(context, e));
-    let (mut interrupt, mut terminate) = (listen(SignalKind::interrupt())?, listen(SignalKind::terminate())?);
-    let (mut looks, mut seen) = (interval(LOOK), (0, Instant::now()));
-    let mut cancelled: Option<Instant> = None;
+    let mut messages = start(run, options, &progress);
+    let mut interrupt = listen(SignalKind::interrupt())?;
+    let mut terminate = listen(SignalKind::terminate())?;
+    let mut checks = interval(CHECK_INTERVAL);
+    let mut watchdog = Watchdog::new(progress);
     loop {
         tokio::select! {
             message = messages.recv() => match message {
-                Some(Message::Point(point)) => take_point(run, point, &options.folder)?,
+                Some(Message::Point(point)) => add_point(run, point, &options.folder)?,
                 Some(Message::Ended(ended)) => return ended,
                 None => return Err(LaboratoryError::Panicked),
             },
-            _ = interrupt.recv() => cancelled = cancel(&progress),
-            _ = terminate.recv() => cancelled = cancel(&progress),
-            _ = looks.tick() => {
-                if progress.steps() != seen.0 {
-                    seen = (progress.steps(), Instant::now());
-                }
-                if seen.1.elapsed() >= NO_PROGRESS {
-                    return Err(no_progress(seen.1));
-                }
-                if cancelled.is_some_and(|since| since.elapsed() >= END_MOST) {
-                    return Err(LaboratoryError::Interrupted);
-                }
-            }
+            _ = interrupt.recv() => watchdog.cancel(),
+            _ = terminate.recv() => watchdog.cancel(),
+            _ = checks.tick() => watchdog.check()?,
         }
     }
 }
 
-fn cancel(progress: &Progress) -> Option<Instant> {
-    tracing::warn!("interrupted; ending what was started");
-    progress.cancel();
-    Some(Instant::now())
+/// Starts the thread that plays the points.
+fn start(run: &Run, options: &RunOptions, progress: &Progress) -> UnboundedReceiver<Message> {
+    let (sender, messages) = unbounded_channel();
+    let points = run.experiment.points();
+    let progress = progress.clone();
+    let program = options.gateway_program.clone();
+    thread::spawn(move || {
+        let ended = play(&points, &program, &progress, |point| drop(sender.send(Message::Point(point))));
+        let _ = sender.send(Message::Ended(ended));
+    });
+    messages
 }
 
-fn no_progress(since: Instant) -> LaboratoryError {
-    LaboratoryError::NoProgress { seconds: since.elapsed().as_secs() }
+/// Listens to a signal.
+fn listen(kind: SignalKind) -> Result<Signal> {
+    signal(kind).map_err(|error| LaboratoryError::io("signals cannot be listened to", error))
 }
 
-fn take_point(run: &mut Run, point: Point, folder: &Path) -> Result<()> {
+/// Adds a point to the results.
+fn add_point(run: &mut Run, point: Point, folder: &Path) -> Result<()> {
     run.points.push(point);
-    let (done, all) = (run.points.len(), run.experiment.points().len());
+    let done = run.points.len();
+    let all = run.experiment.points().len();
     tracing::info!(experiment = run.experiment.name, done, all, "point measured");
     run.write(folder)
 }
 
+/// Plays all points.
 fn play(
     points: &[SizedExperiment],
     program: &Path,
     progress: &Progress,
     mut measured: impl FnMut(Point),
 ) -> Result<()> {
-    for point in points {
-        let SizedExperiment { size, experiment } = point;
+    for SizedExperiment { size, experiment } in points {
         tracing::info!(experiment = experiment.name, size, "measuring");
         progress.step()?;
         measured(match experiment.mode {
@@ -129,3 +124,45 @@
     }
     Ok(())
 }
+
+/// Ends a run that makes no progress, or that does not end once it is cancelled.
+struct Watchdog {
+    /// Shared with the run.
+    progress: Progress,
+    /// Its steps when they were last checked.
+    last_steps: u64,
+    /// When they last grew.
+    last_progress_at: Instant,
+    /// When the run was cancelled.
+    cancelled_at: Option<Instant>,
+}
+
+impl Watchdog {
+    /// A watchdog of a run that begins.
+    fn new(progress: Progress) -> Watchdog {
+        Watchdog { progress, last_steps: 0, last_progress_at: Instant::now(), cancelled_at: None }
+    }
+
+    /// Cancels the run.
+    fn cancel(&mut self) {
+        tracing::warn!("interrupted; ending what was started");
+        self.progress.cancel();
+        self.cancelled_at = Some(Instant::now());
+    }
+
+    /// Fails if the run has to be given up.
+    fn check(&mut self) -> Result<()> {
+        if self.progress.steps() != self.last_steps {
+            self.last_steps = self.progress.steps();
+            self.last_progress_at = Instant::now();
+        }
+        let idle = self.last_progress_at.elapsed();
+        if idle >= PROGRESS_TIMEOUT {
+            return Err(LaboratoryError::NoProgress { seconds: idle.as_secs() });
+        }
+        if self.cancelled_at.is_some_and(|at| at.elapsed() >= CANCEL_TIMEOUT) {
+            return Err(LaboratoryError::Interrupted);
+        }
+        Ok(())
+    }
+}
--- a/crates/scale-laboratory/src/topology.rs
+++ b/crates/scale-laboratory/src/topology.rs
@@ -1,12 +1,15 @@
-//! Where servers and gateways stand: regions of zones of racks, dealt out in turn.
+//! Where servers and gateways stand: regions of zones of racks, assigned round-robin.
 
 use crate::experiment::{Domain, Fleet};
 
 /// The fleet's racks.
 #[derive(Clone, Debug)]
 pub struct Topology {
+    /// Racks of all zones.
     racks: usize,
+    /// Racks of each zone.
     racks_per_zone: usize,
+    /// Zones of each region.
     zones_per_region: usize,
 }
 
--- a/crates/scale-laboratory/tests/capacity.rs
+++ b/crates/scale-laboratory/tests/capacity.rs
@@ -7,12 +7,13 @@
 use std::path::PathBuf;
 use tempfile::TempDir;
 
+/// The root of the repository.
 fn root() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
 #[test]
-fn the_page_shows_what_the_results_give() {
+fn capacity_page_has_the_tables_of_the_committed_results() {
     let folder = TempDir::new().unwrap();
     let page = fs::read_to_string(root().join("docs/CAPACITY.md")).unwrap();
     let copy = folder.path().join("CAPACITY.md");
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn a_page_without_markers_and_results_without_runs_are_refused() {
+fn page_without_markers_and_results_without_runs_are_rejected() {
     let folder = TempDir::new().unwrap();
     let page = folder.path().join("page.md");
     fs::write(&page, "no tables here\n").unwrap();
--- a/crates/scale-laboratory/tests/common/mod.rs
+++ b/crates/scale-laboratory/tests/common/mod.rs
@@ -44,6 +44,7 @@
     text + more
 }
 
+/// Reads an experiment.
 pub fn parse(text: &str) -> Result<Experiment, LaboratoryError> {
     Experiment::parse(Path::new("small.toml"), text)
 }
@@ -53,10 +54,12 @@
     try_play(text).expect("the run succeeds")
 }
 
+/// The same where it may fail.
 pub fn try_play(text: &str) -> Result<Point, LaboratoryError> {
     hollow::measure(&parse(text).expect("a sound experiment"), None, &Progress::default())
 }
 
+/// The value of a metric that was measured.
 pub fn value(point: &Point, metric: Metric) -> f64 {
     point.metrics[&metric]
 }
@@ -66,6 +69,7 @@
     Command::new(env!("CARGO_BIN_EXE_grebehook-scale")).args(arguments).output().expect("the program starts")
 }
 
+/// What the program wrote to standard error.
 pub fn standard_error(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
--- a/crates/scale-laboratory/tests/core_cost.rs
+++ b/crates/scale-laboratory/tests/core_cost.rs
@@ -9,8 +9,9 @@
 use grebehook_scale_laboratory::results::Point;
 
 /// Entries that a request may visit however many servers are listed.
-const REQUEST_ENTRIES_MOST: f64 = 200.0;
+const MAX_REQUEST_ENTRIES: f64 = 200.0;
 
+/// Measures a core at one size.
 fn measure(servers: usize, tenants: usize) -> Point {
     let servers = format!("servers_per_service = {servers}");
     let tenants = format!("tenants = {tenants}");
@@ -26,10 +27,10 @@
 
 /// One test, since the heap is that of the whole process.
 #[test]
-fn a_request_and_a_round_visit_a_bounded_part_of_the_fleet() {
+fn request_and_periodic_timer_visit_a_bounded_part_of_the_fleet() {
     let points = [61, 6_100, 30_500].map(|servers| measure(servers, 200));
     for point in &points {
-        assert!(value(point, Metric::RequestEntries) <= REQUEST_ENTRIES_MOST, "{point:?}");
+        assert!(value(point, Metric::RequestEntries) <= MAX_REQUEST_ENTRIES, "{point:?}");
         assert_eq!(value(point, Metric::RoundEntries), value(&points[0], Metric::RoundEntries));
     }
     let per_server = value(&points[2], Metric::ListHeap) / 30_500.0;
--- a/crates/scale-laboratory/tests/experiment.rs
+++ b/crates/scale-laboratory/tests/experiment.rs
@@ -7,7 +7,7 @@
 use grebehook_scale_laboratory::memory;
 
 #[test]
-fn a_bad_field_is_named() {
+fn error_names_the_invalid_field() {
     let cases = [
         (text(&[("gateways = 6", "gateways = 0")], ""), "fleet.gateways"),
         (text(&[("gateways = 6", "")], ""), "gateways"),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn sizes_beyond_half_of_the_memory_are_refused() {
+fn sizes_beyond_half_of_the_memory_are_rejected() {
     let vast = text(
         &[("gateways = 6", "gateways = 2800"), ("servers_per_service = 24", "servers_per_service = 190000")],
         "",
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn every_file_that_ships_is_listed_and_sound() {
+fn every_experiment_file_is_built_in_and_valid() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../experiments");
     let mut files: Vec<String> = std::fs::read_dir(folder)
         .unwrap()
@@ -61,7 +61,7 @@
     listed.sort_unstable();
     assert_eq!(files, listed);
     for shipped in SHIPPED {
-        let experiment = parse(shipped.text).unwrap_or_else(|e| panic!("{}: {e}", shipped.name));
+        let experiment = parse(shipped.text).unwrap_or_else(|error| panic!("{}: {error}", shipped.name));
         assert_eq!(experiment.name, shipped.name);
         memory::check_estimate(&experiment).unwrap();
     }
--- a/crates/scale-laboratory/tests/hollow.rs
+++ b/crates/scale-laboratory/tests/hollow.rs
@@ -6,10 +6,11 @@
 use grebehook_scale_laboratory::error::LaboratoryError;
 use grebehook_scale_laboratory::metric::Metric;
 
+/// What makes the clients of the small fleet send requests.
 const REQUESTS: (&str, &str) = ("requests_per_second = 0.0", "requests_per_second = 300.0");
 
 #[test]
-fn a_run_depends_on_its_seed_alone() {
+fn run_depends_on_its_seed_alone() {
     let fault =
         "[[fault]]\nkind = \"lose\"\nat_seconds = 1.0\nlasts_seconds = 2.0\ndomain = \"zone\"\nindex = 1\n\
                  gateways_too = true\n";
@@ -20,10 +21,10 @@
 }
 
 #[test]
-fn every_request_ends_in_one_way() {
+fn every_request_has_exactly_one_outcome() {
     let point = play(&text(&[REQUESTS], ""));
     let endings = [Metric::Served, Metric::Refused, Metric::Failed, Metric::Lost];
-    let ended: f64 = endings.iter().map(|m| value(&point, *m)).sum();
+    let ended: f64 = endings.iter().map(|metric| value(&point, *metric)).sum();
     assert_eq!(ended, value(&point, Metric::Arrivals));
     assert!(value(&point, Metric::Served) > 0.95 * ended, "{point:?}");
     assert_eq!(value(&point, Metric::Lost), 0.0);
@@ -31,17 +32,17 @@
 
 /// A watch waits 600 ms: each gateway calls ten times in six seconds, and nothing else happens.
 #[test]
-fn an_idle_fleet_watches_and_does_no_more() {
+fn idle_fleet_only_watches() {
     let point = play(&text(&[], ""));
     assert_eq!(value(&point, Metric::DiscoveryCalls), 60.0);
     assert_eq!(value(&point, Metric::CounterCalls), 0.0);
     assert_eq!(value(&point, Metric::RelayBytes), 0.0);
-    // Ten rounds a second for six gateways.
+    // Ten firings of the periodic timer a second at six gateways.
     assert_eq!(value(&point, Metric::GatewayEvents), 360.0);
 }
 
 #[test]
-fn a_change_goes_to_every_gateway_once() {
+fn change_is_sent_to_every_gateway_once() {
     let idle = play(&text(&[], ""));
     let fault = "[[fault]]\nkind = \"change-members\"\nat_seconds = 1.0\ncount = 1\n";
     let changed = play(&text(&[], fault));
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_restart_costs_the_whole_list() {
+fn restart_transfers_a_snapshot() {
     let one = play(&text(&[("warm_up_seconds = 1.0", "warm_up_seconds = 1.0\nrestarts = 1")], ""));
     let two = play(&text(&[("warm_up_seconds = 1.0", "warm_up_seconds = 1.0\nrestarts = 2")], ""));
     let endpoints: Vec<_> = (0..24).map(endpoint).collect();
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn silence_keeps_a_change_back_until_it_is_over() {
+fn change_arrives_once_discovery_recovers() {
     let faults = "[[fault]]\nkind = \"silence-discovery\"\nat_seconds = 0.5\nlasts_seconds = 3.0\n\
                   [[fault]]\nkind = \"change-members\"\nat_seconds = 1.0\ncount = 1\n";
     let slowest = value(&play(&text(&[], faults)), Metric::ChangeInForce);
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn requests_at_killed_gateways_are_lost_until_the_front_notices() {
+fn requests_are_lost_until_the_load_balancer_notices_a_killed_gateway() {
     let fault = "[[fault]]\nkind = \"kill-gateways\"\nat_seconds = 2.0\nlasts_seconds = 2.0\ncount = 1\n";
     let point = play(&text(&[REQUESTS], fault));
     let lost = value(&point, Metric::Lost);
@@ -89,18 +90,18 @@
     assert!(point.faults[0].recovery_milliseconds.is_some_and(|ms| ms <= 1_000.0), "{:?}", point.faults);
 }
 
-/// The part of the fleet that cannot reach the counter's region goes on without it.
+/// The part of the fleet that cannot reach the counter's region serves without it.
 #[test]
-fn a_cut_region_calls_no_counter_that_answers() {
+fn partitioned_region_gets_no_counter_replies() {
     let fault =
         "[[fault]]\nkind = \"cut-regions\"\nat_seconds = 0.0\nlasts_seconds = 6.0\nfirst = 0\nsecond = 1\n";
-    let (whole, cut) = (play(&text(&[REQUESTS], "")), play(&text(&[REQUESTS], fault)));
-    assert!(value(&cut, Metric::CounterBytes) < 0.8 * value(&whole, Metric::CounterBytes));
-    assert!(value(&cut, Metric::Served) > 0.8 * value(&whole, Metric::Served));
+    let (connected, partitioned) = (play(&text(&[REQUESTS], "")), play(&text(&[REQUESTS], fault)));
+    assert!(value(&partitioned, Metric::CounterBytes) < 0.8 * value(&connected, Metric::CounterBytes));
+    assert!(value(&partitioned, Metric::Served) > 0.8 * value(&connected, Metric::Served));
 }
 
 #[test]
-fn a_gateway_that_stops_answering_fails_the_run() {
+fn stalled_gateway_fails_the_run() {
     let fault = "[[fault]]\nkind = \"stop-answering\"\nat_seconds = 1.0\ngateway = 2\n";
     let error = try_play(&text(&[REQUESTS], fault)).unwrap_err();
     assert!(matches!(error, LaboratoryError::GatewayStalled { gateway: 2, .. }), "{error}");
--- a/crates/scale-laboratory/tests/program.rs
+++ b/crates/scale-laboratory/tests/program.rs
@@ -11,21 +11,23 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// What should come comes well within this; only a failing test waits so long.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Longest wait for an event; only a failing test waits so long.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// Writes an experiment file; its path.
 fn write(folder: &TempDir, text: &str) -> String {
     let path = folder.path().join("small.toml");
     fs::write(&path, text).unwrap();
     path.to_string_lossy().into_owned()
 }
 
+/// Plays an experiment file, with its results in the folder.
 fn run(folder: &TempDir, file: &str) -> std::process::Output {
     program(&["run", file, "--results", &folder.path().to_string_lossy()])
 }
 
 #[test]
-fn a_run_writes_results_tables_plots_and_metrics() {
+fn run_writes_results_tables_plots_and_metrics() {
     let folder = TempDir::new().unwrap();
     let sweep = "[sweep]\nparameter = \"gateways\"\nvalues = [2, 3, 4, 5, 6]\n";
     let file = write(&folder, &text(&[("requests_per_second = 0.0", "requests_per_second = 100.0")], sweep));
@@ -48,7 +50,7 @@
 }
 
 #[test]
-fn bad_use_ends_with_2_and_names_the_field() {
+fn invalid_use_exits_with_2_and_names_the_field() {
     let folder = TempDir::new().unwrap();
     let cases = [
         (text(&[("gateways = 6", "gateways = 0")], ""), "fleet.gateways"),
@@ -78,7 +80,7 @@
 }
 
 #[test]
-fn missing_and_half_written_results_end_with_1() {
+fn missing_and_incomplete_results_exit_with_1() {
     let folder = TempDir::new().unwrap();
     let missing = folder.path().join("missing");
     assert_eq!(program(&["report", &missing.to_string_lossy()]).status.code(), Some(1));
@@ -99,7 +101,7 @@
 }
 
 #[test]
-fn list_names_what_ships() {
+fn list_names_the_built_in_experiments() {
     let output = program(&["list"]);
     assert!(output.status.success());
     let names = String::from_utf8(output.stdout).unwrap();
@@ -107,7 +109,7 @@
 }
 
 #[test]
-fn the_log_may_be_json() {
+fn log_can_be_json() {
     let output = program(&["--log-format", "json", "run", "no-such-file.toml"]);
     let line = standard_error(&output);
     let entry: serde_json::Value = serde_json::from_str(line.lines().next().unwrap()).unwrap();
@@ -126,6 +128,7 @@
     scale.parent().unwrap().parent().unwrap().join("debug/grebehook")
 }
 
+/// What turns the small hollow fleet into a real one.
 const REAL: &[(&str, &str)] = &[
     ("mode = \"hollow\"", "mode = \"real\""),
     ("gateways = 6", "gateways = 2"),
@@ -145,7 +148,11 @@
     assert!(output.status.success(), "{}", standard_error(&output));
     let run = Run::read_complete(&folder.path().join("small")).unwrap();
     let metric = |name: &str| {
-        run.points[0].metrics.iter().find(|(m, _)| m.name() == name).map_or(0.0, |(_, value)| *value)
+        run.points[0]
+            .metrics
+            .iter()
+            .find(|(metric, _)| metric.name() == name)
+            .map_or(0.0, |(_, value)| *value)
     };
     assert!(metric("served") >= 0.9 * metric("arrivals") && metric("arrivals") > 100.0, "{run:?}");
     assert!(metric("counter-calls") > 0.0 && metric("discovery-calls") > 0.0, "{run:?}");
@@ -161,26 +168,28 @@
         fields.get(1) == Some(&parent.to_string().as_str())
     };
     let entries = fs::read_dir("/proc").unwrap();
-    entries.filter_map(|e| e.ok()?.file_name().to_str()?.parse().ok()).filter(is_child).collect()
+    entries.filter_map(|entry| entry.ok()?.file_name().to_str()?.parse().ok()).filter(is_child).collect()
 }
 
+/// Waits until something is there.
 fn wait_for<T>(what: &str, mut seen: impl FnMut() -> Option<T>) -> T {
     let begun = Instant::now();
     loop {
         if let Some(value) = seen() {
             return value;
         }
-        assert!(begun.elapsed() < PATIENCE, "{what} never came");
+        assert!(begun.elapsed() < EVENT_TIMEOUT, "{what} never came");
         sleep(Duration::from_millis(50));
     }
 }
 
+/// Interrupts a process, as from the terminal.
 fn interrupt(child: &Child) {
     assert!(Command::new("kill").args(["-INT", &child.id().to_string()]).status().unwrap().success());
 }
 
 #[test]
-fn an_interrupted_run_leaves_no_process_and_keeps_its_results() {
+fn interrupted_run_leaves_no_process_and_keeps_its_results() {
     let folder = TempDir::new().unwrap();
     let long = [REAL, &[("duration_seconds = 3.0", "duration_seconds = 300.0")]].concat();
     let file = write(&folder, &text(&long, ""));
@@ -190,7 +199,8 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let started = wait_for("the second gateway", || Some(children(scale.id())).filter(|c| c.len() == 2));
+    let started =
+        wait_for("the second gateway", || Some(children(scale.id())).filter(|pids| pids.len() == 2));
     interrupt(&scale);
     let status = wait_for("the end", || scale.try_wait().unwrap());
     assert_eq!(status.code(), Some(1));
