--- a/crates/scale-laboratory/src/capacity/fault_table.rs
+++ b/crates/scale-laboratory/src/capacity/fault_table.rs
@@ -1,7 +1,8 @@
 //! The tables of what faults cost, and of the use beyond quotas while parts of the network cannot use the counter.
 
+use super::cells::{or_missing, MISSING};
 use super::run_set::{RunSet, RunSets};
-use super::{or_missing, target, MISSING};
+use super::target;
 use crate::metric::Metric;
 use crate::report::number;
 use crate::results::{FaultCost, Run};
--- a/crates/scale-laboratory/src/capacity/mod.rs
+++ b/crates/scale-laboratory/src/capacity/mod.rs
@@ -1,6 +1,7 @@
 //! The capacity page's tables, computed from committed results: what each role needs at the target size, beside its
 //! budget; the slopes that this rests on; and what faults cost.
 
+mod cells;
 mod fault_table;
 mod need;
 mod need_table;
@@ -15,14 +16,6 @@
 use run_set::RunSets;
 use std::path::Path;
 
-/// A cell of something that was not measured.
-const MISSING: &str = "–";
-
-/// A cell of something that may not have been measured.
-fn or_missing(cell: Option<String>) -> String {
-    cell.unwrap_or_else(|| MISSING.to_owned())
-}
-
 /// All tables as Markdown.
 pub fn tables(folder: &Path) -> Result<String> {
     let sets = RunSets::read(folder)?;
--- a/crates/scale-laboratory/src/capacity/need_table.rs
+++ b/crates/scale-laboratory/src/capacity/need_table.rs
@@ -1,9 +1,9 @@
 //! The table of needs beside budgets.
 
+use super::cells::{or_missing, MISSING};
 use super::need::Need;
 use super::needs::NEEDS;
 use super::run_set::{RunSet, RunSets};
-use super::{or_missing, MISSING};
 use crate::error::Result;
 use crate::report::number;
 use std::fmt::Write;
--- a/crates/scale-laboratory/src/capacity/probe_table.rs
+++ b/crates/scale-laboratory/src/capacity/probe_table.rs
@@ -1,6 +1,6 @@
 //! The operators' first measurement of the decision core beside those of `core-servers`.
 
-use super::or_missing;
+use super::cells::or_missing;
 use super::run_set::{RunSet, RunSets};
 use crate::metric::Metric;
 use crate::report::number;
--- a/crates/scale-laboratory/src/capacity/slope_table.rs
+++ b/crates/scale-laboratory/src/capacity/slope_table.rs
@@ -1,6 +1,6 @@
 //! The table of all measured slopes.
 
-use super::or_missing;
+use super::cells::or_missing;
 use super::run_set::{RunSets, Slope};
 
 use crate::fit::Line;
--- a/crates/scale-laboratory/src/cpu.rs
+++ b/crates/scale-laboratory/src/cpu.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Processor time that this thread has used.
-pub fn thread_time() -> Duration {
+fn thread_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec.unsigned_abs(), u32::try_from(time.tv_nsec).unwrap_or(0))
 }
--- a/crates/scale-laboratory/src/experiment/validate.rs
+++ b/crates/scale-laboratory/src/experiment/validate.rs
@@ -4,7 +4,7 @@
 use crate::error::{LaboratoryError, Result};
 
 /// Most gateway processes; the laboratory itself is one more process.
-pub const MAX_PROCESSES: usize = 150;
+const MAX_PROCESSES: usize = 150;
 /// Most stubs of servers of a real run: one listener each.
 const MAX_REAL_SERVERS: usize = 2_000;
 /// Most client connections of a real run.
--- a/crates/scale-laboratory/src/memory.rs
+++ b/crates/scale-laboratory/src/memory.rs
@@ -29,7 +29,7 @@
 }
 
 /// Half of the machine's memory, in bytes.
-pub fn bound_bytes() -> Result<u64> {
+fn bound_bytes() -> Result<u64> {
     let text =
         fs::read_to_string("/proc/meminfo").map_err(|error| LaboratoryError::io("/proc/meminfo", error))?;
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:")).unwrap_or_default();
@@ -38,7 +38,7 @@
 }
 
 /// What an experiment at one size needs at most, in bytes.
-pub fn estimate_bytes(experiment: &Experiment) -> u64 {
+fn estimate_bytes(experiment: &Experiment) -> u64 {
     let fleet = &experiment.fleet;
     let gateways = fleet.gateways as u64;
     let tenants = fleet.tenants as u64;
--- a/crates/scale-laboratory/src/metrics.rs
+++ b/crates/scale-laboratory/src/metrics.rs
@@ -1,7 +1,6 @@
 //! A run's measurements in the Prometheus text format.
 
 use crate::error::{LaboratoryError, Result};
-use crate::metric::Metric;
 use crate::results::Run;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::family::Family;
@@ -11,7 +10,7 @@
 use std::sync::atomic::AtomicU64;
 
 /// The file in a results folder.
-pub const METRICS_FILE: &str = "metrics.prom";
+const METRICS_FILE: &str = "metrics.prom";
 /// Prefix of all names.
 const PREFIX: &str = "grebehook_scale";
 
@@ -19,7 +18,7 @@
 type Labels = Vec<(&'static str, String)>;
 
 /// A run's measurements as text.
-pub fn text(run: &Run) -> Result<String> {
+fn text(run: &Run) -> Result<String> {
     let mut registry = Registry::with_prefix(PREFIX);
     for metric in run.metrics() {
         let family = Family::<Labels, Gauge<f64, AtomicU64>>::default();
@@ -51,8 +50,3 @@
     let path = folder.join(METRICS_FILE);
     std::fs::write(&path, text(run)?).map_err(|error| LaboratoryError::io(path.display().to_string(), error))
 }
-
-/// The metric of a name, as tables use it.
-pub fn metric_of(name: &str) -> Option<Metric> {
-    Metric::ALL.iter().copied().find(|metric| metric.name() == name)
-}
--- a/crates/scale-laboratory/src/progress.rs
+++ b/crates/scale-laboratory/src/progress.rs
@@ -32,9 +32,4 @@
     pub fn cancel(&self) {
         self.cancelled.store(true, Ordering::Relaxed);
     }
-
-    /// Whether the run is cancelled.
-    pub fn is_cancelled(&self) -> bool {
-        self.cancelled.load(Ordering::Relaxed)
-    }
 }
--- a/crates/scale-laboratory/src/real/gateway_process.rs
+++ b/crates/scale-laboratory/src/real/gateway_process.rs
@@ -15,9 +15,9 @@
 
 /// A gateway that does not listen by then has failed to start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// What precedes the address in the gateway's log line about its listener.
+/// What precedes the address in the gateway's log line about its listener (`main.rs` there).
 const LISTENS_ON: &str = "listens on ";
-/// Part of the gateway's log line about a new address of the counter.
+/// Part of the gateway's log line about a new address of the counter (`lifecycle/reload.rs` there).
 const COUNTER_MOVES: &str = "the counter moves";
 /// Units of time in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
@@ -125,7 +125,8 @@
     let mut last_line = String::new();
     while let Ok(Some(line)) = lines.next_line().await {
         if let Some((_, address)) = line.split_once(LISTENS_ON) {
-            return address.trim().parse().map_err(|_| format!("no address in '{line}'"));
+            let address = address.split_whitespace().next().unwrap_or_default();
+            return address.parse().map_err(|_| format!("no address in '{line}'"));
         }
         last_line = line;
     }
--- a/crates/scale-laboratory/src/report/mod.rs
+++ b/crates/scale-laboratory/src/report/mod.rs
@@ -12,11 +12,11 @@
 use std::path::Path;
 
 /// The tables as Markdown.
-pub const MARKDOWN_FILE: &str = "report.md";
+const MARKDOWN_FILE: &str = "report.md";
 /// The tables as JSON.
-pub const JSON_FILE: &str = "report.json";
+const JSON_FILE: &str = "report.json";
 /// The folder of the plots.
-pub const PLOTS_FOLDER: &str = "plots";
+const PLOTS_FOLDER: &str = "plots";
 
 /// Writes the report of a complete run into its folder.
 pub fn write(folder: &Path) -> Result<()> {
