--- a/crates/scale-laboratory/src/metrics.rs
+++ b/crates/scale-laboratory/src/metrics.rs
@@ -1,7 +1,6 @@
 //! A run's measurements in the Prometheus text format.
 
 use crate::error::{LaboratoryError, Result};
-use crate::metric::Metric;
 use crate::results::Run;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::family::Family;
@@ -11,7 +10,7 @@
 use std::sync::atomic::AtomicU64;
 
 /// The file in a results folder.
-pub const METRICS_FILE: &str = "metrics.prom";
+const METRICS_FILE: &str = "metrics.prom";
 /// Prefix of all names.
 const PREFIX: &str = "grebehook_scale";
 
@@ -19,7 +18,7 @@
 type Labels = Vec<(&'static str, String)>;
 
 /// A run's measurements as text.
-pub fn text(run: &Run) -> Result<String> {
+fn text(run: &Run) -> Result<String> {
     let mut registry = Registry::with_prefix(PREFIX);
     for metric in run.metrics() {
         let family = Family::<Labels, Gauge<f64, AtomicU64>>::default();
@@ -32,10 +31,11 @@
         }
     }
     let mut text = String::new();
-    encode(&mut text, &registry).map_err(|e| LaboratoryError::Plot(format!("metrics: {e}")))?;
+    encode(&mut text, &registry).map_err(|error| LaboratoryError::Plot(format!("metrics: {error}")))?;
     Ok(text)
 }
 
+/// The labels of a point's values.
 fn labels(run: &Run, size: Option<u64>) -> Labels {
     let mut labels = vec![("experiment", run.experiment.name.clone())];
     if let (Some(sweep), Some(size)) = (&run.experiment.sweep, size) {
@@ -48,10 +48,5 @@
 /// Writes them into the run's folder.
 pub fn write(run: &Run, folder: &Path) -> Result<()> {
     let path = folder.join(METRICS_FILE);
-    std::fs::write(&path, text(run)?).map_err(|e| LaboratoryError::io(path.display().to_string(), e))
-}
-
-/// The metric of a name, as tables use it.
-pub fn metric_of(name: &str) -> Option<Metric> {
-    Metric::ALL.iter().copied().find(|m| m.name() == name)
+    std::fs::write(&path, text(run)?).map_err(|error| LaboratoryError::io(path.display().to_string(), error))
 }
