--- a/crates/core/tests/fleet_counter.rs
+++ b/crates/core/tests/fleet_counter.rs
@@ -9,7 +9,7 @@
 use common::settings::{in_fleet, plan, settings, with_shared_counter};
 use common::{MILLISECOND, SECOND};
 use grebehook_core::{
-    AttemptReport, AttemptStatus, CounterResult, Event, Micros, Plan, RequestArrival, RequestId, Settings,
+    AttemptReport, AttemptStatus, CounterResult, Event, Micros, Plan, RequestArrival, RequestId,
 };
 
 /// The customer whose requests are counted.
@@ -88,7 +88,7 @@
     assert!((1..=2).contains(&forwarded), "{forwarded} forwarded where two of four units were left");
 }
 
-/// With many calls saved, every plan's customers are counted.
+/// Once the call budget is larger, customers of every plan are counted.
 #[test]
 fn scarce_counter_calls_go_to_the_plan_with_the_highest_overage_cost() {
     let mut settings = with_shared_counter(settings());
@@ -100,10 +100,10 @@
         let actions = gateway.handle(WINDOW_START, Event::RequestArrived(request));
         counter_call(&actions).is_some()
     };
-    // Two calls are saved at first.
+    // The budget starts at two calls.
     let with_few_calls = [calls_counter(1, 2, 1_001), calls_counter(2, 1, 1_002), calls_counter(3, 0, 1_003)];
     assert_eq!(with_few_calls, [false, false, true]);
-    // Requests queued behind one whose call is in flight need no call, and save some.
+    // Requests queued behind one whose call is in flight make none; each adds to the call budget.
     for id in 10..40 {
         assert!(!calls_counter(id, 0, 1_003));
     }
@@ -129,7 +129,7 @@
 
 /// A gateway of a large fleet whose requests' units are settled by their responses.
 fn settling_gateway() -> FleetGateway {
-    let mut settings: Settings = with_shared_counter(settings());
+    let mut settings = with_shared_counter(settings());
     settings.capabilities.settles_units = true;
     FleetGateway::start(in_fleet(&settings, 0, GATEWAY_COUNT), 3)
 }
@@ -173,7 +173,7 @@
     let settings = in_fleet(&with_shared_counter(settings()), 0, GATEWAY_COUNT);
     let mut gateway = FleetGateway::start(settings, 3);
     let now = 2 * SECOND;
-    // Requests queued behind the first wait for its call, and save some.
+    // Requests queued behind the first wait for its call; each adds to the call budget.
     for id in 10..18 {
         gateway.request(now, id, 8);
     }
