--- a/crates/gateway/src/config/check.rs
+++ b/crates/gateway/src/config/check.rs
@@ -1,7 +1,7 @@
 //! Finds every fault of a configuration, not only the first one.
 //!
-//! Reading stops at the first fault. So each faulty field is replaced by that of a valid example and the document is read
-//! again, until all of it can be read.
+//! Reading stops at the first fault. So each faulty field is replaced by that of a valid example and the document
+//! is read again, until all of it can be read.
 
 use crate::config::document::{Config, ConfigError};
 use crate::logging::ErrorChain;
@@ -59,26 +59,33 @@
     Ok(())
 }
 
-/// Replaces the value at a path such as `settings.classes[0].aimUs` by the example's. Returns whether the example has one.
+/// Replaces the value at a path such as `settings.classes[0].aimUs` by the example's. Returns whether the example
+/// has one.
 fn replace_field(document: &mut Value, example: &Value, path: &str) -> bool {
     let mut target = document;
     let mut source = example;
     for step in path.split(['.', '[']) {
-        let (next_target, next_source) = match step.strip_suffix(']') {
-            Some(index) => {
-                let index = index.parse::<usize>().ok();
-                // The example's first element stands for all.
-                (index.and_then(|index| target.get_mut(index)), source.get(0))
-            }
-            None => {
-                let object = target.as_object_mut();
-                (object.map(|object| object.entry(step).or_insert(Value::Null)), source.get(step))
-            }
-        };
-        let (Some(next_target), Some(next_source)) = (next_target, next_source) else { return false };
-        target = next_target;
-        source = next_source;
+        let Some(child) = child_to_replace(target, step) else { return false };
+        target = child;
+        let Some(child) = child_of_example(source, step) else { return false };
+        source = child;
     }
     *target = source.clone();
     true
 }
+
+/// The value at one step of a path, such as `classes` or `0]`; a field that is missing is added.
+fn child_to_replace<'a>(parent: &'a mut Value, step: &str) -> Option<&'a mut Value> {
+    match step.strip_suffix(']') {
+        Some(index) => parent.get_mut(index.parse::<usize>().ok()?),
+        None => Some(parent.as_object_mut()?.entry(step).or_insert(Value::Null)),
+    }
+}
+
+/// The example's value at one step of a path. The first element of its arrays stands for all.
+fn child_of_example<'a>(parent: &'a Value, step: &str) -> Option<&'a Value> {
+    match step.strip_suffix(']') {
+        Some(_) => parent.get(0),
+        None => parent.get(step),
+    }
+}
--- a/crates/gateway/src/config/file.rs
+++ b/crates/gateway/src/config/file.rs
@@ -1,4 +1,5 @@
-//! The JSON of the configuration file; unknown keys are ignored. The file's names are mapped to the code's terms here.
+//! The JSON of the configuration file; unknown keys are ignored. The file's names are mapped to the code's terms
+//! here.
 
 use crate::control::endpoint_list::EndpointListMessage;
 use grebehook_simulator_adapter::fields;
--- a/crates/gateway/src/control/counter.rs
+++ b/crates/gateway/src/control/counter.rs
@@ -18,8 +18,8 @@
 
 /// Most connections at a time: well below what the counter accepts and what the descriptor limit reserves for it.
 const MAX_CONNECTIONS: usize = 16;
-/// A connection that has been idle for longer is not reused: the counter may close it just as a call is written, and it
-/// would be unknown whether the amount was added.
+/// A connection that has been idle for longer is not reused: the counter may close it just as a call is written,
+/// and it would be unknown whether the amount was added.
 const MAX_IDLE: Duration = Duration::from_secs(2);
 /// Largest reply that is read; a total is a short text.
 const MAX_REPLY_BYTES: usize = 256;
--- a/crates/gateway/src/control/discovery.rs
+++ b/crates/gateway/src/control/discovery.rs
@@ -23,9 +23,9 @@
 /// The path of the endpoint list.
 const LIST_PATH: &str = "/catalog/members";
 
-/// Where the list is pushed, an agent on the gateway's own machine answers at once. Once discovery has recovered, what
-/// the agent knows must be learnt within a second, even if it never answers a call that was opened before: a watch and the
-/// call after it end within that time.
+/// Where the list is pushed, an agent on the gateway's own machine answers at once. Once discovery has recovered,
+/// what the agent knows must be learnt within a second, even if it never answers a call that was opened before: a
+/// watch and the call after it end within that time.
 const AGENT_TIMEOUTS: CallTimeouts = CallTimeouts {
     long_poll: Duration::from_millis(600),
     response_grace: Duration::from_millis(300),
@@ -39,8 +39,8 @@
     response_grace: Duration::from_millis(1_000),
     snapshot: Duration::from_millis(4_000),
 };
-/// The longest time from the start of a failed call to the start of the next. A change must be learnt within 6 s, however
-/// the call in between ends; the rest of that time is left for the response.
+/// The longest time from the start of a failed call to the start of the next. A change must be learnt within 6 s,
+/// however the call in between ends; the rest of that time is left for the response.
 const MAX_CALL_INTERVAL: Duration = Duration::from_millis(5_000);
 
 /// How long calls may take.
@@ -140,9 +140,9 @@
         (is_unchanged && started_at.elapsed() < RETRY_INTERVAL).then_some(RETRY_INTERVAL)
     }
 
-    /// Reports a failed call and returns the delay before the next. The known list and its version stay valid: the next
-    /// watch returns all newer changes. The snapshot costs discovery far more and is asked for only if the version itself
-    /// is in doubt.
+    /// Reports a failed call and returns the delay before the next. The known list and its version stay valid:
+    /// the next watch returns all newer changes. The snapshot costs discovery far more and is asked for only if
+    /// the version itself is in doubt.
     fn fail(&mut self, error: &WatchError, started_at: Instant, driver: &Rc<DecisionDriver>) -> Duration {
         if !std::mem::replace(&mut self.is_failing, true) {
             let agent = self.agent.address();
--- a/crates/gateway/src/control/discovery/backoff.rs
+++ b/crates/gateway/src/control/discovery/backoff.rs
@@ -4,11 +4,11 @@
 use crate::network::system_error::is_local;
 use std::time::Duration;
 
-/// The delay after a failed call of an agent, and after a call that returned at once without a change: a watch counts as
-/// uninterrupted if the next call follows within 200 ms.
+/// The delay after a failed call of an agent, and after a call that returned at once without a change: a watch
+/// counts as uninterrupted if the next call follows within 200 ms.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The first delay after a failed call of a shared service, for each gateway of the fleet: the rate of calls by the whole
-/// fleet stays the same.
+/// The first delay after a failed call of a shared service, for each gateway of the fleet: the rate of calls by
+/// the whole fleet stays the same.
 const INITIAL_BACKOFF_PER_GATEWAY: Duration = Duration::from_millis(20);
 /// The longest delay, for each gateway of the fleet, within the next two bounds.
 const MAX_BACKOFF_PER_GATEWAY: Duration = Duration::from_millis(60);
--- a/crates/gateway/src/control/discovery/backoff/tests.rs
+++ b/crates/gateway/src/control/discovery/backoff/tests.rs
@@ -1,6 +1,7 @@
 use super::{Backoff, INITIAL_BACKOFF_PER_GATEWAY, MAX_BACKOFF_LIMIT, MIN_BACKOFF_LIMIT};
 
-/// The gateways of a large fleet together call discovery about as often as those of a small one, and at different times.
+/// The gateways of a large fleet together call discovery about as often as those of a small one, and at different
+/// times.
 #[test]
 fn backoff_grows_with_the_fleet_and_differs_between_gateways() {
     let delays_of = |gateway_count, seed| {
--- a/crates/gateway/src/control/endpoint_list.rs
+++ b/crates/gateway/src/control/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list in the form in which discovery sends it and the configuration holds it. The protocol's field names
-//! are mapped to the decision core's terms here and nowhere else.
+//! The endpoint list in the form in which discovery sends it and the configuration holds it. The protocol's field
+//! names are mapped to the decision core's terms here and nowhere else.
 
 use crate::config::names::WireNames;
 use grebehook_core::{Endpoint, EndpointState, Micros, ServerId};
--- a/crates/gateway/src/control/peers.rs
+++ b/crates/gateway/src/control/peers.rs
@@ -26,8 +26,8 @@
         Ok(Peers { socket: UdpSocket::bind(listen).await?, addresses })
     }
 
-    /// Sends a message if it can be sent at once; like any datagram it may be lost. One that is longer than the protocol
-    /// allows is dropped.
+    /// Sends a message if it can be sent at once; like any datagram it may be lost. One that is longer than the
+    /// protocol allows is dropped.
     pub fn send(&self, to: usize, message: &[u8]) {
         if message.len() > MAX_MESSAGE_BYTES {
             return;
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Passes on each message with its sender's number, for as long as the process lives. Messages that are too long or
-    /// come from an unknown address are dropped.
+    /// Passes on each message with its sender's number, for as long as the process lives. Messages that are too
+    /// long or come from an unknown address are dropped.
     pub async fn receive(self: Rc<Self>, on_message: impl Fn(usize, Vec<u8>)) {
         // One byte more than allowed shows that a message is too long.
         let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
--- a/crates/gateway/src/driver/decision_driver/requests.rs
+++ b/crates/gateway/src/driver/decision_driver/requests.rs
@@ -29,14 +29,15 @@
         self.arm(&mut state, deadline, DueTimer::RequestDeadline(id));
         let body_incomplete = self.watch_body(&state, id, head.client_timeout);
         state.events.push_back(Event::RequestArrived(head.arrival(id, body_incomplete)));
-        // The decision core must see the same time as the deadline timer was computed from: on a busy machine a second
-        // reading of the clock can be late by more than the core's margin, and the deadline would then come first.
+        // The decision core must see the same time as the deadline timer was computed from: on a busy machine a
+        // second reading of the clock can be late by more than the core's margin, and the deadline would then
+        // come first.
         self.process_events_from(&mut state, now);
         Some((id, answer, self.request_counters.begin(head.class)))
     }
 
-    /// Has [`DecisionDriver::body_complete`] called once all of a request's body is forwarded. Returns whether part of
-    /// it is still to come.
+    /// Has [`DecisionDriver::body_complete`] called once all of a request's body is forwarded. Returns whether
+    /// part of it is still to come.
     fn watch_body(self: &Rc<Self>, state: &DriverState, id: RequestId, client_timeout: Micros) -> bool {
         let Some(request) = state.requests.get(id) else { return false };
         let driver = self.clone();
@@ -77,8 +78,8 @@
         cannot_have_run
     }
 
-    /// Ends a request at its deadline. The decision core is first notified that the attempt in flight timed out and may
-    /// answer; if it does not, the request ends without its answer.
+    /// Ends a request at its deadline. The decision core is first notified that the attempt in flight timed out
+    /// and may answer; if it does not, the request ends without its answer.
     pub(super) fn end_overdue(&self, state: &mut DriverState, id: RequestId) {
         let Some(request) = state.requests.get(id).filter(|request| request.answer.is_some()) else { return };
         // While the body is incomplete the deadline is not known yet.
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration again at SIGHUP. New addresses of the discovery agent and of the shared counter take effect at
-//! once, everything else at the next start.
+//! Reads the configuration again at SIGHUP. New addresses of the discovery agent and of the shared counter take
+//! effect at once, everything else at the next start.
 
 use crate::config::document::{Config, ConfigError};
 use crate::control::counter::SharedCounter;
@@ -13,8 +13,8 @@
 use tokio::time::{timeout, Instant};
 use tracing::{info, warn};
 
-/// How long a file that cannot be used is read again: it may be written only in part when the signal arrives. Changes at
-/// the new discovery agent must be learnt within 4 s of the signal.
+/// How long a file that cannot be used is read again: it may be written only in part when the signal arrives.
+/// Changes at the new discovery agent must be learnt within 4 s of the signal.
 const RETRY_TIME: Duration = Duration::from_millis(3_000);
 /// The delay before the file is read again.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Reads the file until it can be used or the time for retries has passed since the last signal. A failure is logged
-    /// once for each signal.
+    /// Reads the file until it can be used or the time for retries has passed since the last signal. A failure is
+    /// logged once for each signal.
     async fn reload(&self, signal: &mut Signal) {
         let mut signalled_at = Instant::now();
         let mut is_new_signal = true;
--- a/crates/gateway/src/lifecycle/resources.rs
+++ b/crates/gateway/src/lifecycle/resources.rs
@@ -3,8 +3,8 @@
 use crate::config::document::Config;
 use crate::operations;
 
-/// Descriptors that are neither clients' nor servers': standard streams, event queues, discovery, the counter, gossip,
-/// operators.
+/// Descriptors that are neither clients' nor servers': standard streams, event queues, discovery, the counter,
+/// gossip, operators.
 const RESERVED_DESCRIPTORS: usize = 40 + operations::server::MAX_CONNECTIONS;
 /// The share of the memory for long responses that are forwarded as they arrive is one part in this many.
 const RESPONSE_MEMORY_DIVISOR: usize = 4;
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -22,8 +22,8 @@
 const MIN_ACCEPT_TIME: Duration = Duration::from_millis(500);
 /// How long they are accepted at most.
 const MAX_ACCEPT_TIME: Duration = Duration::from_millis(800);
-/// How long after the last client the listener closes, and how long after that idle connections close: a client that has
-/// just connected needs time to send its request.
+/// How long after the last client the listener closes, and how long after that idle connections close: a client
+/// that has just connected needs time to send its request.
 const QUIET_PERIOD: Duration = Duration::from_millis(200);
 /// How often idle connections are closed.
 const CLOSE_IDLE_INTERVAL: Duration = Duration::from_millis(50);
@@ -43,8 +43,8 @@
         Shutdown { signalled_at, time_to_kill: longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE }
     }
 
-    /// Shuts down: accepts late clients unless a successor process does so at the same listener, and waits until every
-    /// client is gone or the time has run out.
+    /// Shuts down: accepts late clients unless a successor process does so at the same listener, and waits until
+    /// every client is gone or the time has run out.
     pub async fn run(
         &self,
         clients: &Rc<ClientServer>,
--- a/crates/gateway/src/lifecycle/signals.rs
+++ b/crates/gateway/src/lifecycle/signals.rs
@@ -17,8 +17,8 @@
 }
 
 impl Signals {
-    /// Handles the signals from now on. The time of a stop signal is recorded by a task of its own, so that it is right
-    /// however long the start takes.
+    /// Handles the signals from now on. The time of a stop signal is recorded by a task of its own, so that it is
+    /// right however long the start takes.
     pub fn install() -> io::Result<Signals> {
         let mut terminate = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
--- a/crates/gateway/src/lifecycle/startup.rs
+++ b/crates/gateway/src/lifecycle/startup.rs
@@ -1,5 +1,5 @@
-//! What a start needs from the system: the runtime, listeners and the configuration. Calls that fail for a reason that may
-//! pass are retried, since a gateway that exits at its start serves nobody.
+//! What a start needs from the system: the runtime, listeners and the configuration. Calls that fail for a reason
+//! that may pass are retried, since a gateway that exits at its start serves nobody.
 
 use crate::config::document::{Config, ConfigError};
 use crate::driver::decision_driver::DecisionDriver;
@@ -100,8 +100,8 @@
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(true)?;
-    // What a slow client has not read yet stays at its server. A small buffer is written to often enough to show that the
-    // client makes progress, and takes little of the system's memory.
+    // What a slow client has not read yet stays at its server. A small buffer is written to often enough to show
+    // that the client makes progress, and takes little of the system's memory.
     socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
--- a/crates/gateway/src/lifecycle/takeover.rs
+++ b/crates/gateway/src/lifecycle/takeover.rs
@@ -1,5 +1,6 @@
-//! The hand-over between two processes. Over a control socket, a Unix socket in `$TMPDIR`, the serving process sends its
-//! successor the client listener, with all connections that wait there, and the state of the decision core.
+//! The hand-over between two processes. Over a control socket, a Unix socket in `$TMPDIR`, the serving process
+//! sends its successor the client listener, with all connections that wait there, and the state of the decision
+//! core.
 
 use crate::driver::decision_driver::DecisionDriver;
 use crate::network::socket::Socket;
@@ -78,8 +79,8 @@
     Ok(Predecessor { listener, state, control_connection: connection })
 }
 
-/// Listens for a successor of the gateway at an address. Without a control socket the successor can only listen beside
-/// this process.
+/// Listens for a successor of the gateway at an address. Without a control socket the successor can only listen
+/// beside this process.
 pub fn listen_for_successor(listen: SocketAddr) -> Option<UnixListener> {
     let path = control_socket_path(listen)?;
     match bind_control_socket(&path) {
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,5 +1,5 @@
-//! grebehook: an HTTP/1.1 gateway that enforces customers' quotas. This file is the life of the process: it parses the
-//! command line, starts, serves until a signal, and shuts down.
+//! grebehook: an HTTP/1.1 gateway that enforces customers' quotas. This file is the life of the process: it
+//! parses the command line, starts, serves until a signal, and shuts down.
 
 mod bodies;
 mod clients;
