--- a/crates/gateway/src/control/counter.rs
+++ b/crates/gateway/src/control/counter.rs
@@ -28,7 +28,7 @@
 struct CounterConnection {
     /// Sends calls over it.
     sender: SendRequest<Empty<Bytes>>,
-    /// Tells how much of a call was written.
+    /// Reports how much of a call was written.
     link: Rc<ServerConnection>,
     /// The counter's address.
     address: SocketAddr,
--- a/crates/gateway/src/lifecycle/serving.rs
+++ b/crates/gateway/src/lifecycle/serving.rs
@@ -12,7 +12,7 @@
 
 /// How serving ended.
 pub struct ServingEnd {
-    /// When the process was told to stop.
+    /// When the stop signal arrived.
     pub signalled_at: Instant,
     /// A successor process accepts clients at the same listener.
     pub is_handed_over: bool,
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -31,20 +31,20 @@
 /// The times of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
-    /// When the process was told to stop.
+    /// When the stop signal arrived.
     signalled_at: Instant,
     /// From the signal to the earliest SIGKILL.
     time_to_kill: Duration,
 }
 
 impl Shutdown {
-    /// The shutdown of a process that was told to stop at a time, and whose requests have a longest deadline.
+    /// The shutdown that follows a stop signal, with the longest deadline of any request.
     pub fn new(signalled_at: Instant, longest_deadline: Duration) -> Shutdown {
         Shutdown { signalled_at, time_to_kill: longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE }
     }
 
     /// Shuts down: accepts late clients unless a successor process does so at the same listener, and waits until
-    /// every client is gone or the time has run out.
+    /// every client has disconnected or the time has run out.
     pub async fn run(
         &self,
         clients: &Rc<ClientServer>,
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -74,7 +74,7 @@
     let faults = config::check::faults_of_file(path);
     let mut output = std::io::stdout().lock();
     for fault in &faults {
-        // If the reader of a pipe has closed it, the exit code still tells the result.
+        // If the reader of a pipe has closed it, the exit code still gives the result.
         let _ = writeln!(output, "{fault}");
     }
     if faults.is_empty() {
--- a/crates/gateway/src/operations/server.rs
+++ b/crates/gateway/src/operations/server.rs
@@ -28,7 +28,7 @@
 const ACCEPT_ERROR_DELAY: Duration = Duration::from_millis(20);
 /// The smallest read buffer that hyper allows.
 const MAX_BUFFER_BYTES: usize = 8 << 10;
-/// The path that tells whether this process accepts clients.
+/// The path that reports whether this process accepts clients.
 const HEALTH_PATH: &str = "/admin/health";
 /// The path of the metrics.
 const METRICS_PATH: &str = "/admin/stats";
