--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,5 +1,5 @@
-//! grebehook: an HTTP/1.1 gateway that enforces customers' quotas. This file is the life of the process: it parses the
-//! command line, starts, serves until a signal, and shuts down.
+//! grebehook: an HTTP/1.1 gateway that enforces customers' quotas. This file is the life of the process: it
+//! parses the command line, starts, serves until a signal, and shuts down.
 
 mod bodies;
 mod clients;
@@ -74,7 +74,7 @@
     let faults = config::check::faults_of_file(path);
     let mut output = std::io::stdout().lock();
     for fault in &faults {
-        // If the reader of a pipe has closed it, the exit code still tells the result.
+        // If the reader of a pipe has closed it, the exit code still gives the result.
         let _ = writeln!(output, "{fault}");
     }
     if faults.is_empty() {
