--- a/crates/gateway/src/config/check.rs
+++ b/crates/gateway/src/config/check.rs
@@ -3,7 +3,7 @@
 //! Reading stops at the first fault. So each faulty field is replaced by that of a valid example and the document
 //! is read again, until all of it can be read.
 
-use crate::config::document::{Config, ConfigError};
+use crate::config::document::{Config, ConfigError, RejectedSettings};
 use crate::logging::ErrorChain;
 use grebehook_core::Gateway;
 use serde_json::Value;
@@ -55,7 +55,7 @@
 /// Reads a configuration as a start does, including the decision core's checks.
 fn read(document: &Value) -> Result<(), ConfigError> {
     let config = Config::from_document(document)?;
-    Gateway::new(config.settings, config.seed, 0)?;
+    Gateway::new(config.settings, config.seed, 0).map_err(RejectedSettings::from)?;
     Ok(())
 }
 
--- a/crates/gateway/src/config/document.rs
+++ b/crates/gateway/src/config/document.rs
@@ -68,6 +68,17 @@
     pub server_idle_timeout: Duration,
 }
 
+/// The field of the settings that the decision core rejects, by its path in the file.
+#[derive(Debug, thiserror::Error)]
+#[error("settings: {0}")]
+pub struct RejectedSettings(FieldError);
+
+impl From<SettingsError> for RejectedSettings {
+    fn from(error: SettingsError) -> RejectedSettings {
+        RejectedSettings(error.into())
+    }
+}
+
 /// Why the configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
@@ -87,7 +98,7 @@
     Field(#[from] FieldError),
     /// The decision core rejects the settings.
     #[error(transparent)]
-    Settings(#[from] SettingsError),
+    Settings(#[from] RejectedSettings),
     /// The environment names no valid address for operators.
     #[error("{OPS_VARIABLE} is not valid")]
     OpsVariable(#[source] AddrParseError),
--- a/crates/gateway/src/lifecycle/error.rs
+++ b/crates/gateway/src/lifecycle/error.rs
@@ -1,6 +1,6 @@
 //! Why the gateway cannot serve.
 
-use grebehook_core::SettingsError;
+use crate::config::document::RejectedSettings;
 use std::io;
 use tokio::task::JoinError;
 
@@ -15,7 +15,7 @@
     Signal(#[source] io::Error),
     /// The decision core rejects the settings.
     #[error(transparent)]
-    Settings(#[from] SettingsError),
+    Settings(#[from] RejectedSettings),
     /// A socket cannot be bound.
     #[error("the socket for {purpose} cannot be bound")]
     Bind {
--- a/crates/gateway/src/lifecycle/services.rs
+++ b/crates/gateway/src/lifecycle/services.rs
@@ -1,6 +1,6 @@
 //! What the gateway runs before it accepts clients: the decision driver, its transports and the control plane.
 
-use crate::config::document::Config;
+use crate::config::document::{Config, RejectedSettings};
 use crate::control::counter::SharedCounter;
 use crate::control::discovery::EndpointWatch;
 use crate::control::peers::Peers;
@@ -36,7 +36,8 @@
 /// Starts the services with the endpoint list of the configuration, which is moved out of it.
 pub async fn start(config: &mut Config, resources: &ResourceBudget) -> Result<Services, RunError> {
     let clock = Clock::start();
-    let gateway = Gateway::new(config.settings.clone(), config.seed, clock.now())?;
+    let gateway = Gateway::new(config.settings.clone(), config.seed, clock.now());
+    let gateway = gateway.map_err(RejectedSettings::from)?;
     let transports = transports(config, resources).await?;
     let counter = transports.counter.clone();
     let peers = transports.peers.clone();
