--- a/crates/scale-laboratory/src/core_cost.rs
+++ b/crates/scale-laboratory/src/core_cost.rs
@@ -44,7 +44,7 @@
 /// Tenants between two reports of progress.
 const TENANTS_PER_STEP: usize = 1_000;
 
-/// A decision core, the time it is told, and the state of its surroundings.
+/// A decision core, the simulated time, and the state of its surroundings.
 struct CoreUnderTest<'a> {
     /// What is played.
     experiment: &'a Experiment,
--- a/crates/scale-laboratory/src/error.rs
+++ b/crates/scale-laboratory/src/error.rs
@@ -1,10 +1,10 @@
-//! What can go wrong, and the exit code that tells bad use from a failed run.
+//! The errors of the laboratory; the exit code distinguishes invalid use from a failed run.
 
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Exit code of bad use: nothing was started.
-const EXIT_BAD_USE: u8 = 2;
+/// Exit code of invalid use: nothing was started.
+const EXIT_INVALID_USE: u8 = 2;
 /// Exit code of a run that failed.
 const EXIT_FAILED_RUN: u8 = 1;
 
@@ -108,7 +108,7 @@
             Self::MalformedFile { .. }
             | Self::UnreadableFile { .. }
             | Self::InvalidField { .. }
-            | Self::MemoryBound { .. } => EXIT_BAD_USE,
+            | Self::MemoryBound { .. } => EXIT_INVALID_USE,
             _ => EXIT_FAILED_RUN,
         }
     }
--- a/crates/scale-laboratory/src/experiment/mod.rs
+++ b/crates/scale-laboratory/src/experiment/mod.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Gateways that run. In core mode one runs, told that it is one of so many.
+    /// Gateways that run. In core mode only one runs, with settings for a fleet of this size.
     pub gateways: usize,
     /// Services; the gateway lists the servers of all of them.
     #[serde(default = "one")]
--- a/crates/scale-laboratory/src/hollow/clients.rs
+++ b/crates/scale-laboratory/src/hollow/clients.rs
@@ -71,7 +71,7 @@
     hot_share: f64,
     /// Quota of a tenant, units a second.
     quota_rate: f64,
-    /// Usage by tenant and by the region of the server: a server knows only the usage of regions it can reach.
+    /// Usage by tenant and by the region of the server: a server reports only the usage of regions it can reach.
     usage: Vec<Vec<Usage>>,
     /// Units served to hot tenants since they were last taken.
     hot_units: f64,
--- a/crates/scale-laboratory/src/hollow/endpoint_history.rs
+++ b/crates/scale-laboratory/src/hollow/endpoint_history.rs
@@ -64,7 +64,7 @@
 }
 
 impl EndpointHistory {
-    /// All servers ready, long since.
+    /// A list of servers that are all ready and warm.
     pub fn new(topology: Topology, servers: usize, kept_versions: usize) -> EndpointHistory {
         let record = |server| ServerRecord { server, state: EndpointState::Ready, started_at: 0 };
         let records = (0..servers).map(record).collect();
--- a/crates/scale-laboratory/src/real/fleet.rs
+++ b/crates/scale-laboratory/src/real/fleet.rs
@@ -19,9 +19,9 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// The most memory that a gateway is told it may use, in millions of bytes.
+/// Bound on a gateway's memory in its configuration, millions of bytes.
 const MEMORY_MB: u64 = 192;
-/// The most file descriptors that a gateway is told it may use.
+/// Bound on a gateway's file descriptors in its configuration.
 const FILE_DESCRIPTORS: u64 = 1_024;
 
 /// All that one point starts.
--- a/crates/scale-laboratory/src/real/schedule.rs
+++ b/crates/scale-laboratory/src/real/schedule.rs
@@ -25,7 +25,7 @@
         /// Which one.
         index: usize,
     },
-    /// The servers of a domain are back, and discovery knows it.
+    /// The servers of a domain respond again, and discovery publishes it.
     RestoreServers {
         /// The kind of domain.
         domain: Domain,
@@ -36,7 +36,7 @@
     SilenceCounter(bool),
     /// Whether discovery is silent from now on.
     SilenceDiscovery(bool),
-    /// The entries of the first so many servers change.
+    /// The entries of this many servers change, from the first on.
     ChangeEndpoints(usize),
     /// A new configuration names the other counter.
     ChangeConfiguration,
@@ -52,7 +52,7 @@
 }
 
 impl Step {
-    /// An action so many seconds after the begin.
+    /// An action at a number of seconds after the begin.
     fn new(seconds: f64, action: FaultAction) -> Step {
         Step { at: Duration::from_secs_f64(seconds), action }
     }
--- a/crates/scale-laboratory/src/settings.rs
+++ b/crates/scale-laboratory/src/settings.rs
@@ -15,6 +15,10 @@
 pub const USAGE_REPORT_PERIOD: Micros = 1_000_000;
 /// A connection that is not established by then has failed.
 pub const CONNECT_TIMEOUT: Micros = 250_000;
+/// Servers close connections that were idle for so long.
+const SERVER_IDLE_TIMEOUT: Micros = 15_000_000;
+/// Most units that one request may take.
+const MAX_UNITS: u32 = 20;
 /// Shortest time between two batches of events.
 const BATCH_INTERVAL: Micros = 2_000;
 /// The only class; its requests are idempotent.
@@ -94,21 +98,86 @@
 pub fn json_settings(experiment: &Experiment, gateway: usize, zones: usize, zone: u32) -> Value {
     let settings = core_settings(experiment, gateway, zone);
     let zones: Vec<String> = (0..zones).map(zone_name).collect();
-    let (plan, rules) = (&settings.plans[0], &settings.rules);
     json!({
-        "me": gateway, "siblings": settings.gateway_count, "az": zone, "tickUs": BATCH_INTERVAL, "zones": zones,
-        "classes": [{"name": CLASS, "aimUs": LATENCY_OBJECTIVE, "deadlineUs": DEADLINE, "lateWorth": 0.0, "value": 1.0,
-            "semantics": "retryable", "stream": false}],
-        "plans": [{"name": PLAN, "rate": plan.rate, "depth": plan.burst, "concurrency": 0, "valueFactor": 1.0,
-            "excessWorth": 0.0, "excessCost": 1.0, "ceilingRate": 0.0, "neverOverDepth": 0.0, "tolerance": 0.0}],
-        "limits": {"attemptsCap": settings.capabilities.max_attempts, "cancel": true, "connIdleUs": 15_000_000,
-            "connectTimeoutUs": CONNECT_TIMEOUT, "maxRetryAfterUs": settings.capabilities.max_retry_after,
-            "mayProbe": false, "peers": false, "retryAfter": true, "secondCopies": false},
-        "familyInfo": {"mailPerS": 0.0, "maxUnits": 20, "meterUs": USAGE_REPORT_PERIOD,
-            "sharedCounter": settings.capabilities.shared_counter, "countLimitUs": settings.capabilities.counter_timeout.unwrap_or(0), "truedUp": false},
-        "rules": {"coldFrom": rules.initial_capacity, "warmAfterUs": rules.warm_up, "fallMultiple": rules.overload_multiple,
-            "tipAfterUs": rules.overload_window, "graceToAnswerUs": rules.response_grace},
-        "stats": {"columns": [], "how": "none"}, "discovery": "push"
+        "me": gateway,
+        "siblings": settings.gateway_count,
+        "az": zone,
+        "tickUs": settings.batch_interval,
+        "zones": zones,
+        "classes": settings.classes.iter().map(json_class).collect::<Vec<_>>(),
+        "plans": settings.plans.iter().map(json_plan).collect::<Vec<_>>(),
+        "limits": json_limits(&settings.capabilities),
+        "familyInfo": json_customer_interface(&settings.capabilities),
+        "rules": json_rules(&settings.rules),
+        "stats": {"columns": [], "how": "none"},
+        "discovery": "push",
+    })
+}
+
+/// A class, as the configuration file has it.
+fn json_class(class: &Class) -> Value {
+    json!({
+        "name": CLASS,
+        "aimUs": class.latency_objective,
+        "deadlineUs": class.deadline,
+        "lateWorth": class.late_priority_weight,
+        "value": class.priority_weight,
+        "semantics": "retryable",
+        "stream": class.streaming,
+    })
+}
+
+/// A plan, as the configuration file has it.
+fn json_plan(plan: &Plan) -> Value {
+    json!({
+        "name": PLAN,
+        "rate": plan.rate,
+        "depth": plan.burst,
+        "concurrency": plan.max_concurrency.unwrap_or(0),
+        "valueFactor": plan.weight_multiplier,
+        "excessWorth": plan.overage_weight,
+        "excessCost": plan.overage_cost,
+        "ceilingRate": plan.hard_limit_rate,
+        "neverOverDepth": plan.hard_limit_burst,
+        "tolerance": plan.hard_limit_overdraft,
+    })
+}
+
+/// What a gateway may do, as the configuration file has it.
+fn json_limits(capabilities: &Capabilities) -> Value {
+    json!({
+        "attemptsCap": capabilities.max_attempts,
+        "cancel": capabilities.cancellation,
+        "connIdleUs": SERVER_IDLE_TIMEOUT,
+        "connectTimeoutUs": CONNECT_TIMEOUT,
+        "maxRetryAfterUs": capabilities.max_retry_after,
+        "mayProbe": capabilities.health_checks,
+        "peers": capabilities.gossip,
+        "retryAfter": capabilities.retry_after,
+        "secondCopies": capabilities.hedged_requests,
+    })
+}
+
+/// What the customers' interface says, as the configuration file has it.
+fn json_customer_interface(capabilities: &Capabilities) -> Value {
+    json!({
+        "mailPerS": capabilities.gossip_messages_per_s,
+        "maxUnits": MAX_UNITS,
+        "meterUs": capabilities.usage_report_period.unwrap_or(0),
+        "sharedCounter": capabilities.shared_counter,
+        "countLimitUs": capabilities.counter_timeout.unwrap_or(0),
+        "truedUp": capabilities.settles_units,
+    })
+}
+
+/// The protocol's rules, as the configuration file has them.
+fn json_rules(rules: &ProtocolRules) -> Value {
+    json!({
+        "coldFrom": rules.initial_capacity,
+        "warmAfterUs": rules.warm_up,
+        "fallMultiple": rules.overload_multiple,
+        "tipAfterUs": rules.overload_window,
+        "graceToAnswerUs": rules.response_grace,
     })
 }
 
--- a/crates/scale-laboratory/tests/core_cost.rs
+++ b/crates/scale-laboratory/tests/core_cost.rs
@@ -35,7 +35,8 @@
     }
     let per_server = value(&points[2], Metric::ListHeap) / 30_500.0;
     assert!((100.0..400.0).contains(&per_server), "{per_server} bytes a server");
-    let (few, many) = (measure(61, 500), measure(61, 5_000));
+    let few = measure(61, 500);
+    let many = measure(61, 5_000);
     let per_tenant = (value(&many, Metric::TenantHeap) - value(&few, Metric::TenantHeap)) / 4_500.0;
     assert!((200.0..900.0).contains(&per_tenant), "{per_tenant} bytes a tenant");
 }
--- a/crates/scale-laboratory/tests/hollow.rs
+++ b/crates/scale-laboratory/tests/hollow.rs
@@ -95,7 +95,8 @@
 fn partitioned_region_gets_no_counter_replies() {
     let fault =
         "[[fault]]\nkind = \"cut-regions\"\nat_seconds = 0.0\nlasts_seconds = 6.0\nfirst = 0\nsecond = 1\n";
-    let (connected, partitioned) = (play(&text(&[REQUESTS], "")), play(&text(&[REQUESTS], fault)));
+    let connected = play(&text(&[REQUESTS], ""));
+    let partitioned = play(&text(&[REQUESTS], fault));
     assert!(value(&partitioned, Metric::CounterBytes) < 0.8 * value(&connected, Metric::CounterBytes));
     assert!(value(&partitioned, Metric::Served) > 0.8 * value(&connected, Metric::Served));
 }
--- a/crates/scale-laboratory/tests/program.rs
+++ b/crates/scale-laboratory/tests/program.rs
@@ -142,7 +142,8 @@
     let faults = "[[fault]]\nkind = \"change-members\"\nat_seconds = 0.5\ncount = 2\n\
                   [[fault]]\nkind = \"change-configuration\"\nat_seconds = 1.0\n";
     let file = write(&folder, &text(REAL, faults));
-    let (results, gateway) = (folder.path().to_string_lossy().into_owned(), gateway_program());
+    let results = folder.path().to_string_lossy().into_owned();
+    let gateway = gateway_program();
     let output =
         program(&["run", &file, "--results", &results, "--gateway-program", &gateway.to_string_lossy()]);
     assert!(output.status.success(), "{}", standard_error(&output));
--- a/crates/simulator-adapter/src/settings/mod.rs
+++ b/crates/simulator-adapter/src/settings/mod.rs
@@ -57,7 +57,7 @@
 }
 
 impl SettingsMessage {
-    /// The settings that the decision core knows.
+    /// The decision core's settings.
     pub fn settings(&self) -> Result<Settings, FieldError> {
         Ok(Settings {
             gateway_index: self.gateway_index as usize,
@@ -112,7 +112,7 @@
 }
 
 impl ClassMessage {
-    /// The class that the decision core knows; the path of an error starts at the class.
+    /// The decision core's class; the path of an error starts at the class.
     fn class(&self) -> Result<Class, FieldError> {
         Ok(Class {
             latency_objective: self.latency_objective,
@@ -151,7 +151,7 @@
 }
 
 impl PlanMessage {
-    /// The plan that the decision core knows.
+    /// The decision core's plan.
     fn plan(&self) -> Plan {
         Plan {
             rate: self.rate,
@@ -168,7 +168,7 @@
 }
 
 impl RulesMessage {
-    /// The rules that the decision core knows.
+    /// The decision core's rules.
     fn rules(&self) -> ProtocolRules {
         ProtocolRules {
             response_grace: self.response_grace,
--- a/crates/simulator-adapter/src/settings/wire_path.rs
+++ b/crates/simulator-adapter/src/settings/wire_path.rs
@@ -39,23 +39,39 @@
 /// The wire's path of a field that a [`SettingsError`] names: `classes[0].latency_objective` is `classes[0].aimUs`.
 /// A path that is the same on the wire, or not known, stays as it is.
 pub fn wire_path(core_path: &str) -> String {
-    let (index, path) = split_index(core_path);
-    let wire = FIELDS.iter().find(|(core, _)| *core == path).map_or(path.as_str(), |(_, wire)| wire);
-    match (index, wire.split_once('.')) {
-        (Some(index), Some((list, field))) => format!("{list}{index}.{field}"),
-        (Some(_), None) => core_path.to_owned(),
-        (None, _) => wire.to_owned(),
+    match Indexed::split(core_path) {
+        Some(Indexed { list, index, field }) => {
+            let path = format!("{list}{field}");
+            match wire_name(&path).split_once('.') {
+                Some((list, field)) => format!("{list}[{index}].{field}"),
+                None => core_path.to_owned(),
+            }
+        }
+        None => wire_name(core_path).to_owned(),
     }
 }
 
-/// A path's index with its brackets, if it has one, and the path without it.
-fn split_index(path: &str) -> (Option<&str>, String) {
-    let brackets = path.find('[').zip(path.find(']'));
-    match brackets {
-        Some((open, close)) => {
-            (Some(&path[open..=close]), format!("{}{}", &path[..open], &path[close + 1..]))
-        }
-        None => (None, path.to_owned()),
+/// The wire's path of a field, both without the indices of lists.
+fn wire_name(core_path: &str) -> &str {
+    FIELDS.iter().find(|(core, _)| *core == core_path).map_or(core_path, |(_, wire)| wire)
+}
+
+/// The parts of a path into a list, such as `classes[0].deadline`.
+struct Indexed<'a> {
+    /// The list.
+    list: &'a str,
+    /// The index.
+    index: &'a str,
+    /// The field, after its point.
+    field: &'a str,
+}
+
+impl<'a> Indexed<'a> {
+    /// The parts of a path; `None` if it has no index.
+    fn split(path: &'a str) -> Option<Indexed<'a>> {
+        let (list, rest) = path.split_once('[')?;
+        let (index, field) = rest.split_once(']')?;
+        Some(Indexed { list, index, field })
     }
 }
 
