--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -62,26 +62,17 @@
     fn apply(&self, config: &Config) {
         let replace =
             |current: &mut SocketAddr| std::mem::replace(current, config.discovery) != config.discovery;
-        let discovery = describe(self.discovery_agent.send_if_modified(replace));
+        let discovery_agent_changed = self.discovery_agent.send_if_modified(replace);
         let counter = self.counter.as_ref().zip(config.counter);
-        let counter = describe(counter.is_some_and(|(counter, address)| counter.relocate(address)));
+        let counter_changed = counter.is_some_and(|(counter, address)| counter.relocate(address));
         let file = self.path.display();
-        info!(%file, "configuration read again; discovery {discovery}, the counter {counter}");
+        info!(%file, discovery_agent_changed, counter_changed, "configuration reloaded");
     }
 
     /// Logs that the file cannot be used.
     fn log_failure(&self, error: &ConfigError) {
         let file = self.path.display();
         let error = ErrorChain(error);
-        warn!(%file, %error, "configuration cannot be used; the old one stays in use");
-    }
-}
-
-/// The word for a new address, or for an unchanged one.
-fn describe(is_changed: bool) -> &'static str {
-    if is_changed {
-        "moves"
-    } else {
-        "stays"
+        warn!(%file, %error, "configuration cannot be used; keeping the previous configuration");
     }
 }
--- a/crates/gateway/src/lifecycle/serving.rs
+++ b/crates/gateway/src/lifecycle/serving.rs
@@ -43,7 +43,7 @@
                 return Ok(ServingEnd { signalled_at: signalled_at?, is_handed_over: true });
             }
         };
-        warn!(%error, "the successor process ended; this one goes on");
+        warn!(%error, "the successor process ended; continuing to accept clients");
         clients.hand_over(false);
     }
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -114,7 +114,7 @@
     let control_socket = takeover::listen_for_successor(address);
     spawn_local(Reload { path, discovery_agent, counter }.run(signals.reload));
     let clients = client_server(config, &resources, &driver);
-    info!("{name} listens on {address}");
+    info!(gateway = %name, %address, "accepting clients");
     if let Some(ops) = ops {
         serve_operators(&name, ops, &clients, &driver).await?;
     }
@@ -122,7 +122,7 @@
     let control_socket = control_socket.as_ref();
     let end = serve_until_stopped(&clients, &driver, &listener, control_socket, &mut signals.stop).await?;
     Shutdown::new(end.signalled_at, shutdown_limit).run(&clients, &driver, listener, &end).await;
-    info!("{name} stopped");
+    info!(gateway = %name, "stopped");
     Ok(())
 }
 
@@ -149,7 +149,7 @@
 ) -> Result<(), RunError> {
     let listener = startup::retry_bind("operators", || TcpListener::bind(address)).await?;
     let address = listener.local_addr().map_err(RunError::LocalAddress)?;
-    info!("{name} answers operators on {address}");
+    info!(gateway = %name, %address, "answering operators");
     spawn_local(OperationsServer::new(clients.clone(), driver.clone()).run(listener));
     Ok(())
 }
--- a/crates/gateway/tests/loopback/counter.rs
+++ b/crates/gateway/tests/loopback/counter.rs
@@ -91,7 +91,7 @@
     assert_eq!(gateway.connect().call(&patient_request()).status(), 200);
     old.next_request();
     gateway.reload_with(&deployment.shared_counter(new.address, REPLY_TIMEOUT_US).config_text());
-    gateway.wait_for_log("the counter moves");
+    gateway.wait_for_log("counter_changed=true");
     while let ServerEvent::Request(_) = old.next_event() {}
     let other_customer = for_customer(&patient_request(), 7);
     assert_eq!(gateway.connect().call(&other_customer).status(), 200);
@@ -111,7 +111,7 @@
     let _waiting = send_for_customers(&gateway, 1..60);
     counter.next_request();
     gateway.reload_with(&deployment.shared_counter(moved.address, REPLY_TIMEOUT_US).config_text());
-    gateway.wait_for_log("the counter moves");
+    gateway.wait_for_log("counter_changed=true");
     let _more = send_for_customers(&gateway, 60..120);
     let connections = [counter.connection_count(), moved.connection_count()];
     assert!(connections.iter().sum::<usize>() <= 32, "{connections:?}");
--- a/crates/gateway/tests/loopback/lifecycle.rs
+++ b/crates/gateway/tests/loopback/lifecycle.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// The gateway's log line for a configuration that it does not load.
-const RELOAD_REFUSED: &str = "the old one stays";
+const RELOAD_REFUSED: &str = "keeping the previous configuration";
 
 /// The configuration is no JSON, lacks a part or holds an invalid value.
 #[test]
--- a/crates/gateway/tests/loopback/rig/gateway_process.rs
+++ b/crates/gateway/tests/loopback/rig/gateway_process.rs
@@ -47,7 +47,7 @@
         });
         let unknown_address = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut gateway = GatewayProcess { child, config_file, log_lines, address: unknown_address };
-        gateway.address = gateway.wait_for_logged_address("listens on");
+        gateway.address = gateway.wait_for_logged_address("accepting clients");
         gateway
     }
 
@@ -69,12 +69,12 @@
 
     /// Waits for a line of the log with this text and an address at its end.
     fn wait_for_logged_address(&self, text: &str) -> SocketAddr {
-        self.wait_for_log(text).trim().rsplit(' ').next().unwrap().parse().unwrap()
+        self.wait_for_log(text).trim().rsplit('=').next().unwrap().parse().unwrap()
     }
 
     /// Where operators call, if the configuration has them answered.
     pub fn operator_address(&self) -> SocketAddr {
-        self.wait_for_logged_address("answers operators on")
+        self.wait_for_logged_address("answering operators")
     }
 
     /// Replaces the configuration file atomically and signals the gateway to reload it.
--- a/crates/gateway/tests/loopback/takeover.rs
+++ b/crates/gateway/tests/loopback/takeover.rs
@@ -80,7 +80,7 @@
     let Predecessor { process: old, successor } =
         Predecessor::start(deployment_with_operators(&server), &folder);
     successor.start().kill();
-    old.wait_for_log("this one goes on");
+    old.wait_for_log("continuing to accept clients");
     assert_eq!(old.connect().call(&idempotent_request()).status(), 200);
     old.kill();
     // The control socket of a killed process is ignored.
@@ -152,5 +152,5 @@
     let mut log = String::new();
     child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
     assert!(child.wait().unwrap().success());
-    assert!(!log.contains("listens on"), "{log}");
+    assert!(!log.contains("accepting clients"), "{log}");
 }
--- a/crates/scale-laboratory/src/real/gateway_process.rs
+++ b/crates/scale-laboratory/src/real/gateway_process.rs
@@ -15,10 +15,10 @@
 
 /// A gateway that does not listen by then has failed to start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// What precedes the address in the gateway's log line about its listener (`main.rs` there).
-const LISTENS_ON: &str = "listens on ";
+/// Part of the gateway's log line that ends with the address of its listener (`main.rs` there).
+const ACCEPTS_CLIENTS: &str = "accepting clients";
 /// Part of the gateway's log line about a new address of the counter (`lifecycle/reload.rs` there).
-const COUNTER_MOVES: &str = "the counter moves";
+const COUNTER_CHANGED: &str = "counter_changed=true";
 /// Units of time in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 /// Field of `/proc/PID/stat` after the program's name: processor time in user mode.
@@ -124,8 +124,8 @@
 async fn listener_address(lines: &mut LogLines) -> std::result::Result<SocketAddr, String> {
     let mut last_line = String::new();
     while let Ok(Some(line)) = lines.next_line().await {
-        if let Some((_, address)) = line.split_once(LISTENS_ON) {
-            let address = address.split_whitespace().next().unwrap_or_default();
+        if line.contains(ACCEPTS_CLIENTS) {
+            let address = line.rsplit('=').next().unwrap_or_default().trim();
             return address.parse().map_err(|_| format!("no address in '{line}'"));
         }
         last_line = line;
@@ -136,7 +136,7 @@
 /// Reads the log on, so that the process never waits for a reader.
 async fn follow_log(mut lines: LogLines, counter_moved_us: Arc<AtomicU64>, epoch: Instant) {
     while let Ok(Some(line)) = lines.next_line().await {
-        if line.contains(COUNTER_MOVES) {
+        if line.contains(COUNTER_CHANGED) {
             counter_moved_us.store(epoch.elapsed().as_micros() as u64, Ordering::Relaxed);
         }
     }
