--- a/crates/gateway/src/bodies/download.rs
+++ b/crates/gateway/src/bodies/download.rs
@@ -9,7 +9,8 @@
 use std::task::{ready, Context, Poll};
 use tokio::sync::OwnedSemaphorePermit;
 
-/// Largest part of a buffered body that hyper gets at a time: it would copy all of a longer one and keep its buffer.
+/// Largest part of a buffered body that hyper gets at a time: it would copy all of a longer one and keep its
+/// buffer.
 const MAX_CHUNK_BYTES: usize = 16 << 10;
 
 /// The body of a response.
@@ -63,8 +64,8 @@
 }
 
 impl Download {
-    /// Forwards the buffered beginning of a body and what follows it on its connection. `on_complete` is called once
-    /// all of it has arrived.
+    /// Forwards the buffered beginning of a body and what follows it on its connection. `on_complete` is called
+    /// once all of it has arrived.
     pub fn new(
         buffered: Bytes,
         remainder: Incoming,
--- a/crates/gateway/src/clients/connection.rs
+++ b/crates/gateway/src/clients/connection.rs
@@ -122,8 +122,8 @@
         self.waiting_since() + MAX_REQUEST_TIME
     }
 
-    /// Since when the next request has been awaited: since its first byte, but the first request of a connection since
-    /// that was accepted.
+    /// Since when the next request has been awaited: since its first byte, but the first request of a connection
+    /// since that was accepted.
     fn waiting_since(&self) -> Instant {
         let began_at = self.stream.request_began_at().filter(|_| self.has_sent_request.get());
         began_at.unwrap_or(self.idle_since.get())
--- a/crates/gateway/src/clients/connection_table.rs
+++ b/crates/gateway/src/clients/connection_table.rs
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Closes connections that have been idle, or their request incomplete, for too long. A request that has just begun
-    /// to arrive is not interrupted for the silence before it.
+    /// Closes connections that have been idle, or their request incomplete, for too long. A request that has just
+    /// begun to arrive is not interrupted for the silence before it.
     pub fn close_expired(&self) {
         let now = Instant::now();
         for connection in self.connections.borrow().values().filter(|connection| connection.is_expired(now)) {
--- a/crates/gateway/src/clients/disconnect.rs
+++ b/crates/gateway/src/clients/disconnect.rs
@@ -12,7 +12,8 @@
 /// The interval of checks while the rest of a body is not read.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Reports to the decision core that a client disconnected when it is dropped, unless the request has its answer by then.
+/// Reports to the decision core that a client disconnected when it is dropped, unless the request has its answer by
+/// then.
 pub struct DisconnectGuard<'a> {
     /// The driver of the decision core.
     driver: &'a Rc<DecisionDriver>,
--- a/crates/gateway/src/clients/eviction.rs
+++ b/crates/gateway/src/clients/eviction.rs
@@ -1,7 +1,7 @@
 //! Selects the client connection to close when there are more than the descriptors of the process allow.
 //!
-//! This runs for every connection that is accepted beyond the limit, so it must stay cheap: it decides by what is known
-//! in memory, and asks the system only about the connections that it is about to close.
+//! This runs for every connection that is accepted beyond the limit, so it must stay cheap: it decides by what is
+//! known in memory, and asks the system only about the connections that it is about to close.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,8 +9,8 @@
 
 /// Within this time from connecting, a client that has a request to send has begun to.
 const FIRST_BYTE_TIME: Duration = Duration::from_millis(20);
-/// While more than one in this many of the allowed connections have sent no request yet, those that have are kept: a
-/// flood of new connections would otherwise displace the regular clients.
+/// While more than one in this many of the allowed connections have sent no request yet, those that have are kept:
+/// a flood of new connections would otherwise displace the regular clients.
 const FLOOD_DIVISOR: usize = 4;
 
 /// An idle connection that could be closed.
@@ -43,11 +43,11 @@
     }
 }
 
-/// The connection to close. First choice is, of those that have never sent a byte, the one silent for longest. Otherwise it
-/// is the one that has been idle longest, except in a flood of new connections. A client in the middle of its request is
-/// closed only in a flood, and only if the connection is new: the one silent for longest, since a slow client that is
-/// sending a request continues to write. A connection with unread input is kept; `has_unread_input` is asked, at the cost of a
-/// system call, only about the connection to be closed next.
+/// The connection to close. First choice is, of those that have never sent a byte, the one silent for longest.
+/// Otherwise it is the one that has been idle longest, except in a flood of new connections. A client in the middle
+/// of its request is closed only in a flood, and only if the connection is new: the one silent for longest, since a
+/// slow client that is sending a request continues to write. A connection with unread input is kept;
+/// `has_unread_input` is asked, at the cost of a system call, only about the connection to be closed next.
 pub fn select(
     candidates: &[Candidate],
     now: Instant,
--- a/crates/gateway/src/clients/eviction/tests.rs
+++ b/crates/gateway/src/clients/eviction/tests.rs
@@ -14,8 +14,8 @@
     (0..count).map(|key| candidate(key, has_sent_request, start + Duration::from_millis(key))).collect()
 }
 
-/// A system call for every idle connection at every accepted one would use up the processor in a flood, and requests
-/// would wait in the listen queue for seconds.
+/// A system call for every idle connection at every accepted one would use up the processor in a flood, and
+/// requests would wait in the listen queue for seconds.
 #[test]
 fn system_is_asked_only_about_the_connections_to_be_closed_next() {
     let start = Instant::now();
--- a/crates/gateway/src/clients/head_scanner.rs
+++ b/crates/gateway/src/clients/head_scanner.rs
@@ -1,5 +1,5 @@
-//! Finds the heads of requests in the bytes of a connection, and in them the two headers that define the length of the
-//! body. hyper drops one of these headers where both are present, so the parsed request does not show it.
+//! Finds the heads of requests in the bytes of a connection, and in them the two headers that define the length of
+//! the body. hyper drops one of these headers where both are present, so the parsed request does not show it.
 
 /// Longest header name that is looked for, `transfer-encoding`.
 const MAX_NAME_LENGTH: usize = 17;
@@ -81,8 +81,8 @@
         self.is_past_head().then_some(self.framing)
     }
 
-    /// Expects the next request behind a body of this many bytes. False if part of it has been read already, so that its
-    /// head cannot be found.
+    /// Expects the next request behind a body of this many bytes. False if part of it has been read already, so
+    /// that its head cannot be found.
     pub fn expect_next_request(&mut self, body_length: usize) -> bool {
         let is_at_end = self.position == Position::PastHead(body_length);
         let position = if is_at_end { Position::BeforeRequest } else { Position::Unknown };
--- a/crates/gateway/src/clients/linger.rs
+++ b/crates/gateway/src/clients/linger.rs
@@ -1,5 +1,5 @@
-//! Closes a connection whose client may still be sending. Closing it with input unread would reset it, and the client
-//! could lose the response.
+//! Closes a connection whose client may still be sending. Closing it with input unread would reset it, and the
+//! client could lose the response.
 
 use crate::network::socket::Socket;
 use std::io;
--- a/crates/gateway/src/clients/request_error.rs
+++ b/crates/gateway/src/clients/request_error.rs
@@ -7,7 +7,7 @@
 /// Why a client's request is not accepted. Its message is the text of the response, which the protocol fixes.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// A header is missing, given more than once, malformed, or names what the settings do not know.
+    /// A header is missing, repeated or malformed, or its value is not in the settings.
     #[error(transparent)]
     Header(#[from] InvalidHeader),
     /// The method is not the one of the class.
@@ -19,7 +19,7 @@
     /// The body broke off or took too long to arrive.
     #[error("the body did not arrive")]
     BodyIncomplete,
-    /// The length of the body is given in two ways, of which a server could use the other.
+    /// The length of the body is defined twice, so that a server could use the other definition.
     #[error("the body's length is ambiguous")]
     AmbiguousBodyLength,
     /// A request with the same id is still open on this gateway.
--- a/crates/gateway/src/clients/request_handler.rs
+++ b/crates/gateway/src/clients/request_handler.rs
@@ -145,8 +145,8 @@
         Ok(AnsweredRequest { answer, counter, body })
     }
 
-    /// Waits for the answer to a request, or until its client disconnects. hyper drops this future when it finds the
-    /// connection closed.
+    /// Waits for the answer to a request, or until its client disconnects. hyper drops this future when it finds
+    /// the connection closed.
     async fn wait_for_answer(
         &self,
         client: &ClientConnection,
@@ -193,8 +193,8 @@
     }
 }
 
-/// Checks that the length of a body is given in one way. hyper has dropped one of two headers by now, but the stream has
-/// seen the bytes.
+/// Checks that the length of a body is defined only once. hyper drops one of the two headers, but the stream has
+/// scanned the bytes.
 fn check_body_length(stream: &ClientStream, headers: &HeaderMap) -> Result<(), RequestError> {
     let is_ambiguous = match stream.framing() {
         Some(framing) => framing.is_ambiguous(),
--- a/crates/gateway/src/clients/request_head.rs
+++ b/crates/gateway/src/clients/request_head.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// Checks that the method and the idempotency key are those of the class. Without a key a server could not recognize a
-/// repeat; a request that is never repeated has none.
+/// Checks that the method and the idempotency key are those of the class. Without a key a server could not
+/// recognize a repeat; a request that is never repeated has none.
 fn check_idempotency(class: &Class, method: &Method, headers: &HeaderMap) -> Result<(), RequestError> {
     let expected_method = match class.idempotency {
         Idempotency::Idempotent => Method::GET,
--- a/crates/gateway/src/clients/server.rs
+++ b/crates/gateway/src/clients/server.rs
@@ -63,7 +63,7 @@
         let mut consecutive_errors = 0;
         loop {
             match listener.accept().await {
-                // Served before another is evicted for it: a request on it may count as accepted already.
+                // Served before another connection is evicted: a request on it may count as accepted already.
                 Ok((stream, _)) => {
                     consecutive_errors = 0;
                     self.serve_in_background(stream);
@@ -77,9 +77,9 @@
         }
     }
 
-    /// Accepts what waits in the listener's backlog, as a request there may count as accepted, and closes the listener.
-    /// The system is asked directly, since what the runtime knows is as old as its last poll for events. Errors are
-    /// retried until the deadline.
+    /// Accepts what waits in the listener's backlog, as a request there may count as accepted, and closes the
+    /// listener. The system is asked directly, since what the runtime knows is as old as its last poll for events.
+    /// Errors are retried until the deadline.
     pub async fn accept_rest(self: &Rc<Self>, listener: TcpListener, deadline: Instant) {
         let Ok(listener) = listener.into_std() else { return };
         let mut consecutive_errors = 0;
@@ -156,14 +156,14 @@
             if !self.connections.has_closing() {
                 self.connections.evict_one();
             }
-            // The connection that is reported may have closed before.
+            // The notification may be of a connection that closed earlier.
             let _ = timeout(REPEATED_ERROR_PAUSE, self.connections.connection_closed()).await;
         }
     }
 
     /// Serves an accepted connection in a task of its own.
     fn serve_in_background(self: &Rc<Self>, stream: TcpStream) {
-        // A connection that cannot be set up has broken, which reading it will show.
+        // This fails only on a broken connection, and the first read reports that.
         let _ = stream.set_nodelay(true);
         let client = self.connections.insert(stream);
         let server = self.clone();
@@ -187,7 +187,7 @@
             .serve_connection(TokioIo::new(ClientStreamIo(client.stream.clone())), service));
         let may_have_input = loop {
             tokio::select! {
-                // A connection that broke concerns its client alone. hyper responds to what it cannot parse.
+                // A broken connection affects no other client. hyper itself responds to what it cannot parse.
                 result = connection.as_mut() => break result.is_err() || client.is_input_unreadable(),
                 () = client.drain_requested() => if client.may_drain() {
                     connection.as_mut().graceful_shutdown();
@@ -208,7 +208,7 @@
         }
     }
 
-    /// The response to a request.
+    /// The response to a request; the last one of its connection if the server is stopping by then.
     async fn respond(
         &self,
         client: &Rc<ClientConnection>,
--- a/crates/gateway/src/clients/stream.rs
+++ b/crates/gateway/src/clients/stream.rs
@@ -1,5 +1,5 @@
-//! One client's TCP connection, under hyper. It knows what hyper does not report: how far the current request has been
-//! read, how far its response has been written, and whether the client has disconnected.
+//! One client's TCP connection, under hyper. It knows what hyper does not report: how far the current request has
+//! been read, how far its response has been written, and whether the client has disconnected.
 
 use crate::clients::head_scanner::{Framing, HeadScanner};
 use crate::clients::linger;
@@ -55,8 +55,8 @@
     is_responding: Cell<bool>,
     /// Whether a request is in progress. Meanwhile only [`ClientStream::disconnected`] reads.
     request_in_progress: Cell<bool>,
-    /// Whether the next read of hyper waits for one poll. What was read last may end a request, and its service is to
-    /// see it before hyper reads on, finds the client's end, and drops the request for that.
+    /// Whether the next read of hyper waits for one poll. What was read last may end a request, and its service is
+    /// to see it before hyper reads on, finds the client's end, and drops the request for that.
     defers_next_read: Cell<bool>,
     /// When the client last accepted part of a response, or a response began.
     last_written_at: Cell<Instant>,
@@ -129,8 +129,8 @@
         matches!(socket2::SockRef::from(socket.get_ref()).peek(&mut byte), Ok(read) if read > 0)
     }
 
-    /// Whether the client has ended its sending side or the connection broke. This asks the system: what the runtime
-    /// knows is as old as its last poll for events. What the client sent before its end is kept.
+    /// Whether the client has ended its sending side or the connection broke. This asks the system: what the
+    /// runtime knows is as old as its last poll for events. What the client sent before its end is kept.
     pub fn has_disconnected(&self) -> bool {
         let mut data = [0; READ_AHEAD_CHUNK_BYTES];
         let mut input = self.input.borrow_mut();
@@ -148,8 +148,9 @@
         }
     }
 
-    /// Whether the client has ended its sending side behind input that is still unread, as of the runtime's last poll
-    /// for events. The rest of a long body is not read before an attempt takes it, so its end cannot be read either.
+    /// Whether the client has ended its sending side behind input that is still unread, as of the runtime's last
+    /// poll for events. The rest of a long body is not read before an attempt takes it, so its end cannot be read
+    /// either.
     pub fn is_end_announced(&self) -> bool {
         let input = self.input.borrow();
         let Some(socket) = &input.socket else { return true };
@@ -158,8 +159,8 @@
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Waits until the client ends its sending side or the connection breaks, while its request is in progress. hyper
-    /// does not notice that behind further input, which is read here and kept.
+    /// Waits until the client ends its sending side or the connection breaks, while its request is in progress.
+    /// hyper does not notice that behind further input, which is read here and kept.
     pub async fn disconnected(&self) {
         let _guard = RequestInProgressGuard::new(&self.request_in_progress);
         poll_fn(|cx| self.poll_disconnected(cx)).await;
--- a/crates/gateway/src/network/headers.rs
+++ b/crates/gateway/src/network/headers.rs
@@ -1,5 +1,5 @@
-//! The headers of the protocol between clients, gateway and servers: their names, and what their values mean in this
-//! program's terms. Also which headers belong to one connection, and not to the message.
+//! The headers of the protocol between clients, gateway and servers: their names, and what their values mean in
+//! this program's terms. Also which headers belong to one connection, and not to the message.
 
 use grebehook_core::{CustomerId, LoadReport};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -37,7 +37,7 @@
 /// Customers' ids are below this.
 const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
 
-/// A header of a request is missing, given more than once, or malformed.
+/// A header of a request is missing, repeated, or malformed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0} is missing or malformed")]
 pub struct InvalidHeader(pub HeaderName);
@@ -52,7 +52,7 @@
     pub first_gateway: usize,
 }
 
-/// The value of a header that must be given exactly once: of two, a server might use the other.
+/// The value of a header that must occur exactly once: of two, a server might use the other.
 pub fn single(headers: &HeaderMap, name: HeaderName) -> Result<&HeaderValue, InvalidHeader> {
     let mut values = headers.get_all(&name).iter();
     match (values.next(), values.next()) {
@@ -61,7 +61,7 @@
     }
 }
 
-/// The text of a header that must be given exactly once.
+/// The text of a header that must occur exactly once.
 pub fn single_text(headers: &HeaderMap, name: HeaderName) -> Result<&str, InvalidHeader> {
     single(headers, name.clone())?.to_str().map_err(|_| InvalidHeader(name))
 }
@@ -141,8 +141,8 @@
     Some(report).filter(|report| *report != LoadReport::default())
 }
 
-/// Whether the end of a response body is defined, in one way only: by its length, by its last chunk, or by the end of a
-/// connection that it announces to close. A server that dies resets its connections instead.
+/// Whether the end of a response body is defined, in one way only: by its length, by its last chunk, or by the end
+/// of a connection that it announces to close. A server that dies resets its connections instead.
 pub fn has_body_end(headers: &HeaderMap) -> bool {
     let has_length = headers.contains_key(CONTENT_LENGTH);
     let has_coding = headers.contains_key(TRANSFER_ENCODING);
@@ -172,3 +172,6 @@
     headers.remove(TRANSFER_ENCODING);
     headers.remove(CONTENT_LENGTH);
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/gateway/src/network/socket.rs
+++ b/crates/gateway/src/network/socket.rs
@@ -1,10 +1,10 @@
-//! Stream sockets that do not take a short read or write for a sign of what follows. Every connection of the gateway is
-//! read and written through [`Socket`].
+//! Stream sockets that do not take a short read or write for a sign of what follows. Every connection of the
+//! gateway is read and written through [`Socket`].
 //!
-//! The streams of tokio take a read or write of fewer bytes than were asked for as a sign that the socket is empty or
-//! full, and wait for the next event of the system before they try again. A call may be short for other reasons, such as
-//! a signal; then no event follows, and the connection would hang. A [`Socket`] waits only once the system has reported
-//! that a call would block.
+//! The streams of tokio take a read or write of fewer bytes than were asked for as a sign that the socket is empty
+//! or full, and wait for the next event of the system before they try again. A call may be short for other reasons,
+//! such as a signal; then no event follows, and the connection would hang. A [`Socket`] waits only once the system
+//! has reported that a call would block.
 
 use std::io;
 use std::pin::Pin;
@@ -12,8 +12,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpStream, UnixStream};
 
-/// A non-blocking stream that reports when it may be ready, and whose calls fail with [`io::ErrorKind::WouldBlock`] while
-/// it is not.
+/// A non-blocking stream that reports when it may be ready, and whose calls fail with [`io::ErrorKind::WouldBlock`]
+/// while it is not.
 pub trait ReadyStream: Unpin {
     /// Waits until the stream may be readable.
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
--- a/crates/gateway/src/network/system_error.rs
+++ b/crates/gateway/src/network/system_error.rs
@@ -19,8 +19,8 @@
     matches!(error.kind(), io::ErrorKind::AddrInUse | io::ErrorKind::AddrNotAvailable)
 }
 
-/// Whether a connection could not be opened because this machine lacks a resource at present, which says nothing of the
-/// peer.
+/// Whether a connection could not be opened because this machine lacks a resource at present, which says nothing of
+/// the peer.
 pub fn is_local(error: &io::Error) -> bool {
     is_exhaustion(error) || is_address_unavailable(error) || error.kind() == io::ErrorKind::NetworkUnreachable
 }
--- a/crates/gateway/src/servers/attempt.rs
+++ b/crates/gateway/src/servers/attempt.rs
@@ -28,7 +28,7 @@
 pub struct AttemptTimes {
     /// Its first byte is written by then, or none is.
     pub send_by: Instant,
-    /// It is given up then. Its server learns how much of this time is left.
+    /// It times out then. Its server is sent the time that remains.
     pub answer_by: Instant,
 }
 
--- a/crates/gateway/src/servers/connection.rs
+++ b/crates/gateway/src/servers/connection.rs
@@ -1,5 +1,5 @@
-//! One TCP connection to a server. It can be closed at once when its request is abandoned, and it knows whether that
-//! request has been written completely.
+//! One TCP connection to a server. It can be closed at once when its request is abandoned, and it knows whether
+//! that request has been written completely.
 
 use crate::network::socket::Socket;
 use crate::servers::request_progress::RequestProgress;
@@ -105,7 +105,7 @@
         peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Closes the connection now, not when some task is next polled: an attempt that is given up must be off the
+    /// Closes the connection now, not when some task is next polled: an abandoned attempt must be off the
     /// network before the next one of its request is sent.
     pub fn close(&self) {
         self.socket.borrow_mut().take();
--- a/crates/gateway/src/servers/exchange.rs
+++ b/crates/gateway/src/servers/exchange.rs
@@ -42,7 +42,7 @@
     connection: &'a AttemptConnection,
     /// The request.
     request: &'a OutgoingRequest,
-    /// When it is given up.
+    /// When it times out.
     answer_by: Instant,
     /// Counts the attempts that have been written completely.
     written_counter: Option<&'a Rc<Cell<u64>>>,
@@ -73,7 +73,8 @@
         Upstream { pool, body_memory: Arc::new(Semaphore::new(max_forwarded)), max_units }
     }
 
-    /// Sends a request once, within the times given. `written_counter` is incremented once it is written completely.
+    /// Sends a request once, within its time limits. `written_counter` is incremented once it is written
+    /// completely.
     pub async fn exchange(
         self: &Rc<Self>,
         server: ServerId,
@@ -84,7 +85,7 @@
     ) -> AttemptResponse {
         let attempt = Attempt { server, connection, request, answer_by: times.answer_by, written_counter };
         while let Some(idle) = self.pool.take_idle(server) {
-            // A surplus response to the last request has arrived by then, and ended the connection.
+            // A surplus response to the last request has arrived by then, and closed the connection.
             if let Some(delay) = idle.remaining_reuse_delay() {
                 sleep(delay).await;
             }
@@ -137,8 +138,8 @@
         Ok(self.complete(attempt.server, pooled, head, body))
     }
 
-    /// Reads the body of a response as far as it is buffered. A longer one waits for the memory to forward it, and so
-    /// does its server. `None` if the response is not valid.
+    /// Reads the body of a response as far as it is buffered. A longer one waits for the memory to forward it, and
+    /// so does its server. `None` if the response is not valid.
     async fn read_response_body(&self, head: &response::Parts, body: Incoming) -> Option<ReceivedBody> {
         let is_ok = head.status == StatusCode::OK;
         // An interim response, or one whose end cannot be determined, is not valid.
--- a/crates/gateway/src/servers/pool.rs
+++ b/crates/gateway/src/servers/pool.rs
@@ -16,11 +16,11 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Part of the servers' idle limit after which a connection is no longer used: a server that closes it just as a request
-/// is written would end that request with a reset.
+/// Part of the servers' idle limit after which a connection is no longer used: a server that closes it just as a
+/// request is written would end that request with a reset.
 const MAX_IDLE_FRACTION: f64 = 0.5;
-/// The time between a response and the next request on a connection. A surplus response may arrive some milliseconds
-/// late, and could not be distinguished from that to the next request.
+/// The time between a response and the next request on a connection. A surplus response may arrive some
+/// milliseconds late, and could not be distinguished from that to the next request.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
 /// Largest read buffer that hyper keeps for a connection.
 const MAX_READ_BUFFER_BYTES: usize = 32 << 10;
@@ -107,8 +107,8 @@
 }
 
 impl Pool {
-    /// A pool without servers, of at most `max_open` connections. `server_idle_timeout` is how long servers keep an idle
-    /// connection open.
+    /// A pool without servers, of at most `max_open` connections. `server_idle_timeout` is how long servers keep an
+    /// idle connection open.
     pub fn new(max_open: usize, connect_timeout: Duration, server_idle_timeout: Duration) -> Pool {
         Pool {
             servers: RefCell::default(),
@@ -175,8 +175,8 @@
         self.restore(server, connection);
     }
 
-    /// Returns a connection over which nothing was sent: for its server it is idle since its last response. One that
-    /// leads to no listed process is closed.
+    /// Returns a connection over which nothing was sent: for its server it is idle since its last response. One
+    /// that leads to no listed process is closed.
     pub fn restore(&self, server: ServerId, connection: PooledConnection) {
         if let Some(server) = self.servers.borrow_mut().get_mut(&server) {
             if server.process == connection.process && server.is_ready() && !connection.sender.is_closed() {
--- a/crates/gateway/src/servers/request_progress.rs
+++ b/crates/gateway/src/servers/request_progress.rs
@@ -1,5 +1,5 @@
-//! How much of a request has been written to a connection. A server cannot have run a request whose last byte it has not
-//! received, so an attempt that ends before that may be repeated.
+//! How much of a request has been written to a connection. A server cannot have run a request whose last byte it
+//! has not received, so an attempt that ends before that may be repeated.
 
 use crate::bodies::size::MAX_BUFFERED_BODY_BYTES;
 
@@ -117,7 +117,8 @@
         self.bytes_read > MAX_RESPONSE_HEAD_BYTES && !self.response_received
     }
 
-    /// Whether the server can answer by now. It may reject a request with a long body before all of that has arrived.
+    /// Whether the server can answer by now. It may reject a request with a long body before all of that has
+    /// arrived.
     fn may_be_answered(&self) -> bool {
         match self.remaining_body {
             RemainingBody::Bytes(remaining) if remaining <= MAX_BUFFERED_BODY_BYTES as u64 => {
