--- a/crates/core/src/api/endpoints.rs
+++ b/crates/core/src/api/endpoints.rs
@@ -31,6 +31,15 @@
     pub cell: u32,
 }
 
+/// How many servers the endpoint list has.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EndpointCounts {
+    /// Servers that are listed.
+    pub listed: usize,
+    /// Those of them that are ejected.
+    pub ejected: usize,
+}
+
 /// What kind of answer the watch of the endpoint list gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
--- a/crates/core/src/api/ids.rs
+++ b/crates/core/src/api/ids.rs
@@ -25,3 +25,8 @@
 TimerId(u64));
 id!(/** A key of the shared counter; the same number means the same key at every gateway. */
 CounterId(u64));
+
+impl TimerId {
+    /// The timer of the gateway's regular tick.
+    pub const TICK: TimerId = TimerId(u64::MAX);
+}
--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -8,7 +8,7 @@
 mod settings;
 
 pub use actions::Action;
-pub use endpoints::{Endpoint, EndpointState, WatchEvent};
+pub use endpoints::{Endpoint, EndpointCounts, EndpointState, WatchEvent};
 pub use events::{AttemptReport, AttemptStatus, CounterResult, Event, LoadReport, RequestArrival};
 pub use ids::{CounterId, CustomerId, Micros, NonZeroMicros, RequestId, ServerId, TimerId};
 pub use settings::{
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -2,7 +2,7 @@
 //! state; a decision that needs several parts is a method of [`Gateway`] in the module that it belongs to.
 
 use crate::admission::client_timeouts::ClientTimeouts;
-use crate::api::{Action, Event, Micros, Plan, RequestId, Settings, SettingsError, TimerId};
+use crate::api::{Action, EndpointCounts, Event, Micros, Plan, RequestId, Settings, SettingsError, TimerId};
 use crate::attempts::load::BackendLoad;
 use crate::attempts::retry_budget::RetryBudget;
 use crate::attempts::timeout::AttemptTimeouts;
@@ -165,9 +165,12 @@
     }
 
     /// How many servers are listed, and how many of them are ejected.
-    pub fn endpoint_counts(&self, now: Micros) -> (usize, usize) {
+    pub fn endpoint_counts(&self, now: Micros) -> EndpointCounts {
         let ready = self.servers.count(Subset::Ready);
-        (self.servers.listed(), enforced_ejections(self.servers.ejected_at(now), ready))
+        EndpointCounts {
+            listed: self.servers.listed(),
+            ejected: enforced_ejections(self.servers.ejected_at(now), ready),
+        }
     }
 
     /// How many entries for servers, customers and gateways were examined since the start, which tests hold
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -90,8 +90,8 @@
 
 pub use api::{
     Action, AttemptReport, AttemptStatus, Capabilities, Class, CounterId, CounterResult, CustomerId,
-    DeduplicationScope, Endpoint, EndpointState, Event, Idempotency, LoadReport, LoadReports, Micros,
-    NonZeroMicros, Plan, ProtocolRules, RequestArrival, RequestId, ServerId, Settings, SettingsError,
+    DeduplicationScope, Endpoint, EndpointCounts, EndpointState, Event, Idempotency, LoadReport, LoadReports,
+    Micros, NonZeroMicros, Plan, ProtocolRules, RequestArrival, RequestId, ServerId, Settings, SettingsError,
     TimerId, WatchEvent,
 };
 pub use gateway::Gateway;
--- a/crates/core/src/timer.rs
+++ b/crates/core/src/timer.rs
@@ -13,27 +13,24 @@
     QueueTimeout(RequestId),
 }
 
-/// The number of the tick's timer.
-const TICK: u64 = u64::MAX;
-
 impl From<Timer> for TimerId {
     /// A request's timers bear its number twice: even at its deadline, odd at the end of its queueing.
     fn from(timer: Timer) -> TimerId {
-        TimerId(match timer {
-            Timer::Tick => TICK,
-            Timer::RequestDeadline(id) => id.0 << 1,
-            Timer::QueueTimeout(id) => id.0 << 1 | 1,
-        })
+        match timer {
+            Timer::Tick => TimerId::TICK,
+            Timer::RequestDeadline(id) => TimerId(id.0 << 1),
+            Timer::QueueTimeout(id) => TimerId(id.0 << 1 | 1),
+        }
     }
 }
 
 impl From<TimerId> for Timer {
     fn from(timer: TimerId) -> Timer {
         let request = RequestId(timer.0 >> 1);
-        match timer.0 {
-            TICK => Timer::Tick,
-            number if number & 1 == 0 => Timer::RequestDeadline(request),
-            _ => Timer::QueueTimeout(request),
+        match timer {
+            TimerId::TICK => Timer::Tick,
+            TimerId(number) if number & 1 == 0 => Timer::RequestDeadline(request),
+            TimerId(_) => Timer::QueueTimeout(request),
         }
     }
 }
--- a/crates/core/tests/common/events.rs
+++ b/crates/core/tests/common/events.rs
@@ -6,9 +6,6 @@
     RequestArrival, RequestId, ServerId, TimerId, WatchEvent,
 };
 
-/// The timer of the gateway's regular tick.
-pub const TICK_TIMER: TimerId = TimerId(u64::MAX);
-
 /// A request of one unit in class 0 and plan 0, of a customer with two gateways and a timeout of two seconds.
 pub fn arrival(id: u64, customer: u64) -> RequestArrival {
     RequestArrival {
@@ -42,7 +39,7 @@
 
 /// The regular tick.
 pub fn tick() -> Event {
-    Event::Timer { timer: TICK_TIMER }
+    Event::Timer { timer: TimerId::TICK }
 }
 
 /// The complete endpoint list.
--- a/crates/core/tests/handover.rs
+++ b/crates/core/tests/handover.rs
@@ -6,7 +6,7 @@
 use common::settings::{endpoint, endpoints, plan, settings, with_shared_counter};
 use common::test_gateway::TestGateway;
 use common::{MILLISECOND, SECOND};
-use grebehook_core::{AttemptStatus, Endpoint, NonZeroMicros, Plan, ServerId, Settings};
+use grebehook_core::{AttemptStatus, Endpoint, EndpointCounts, NonZeroMicros, Plan, ServerId, Settings};
 
 /// The customer that spends its quota.
 const CUSTOMER: u64 = 5;
@@ -42,7 +42,7 @@
         "without the hand-over the customer is new"
     );
     new.gateway.take_over(SECOND, &text).expect("its own text");
-    assert_eq!(new.gateway.endpoint_counts(SECOND), (3, 1));
+    assert_eq!(new.gateway.endpoint_counts(SECOND), EndpointCounts { listed: 3, ejected: 1 });
     assert_eq!(forwarded_to(&new.request(CUSTOMER).1), None);
     assert!(forwarded_to(&new.request(6).1).is_some(), "another customer is not affected");
 }
--- a/crates/core/tests/outlier_ejection.rs
+++ b/crates/core/tests/outlier_ejection.rs
@@ -7,7 +7,9 @@
 use common::settings::{endpoint, endpoints, plan, settings};
 use common::test_gateway::TestGateway;
 use common::SECOND;
-use grebehook_core::{AttemptStatus, Endpoint, EndpointState, Event, RequestArrival, ServerId};
+use grebehook_core::{
+    AttemptStatus, Endpoint, EndpointCounts, EndpointState, Event, RequestArrival, ServerId,
+};
 
 /// Server 1 ends attempts with `status`, every other server with success.
 fn only_server_1(status: AttemptStatus) -> impl Fn(ServerId) -> AttemptStatus {
@@ -36,9 +38,9 @@
     for k in 0..10 {
         gateway.run_request(100 + k, only_server_1(AttemptStatus::ConnectFailed));
     }
-    assert_eq!(gateway.gateway.endpoint_counts(gateway.now), (3, 1));
+    assert_eq!(gateway.gateway.endpoint_counts(gateway.now), EndpointCounts { listed: 3, ejected: 1 });
     gateway.run_until(gateway.now + 20 * SECOND);
-    assert_eq!(gateway.gateway.endpoint_counts(gateway.now), (3, 0));
+    assert_eq!(gateway.gateway.endpoint_counts(gateway.now), EndpointCounts { listed: 3, ejected: 0 });
 }
 
 #[test]
@@ -48,7 +50,11 @@
         gateway.run_request(100 + k, |_| AttemptStatus::ConnectionReset);
     }
     let counts = gateway.gateway.endpoint_counts(gateway.now);
-    assert_eq!(counts, (2, 0), "ejections that are not enforced are not counted");
+    assert_eq!(
+        counts,
+        EndpointCounts { listed: 2, ejected: 0 },
+        "ejections that are not enforced are not counted"
+    );
     assert!(!gateway.run_request(500, |_| AttemptStatus::Ok).is_empty());
 }
 
--- a/crates/gateway/src/driver/decision_driver.rs
+++ b/crates/gateway/src/driver/decision_driver.rs
@@ -13,7 +13,7 @@
 use crate::driver::request::Answer;
 use crate::driver::request_table::RequestTable;
 use crate::driver::timers::{DueTimer, Timers};
-use crate::operations::request_counts::{EndpointCounts, RequestCounters};
+use crate::operations::request_counts::RequestCounters;
 use crate::servers::exchange::Upstream;
 use grebehook_core::{
     Action, AttemptStatus, CounterId, CounterResult, Event, Gateway, Micros, ServerId, WatchEvent,
@@ -139,8 +139,8 @@
 
     /// The metrics that operators read.
     pub fn metrics_text(&self) -> String {
-        let (listed, ejected) = self.state.borrow().gateway.endpoint_counts(self.clock.now());
-        self.request_counters.metrics_text(EndpointCounts { listed, ejected })
+        let endpoints = self.state.borrow().gateway.endpoint_counts(self.clock.now());
+        self.request_counters.metrics_text(endpoints)
     }
 
     /// Has the decision core handle one event.
--- a/crates/gateway/src/operations/request_counts.rs
+++ b/crates/gateway/src/operations/request_counts.rs
@@ -1,5 +1,6 @@
 //! The metrics of requests and attempts, counted from the start of the process.
 
+use grebehook_core::EndpointCounts;
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
 use std::rc::Rc;
@@ -19,14 +20,6 @@
 const OUTCOMES: [(RequestOutcome, &str); 3] =
     [(RequestOutcome::Served, "ok"), (RequestOutcome::Rejected, "shed"), (RequestOutcome::Failed, "errors")];
 
-/// How many servers the endpoint list has.
-pub struct EndpointCounts {
-    /// Servers that are listed.
-    pub listed: usize,
-    /// Those of them that are ejected.
-    pub ejected: usize,
-}
-
 /// All counters of the process.
 pub struct RequestCounters {
     /// The names of the classes, by their index in the settings.
--- a/crates/gateway/src/operations/request_counts/tests.rs
+++ b/crates/gateway/src/operations/request_counts/tests.rs
@@ -1,4 +1,5 @@
-use super::{EndpointCounts, RequestCounters, RequestOutcome};
+use super::{RequestCounters, RequestOutcome};
+use grebehook_core::EndpointCounts;
 
 /// A request counts where it ends and only there; one without an outcome has failed.
 #[test]
--- a/crates/gateway/tests/imports.rs
+++ b/crates/gateway/tests/imports.rs
@@ -1,4 +1,4 @@
-//! The modules of the gateway import each other in one direction only: there is no import cycle of any length.
+//! The modules of each crate import each other in one direction only: there is no import cycle of any length.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -46,6 +46,27 @@
     paths
 }
 
+/// The paths that a line of code of a module names by `super`, from the crate's root.
+fn relative_paths(code: &str, module: &str) -> Vec<String> {
+    let mut paths = Vec::new();
+    for (at, found) in code.match_indices("super::") {
+        if code[..at].ends_with("super::") {
+            continue;
+        }
+        let mut rest = &code[at + found.len()..];
+        let mut parents: Vec<&str> = module.split("::").collect();
+        parents.pop();
+        while let Some(further) = rest.strip_prefix("super::") {
+            rest = further;
+            parents.pop();
+        }
+        let is_path = |next: char| next.is_alphanumeric() || next == '_' || next == ':';
+        let path: String = rest.chars().take_while(|next| is_path(*next)).collect();
+        paths.push([parents.join("::"), path].join("::").trim_start_matches("::").to_owned());
+    }
+    paths
+}
+
 /// The longest module that a path leads through.
 fn module_named(path: &str, modules: &BTreeSet<String>) -> Option<String> {
     let parts: Vec<_> = path.split("::").collect();
@@ -61,7 +82,8 @@
         let module = module_of(file, root);
         let text = fs::read_to_string(file).unwrap();
         let code: Vec<&str> = text.lines().map(|line| line.split("//").next().unwrap()).collect();
-        let named = named_paths(&code.join(" "));
+        let code = code.join(" ");
+        let named = [named_paths(&code), relative_paths(&code, &module)].concat();
         let others = named.iter().filter_map(|path| module_named(path, &modules));
         imports.insert(module.clone(), others.filter(|other| *other != module).collect());
     }
@@ -89,15 +111,17 @@
 
 #[test]
 fn modules_have_no_import_cycle() {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let imports = imports_below(&root);
-    assert!(imports.values().any(|others| !others.is_empty()), "no imports were found");
-    let cycles: Vec<String> = imports
-        .keys()
-        .filter_map(|module| cycle_through(module, &imports))
-        .map(|cycle| cycle.join(" -> "))
-        .collect();
-    assert!(cycles.is_empty(), "modules import each other:\n{}", cycles.join("\n"));
+    let crates = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
+    for name in ["core", "gateway", "scale-laboratory", "simulator-adapter"] {
+        let imports = imports_below(&crates.join(name).join("src"));
+        assert!(imports.values().any(|others| !others.is_empty()), "{name}: no imports were found");
+        let cycles: Vec<String> = imports
+            .keys()
+            .filter_map(|module| cycle_through(module, &imports))
+            .map(|cycle| cycle.join(" -> "))
+            .collect();
+        assert!(cycles.is_empty(), "{name}: modules import each other:\n{}", cycles.join("\n"));
+    }
 }
 
 #[test]
@@ -118,3 +142,10 @@
     assert_eq!(module_named("clock::Clock", &modules).unwrap(), "clock");
     assert!(module_named("stream::Error", &modules).is_none());
 }
+
+#[test]
+fn paths_relative_to_a_module_are_found() {
+    let code = "use super::pool::Pool; use super::super::clock; x: super::Error";
+    assert_eq!(relative_paths(code, "servers::exchange"), ["servers::pool::Pool", "clock", "servers::Error"]);
+    assert_eq!(relative_paths("use super::names::Names;", "host"), ["names::Names"]);
+}
--- a/crates/scale-laboratory/src/core_cost.rs
+++ b/crates/scale-laboratory/src/core_cost.rs
@@ -17,9 +17,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// The core's periodic timer, as the core sets it.
-const PERIODIC_TIMER: TimerId = TimerId(u64::MAX);
-/// Its period.
+/// The period of the core's regular tick.
 const TIMER_PERIOD: Micros = 100_000;
 /// The same as a frequency.
 const TIMERS_PER_SECOND: f64 = 10.0;
@@ -107,7 +105,7 @@
 
     /// The core's periodic timer fires.
     fn fire_timer(&mut self) -> Vec<Action> {
-        self.handle(Event::Timer { timer: PERIODIC_TIMER })
+        self.handle(Event::Timer { timer: TimerId::TICK })
     }
 
     /// Tenants of random requests.
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -1,33 +1,33 @@
 //! Actions, written on the wire.
 
-use crate::instance::Instance;
+use crate::names::Names;
 use base64::{prelude::BASE64_STANDARD, Engine};
 use grebehook_core::{Action, RequestId};
 use serde_json::{json, Value};
 
 /// The wire's form of an action; `None` if it names something the wire never named.
-pub(crate) fn write(instance: &mut Instance, instance_id: u64, action: &Action) -> Option<Value> {
-    let name = |id: RequestId| instance.request_name(id);
+pub(crate) fn write(names: &mut Names, instance_id: u64, action: &Action) -> Option<Value> {
+    let name = |id: RequestId| names.request_name(id);
     Some(match action {
         Action::Send { id, server, timeout } => {
-            let server = instance.server_names.get(server)?;
+            let server = names.servers.get(server)?;
             let message = json!(["send", instance_id, name(*id)?, server, timeout]);
-            instance.attempt_started(*id);
+            names.attempt_started(*id);
             message
         }
         Action::Reject { id, retry_after } => {
             let message = json!(["shed", instance_id, name(*id)?, retry_after.unwrap_or(0)]);
-            instance.finish(*id);
+            names.finish(*id);
             message
         }
         Action::Fail { id } => {
             let message = json!(["reportFailure", instance_id, name(*id)?]);
-            instance.finish(*id);
+            names.finish(*id);
             message
         }
         Action::Cancel { id, attempt } => json!(["cancel", instance_id, name(*id)?, attempt]),
         Action::Timer { at, timer } => json!(["wakeAt", instance_id, at, timer.0.to_string()]),
-        Action::CheckHealth { server } => json!(["probe", instance_id, instance.server_names.get(server)?]),
+        Action::CheckHealth { server } => json!(["probe", instance_id, names.servers.get(server)?]),
         Action::SendGossip { to, message } => {
             json!(["publish", instance_id, to, BASE64_STANDARD.encode(message)])
         }
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -51,7 +51,7 @@
         "demand" => request_arrived(instance, row(REQUEST_ARRIVED))?,
         "established" => response_started(instance, row(REQUEST))?,
         "finished" => attempt_completed(instance, row(ATTEMPT_COMPLETED))?,
-        "gone" => Event::ClientDisconnected { id: instance.request_id(row(REQUEST).text("call")?) },
+        "gone" => Event::ClientDisconnected { id: instance.names.request_id(row(REQUEST).text("call")?) },
         "due" => timer(row(TIMER))?,
         "checkResult" => health_check_completed(instance, row(HEALTH_CHECK_COMPLETED))?,
         "peerData" => gossip_received(row(GOSSIP_RECEIVED))?,
@@ -95,7 +95,7 @@
 
 /// A client's request.
 fn request_arrived(instance: &mut Instance, row: Row) -> Read<Event> {
-    let id = instance.request_id(row.text("call")?);
+    let id = instance.names.request_id(row.text("call")?);
     let customer = row.text("apiKey")?;
     Ok(Event::RequestArrived(RequestArrival {
         id,
@@ -113,14 +113,14 @@
 
 /// A streamed response has begun.
 fn response_started(instance: &Instance, row: Row) -> Read<Event> {
-    let id = instance.known_request_id(row.text("call")?);
+    let id = instance.names.known_request_id(row.text("call")?);
     Ok(Event::ResponseStarted { id: id.ok_or(ColumnError { column: "call" })? })
 }
 
 /// An attempt ended.
 fn attempt_completed(instance: &mut Instance, row: Row) -> Read<Event> {
     Ok(Event::AttemptCompleted(AttemptReport {
-        id: instance.request_id(row.text("call")?),
+        id: instance.names.request_id(row.text("call")?),
         attempt: row.unsigned_or_zero("hop")? as u32,
         server: server(instance, row)?,
         status: status(row)?,
@@ -175,7 +175,7 @@
         Ok(address) => u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port()),
         Err(_) => hash(name) | HASHED_SERVER,
     });
-    instance.server_names.entry(id).or_insert_with(|| name.to_owned());
+    instance.names.servers.entry(id).or_insert_with(|| name.to_owned());
     Ok(id)
 }
 
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod fields;
 mod host;
 mod instance;
+mod names;
 mod row;
 pub mod settings;
 
