--- a/crates/gateway/src/bodies/mod.rs
+++ b/crates/gateway/src/bodies/mod.rs
@@ -7,6 +7,3 @@
 pub mod size;
 pub mod stall;
 pub mod upload;
-
-/// The path by which the driver names [`download::ResponseContent`].
-pub use self::download as forwarding;
--- a/crates/gateway/src/clients/request_handler.rs
+++ b/crates/gateway/src/clients/request_handler.rs
@@ -12,7 +12,7 @@
 };
 use crate::clients::stream::ClientStream;
 use crate::driver::decision_driver::DecisionDriver;
-use crate::driver::request::Answer;
+use crate::driver::request::{Answer, SubmittedRequest};
 use crate::network::headers::{self, InvalidHeader};
 use crate::operations::request_counts::RequestCounterGuard;
 use crate::servers::attempt::OutgoingRequest;
@@ -135,11 +135,11 @@
         }
         let request_id = headers::single(&head.headers, headers::REQUEST_ID)?.clone();
         let outgoing = outgoing_request(head, body.clone(), client.stream.clone());
-        if (outgoing.client_has_left)() {
+        if (outgoing.client_has_disconnected)() {
             return Err(RequestError::ClientDisconnected);
         }
         let submitted = self.driver.submit(request_id, request_head, outgoing);
-        let (id, answer, counter) = submitted.ok_or(RequestError::DuplicateId)?;
+        let SubmittedRequest { id, answer, counter } = submitted.ok_or(RequestError::DuplicateId)?;
         client.begin_request();
         let answer = self.wait_for_answer(client, id, &body, answer).await;
         Ok(AnsweredRequest { answer, counter, body })
@@ -217,7 +217,7 @@
     };
     let incoming_body = body.clone();
     // While a long body is not read to its end, the end of the connection cannot be read either.
-    let client_has_left = move || {
+    let client_has_disconnected = move || {
         if incoming_body.is_read_to_end() {
             stream.has_disconnected()
         } else {
@@ -229,6 +229,6 @@
         uri,
         headers: end_to_end_headers,
         body,
-        client_has_left: Box::new(client_has_left),
+        client_has_disconnected: Box::new(client_has_disconnected),
     }
 }
--- a/crates/gateway/src/clients/server.rs
+++ b/crates/gateway/src/clients/server.rs
@@ -132,7 +132,7 @@
     }
 
     /// When the last connection was accepted.
-    pub fn last_accepted(&self) -> Instant {
+    pub fn last_accepted_at(&self) -> Instant {
         self.connections.last_accepted_at()
     }
 
--- a/crates/gateway/src/driver/decision_driver/attempts.rs
+++ b/crates/gateway/src/driver/decision_driver/attempts.rs
@@ -4,7 +4,7 @@
 use crate::driver::request::Answer;
 use crate::driver::request_table::InFlightAttempt;
 use crate::driver::timers::DueTimer;
-use crate::servers::attempt::{AttemptConnection, AttemptResponse, AttemptTimes, OutgoingRequest};
+use crate::servers::attempt::{AttemptConnection, AttemptDeadlines, AttemptResponse, OutgoingRequest};
 use grebehook_core::{AttemptStatus, Event, Micros, RequestId, ServerId};
 use std::rc::Rc;
 
@@ -29,7 +29,7 @@
         }
         let deadline = request.attempt_deadline(now, Some(timeout).filter(|timeout| *timeout > 0));
         let connection = Rc::new(AttemptConnection::default());
-        let times = AttemptTimes {
+        let times = AttemptDeadlines {
             send_by: self.clock.instant_at(request.send_by(deadline)),
             answer_by: self.clock.instant_at(deadline),
         };
@@ -52,7 +52,7 @@
         server: ServerId,
         connection: Rc<AttemptConnection>,
         outgoing: Rc<OutgoingRequest>,
-        times: AttemptTimes,
+        times: AttemptDeadlines,
     ) -> AttemptResponse {
         let written_attempts = Some(&self.request_counters.attempts);
         self.transports.upstream.exchange(server, &connection, &outgoing, times, written_attempts).await
@@ -64,7 +64,7 @@
         let Some(request) = state.requests.get_mut(id) else { return };
         let Some(ended) = request.in_flight.take_if(|in_flight| in_flight.attempt == attempt) else { return };
         if response.status == AttemptStatus::NotSent {
-            request.answer_if_client_left();
+            request.answer_if_client_disconnected();
         }
         if let Some(served) = response.response.take() {
             state.requests.answer(id, Answer::Served(served));
--- a/crates/gateway/src/driver/decision_driver/requests.rs
+++ b/crates/gateway/src/driver/decision_driver/requests.rs
@@ -1,25 +1,22 @@
 //! What clients do: a request arrives, its body is completed, its client disconnects.
 
 use super::{DecisionDriver, DriverState};
-use crate::driver::request::{Answer, RequestHead};
+use crate::driver::request::{Answer, RequestHead, SubmittedRequest};
 use crate::driver::request_table::OpenedRequest;
 use crate::driver::timers::DueTimer;
-use crate::operations::request_counts::RequestCounterGuard;
 use crate::servers::attempt::OutgoingRequest;
 use grebehook_core::{AttemptStatus, Event, Micros, RequestId};
 use hyper::header::HeaderValue;
 use std::rc::Rc;
-use tokio::sync::oneshot;
 
 impl DecisionDriver {
-    /// Enters a client's request. Returns its number, the receiver of its final answer and the guard that counts it.
-    /// `None` while another one with the same client's id is pending.
+    /// Enters a client's request. `None` while another one with the same client's id is pending.
     pub fn submit(
         self: &Rc<Self>,
         client_request_id: HeaderValue,
         head: RequestHead,
         outgoing: OutgoingRequest,
-    ) -> Option<(RequestId, oneshot::Receiver<Answer>, RequestCounterGuard)> {
+    ) -> Option<SubmittedRequest> {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
         let deadline = now + head.client_timeout;
@@ -33,7 +30,7 @@
         // second reading of the clock can be late by more than the core's margin, and the deadline would then
         // come first.
         self.process_events_from(&mut state, now);
-        Some((id, answer, self.request_counters.begin(head.class)))
+        Some(SubmittedRequest { id, answer, counter: self.request_counters.begin(head.class) })
     }
 
     /// Has [`DecisionDriver::body_complete`] called once all of a request's body is forwarded. Returns whether
--- a/crates/gateway/src/driver/request.rs
+++ b/crates/gateway/src/driver/request.rs
@@ -1,8 +1,10 @@
 //! A client's request as the decision core needs it, and its final answer.
 
-use crate::bodies::forwarding::ResponseContent;
+use crate::bodies::download::ResponseContent;
+use crate::operations::request_counts::RequestCounterGuard;
 use grebehook_core::{CustomerId, Micros, RequestArrival, RequestId};
 use hyper::Response;
+use tokio::sync::oneshot;
 
 /// The final answer of a request.
 pub enum Answer {
@@ -55,3 +57,13 @@
         }
     }
 }
+
+/// A request that was submitted to the decision core.
+pub struct SubmittedRequest {
+    /// Its number.
+    pub id: RequestId,
+    /// Receives its final answer.
+    pub answer: oneshot::Receiver<Answer>,
+    /// Counts it until it has ended.
+    pub counter: RequestCounterGuard,
+}
--- a/crates/gateway/src/driver/request_table.rs
+++ b/crates/gateway/src/driver/request_table.rs
@@ -68,8 +68,8 @@
     }
 
     /// Answers a request whose client has disconnected.
-    pub fn answer_if_client_left(&mut self) {
-        if self.answer.is_none() || !(self.outgoing.client_has_left)() {
+    pub fn answer_if_client_disconnected(&mut self) {
+        if self.answer.is_none() || !(self.outgoing.client_has_disconnected)() {
             return;
         }
         let answer = if self.cannot_have_run() { Answer::Rejected(None) } else { Answer::Failed };
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -85,10 +85,10 @@
     /// Accepts the clients that still connect, then closes the listener.
     async fn accept_late(&self, clients: &Rc<ClientServer>, listener: TcpListener) {
         loop {
-            let until = self.accepts_until(clients.last_accepted());
+            let until = self.accepts_until(clients.last_accepted_at());
             let remaining = until.saturating_duration_since(Instant::now());
             let accepted = timeout(remaining, clients.accept(&listener)).await;
-            if accepted.is_err() && Instant::now() >= self.accepts_until(clients.last_accepted()) {
+            if accepted.is_err() && Instant::now() >= self.accepts_until(clients.last_accepted_at()) {
                 break;
             }
         }
--- a/crates/gateway/src/lifecycle/startup.rs
+++ b/crates/gateway/src/lifecycle/startup.rs
@@ -5,7 +5,7 @@
 use crate::driver::decision_driver::DecisionDriver;
 use crate::lifecycle::error::RunError;
 use crate::lifecycle::takeover::{self, ControlConnection, Predecessor};
-use crate::network::system_error::may_pass;
+use crate::network::system_error::is_transient;
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
 /// Reads the configuration.
 pub fn load(path: &Path) -> Result<Config, ConfigError> {
     let is_readable_later =
-        |error: &ConfigError| matches!(error, ConfigError::Unreadable { source, .. } if may_pass(source));
+        |error: &ConfigError| matches!(error, ConfigError::Unreadable { source, .. } if is_transient(source));
     retry_blocking(|| Config::load(path), is_readable_later)
 }
 
@@ -48,7 +48,7 @@
         drop(UnixStream::pair()?);
         Builder::new_current_thread().enable_all().build()
     };
-    retry_blocking(build, may_pass).map_err(RunError::Runtime)
+    retry_blocking(build, is_transient).map_err(RunError::Runtime)
 }
 
 /// Retries a call until it succeeds or fails for a reason that does not pass.
@@ -72,7 +72,7 @@
     let start = Instant::now();
     loop {
         match bind().await {
-            Err(error) if may_pass(&error) && start.elapsed() < RETRY_TIME => sleep(RETRY_DELAY).await,
+            Err(error) if is_transient(&error) && start.elapsed() < RETRY_TIME => sleep(RETRY_DELAY).await,
             result => return result.map_err(|source| RunError::Bind { purpose, source }),
         }
     }
--- a/crates/gateway/src/network/system_error.rs
+++ b/crates/gateway/src/network/system_error.rs
@@ -21,12 +21,12 @@
 
 /// Whether a connection could not be opened because this machine lacks a resource at present, which says nothing of
 /// the peer.
-pub fn is_local(error: &io::Error) -> bool {
+pub fn is_local_shortage(error: &io::Error) -> bool {
     is_exhaustion(error) || is_address_unavailable(error) || error.kind() == io::ErrorKind::NetworkUnreachable
 }
 
 /// Whether the error may be transient, so that the same call may succeed a moment later.
-pub fn may_pass(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     let errno = Errno::from_io_error(error);
     let is_transient = matches!(errno, Some(Errno::INTR | Errno::AGAIN | Errno::IO | Errno::NETDOWN));
     is_transient || is_exhaustion(error) || is_address_unavailable(error)
--- a/crates/gateway/src/network/system_error/tests.rs
+++ b/crates/gateway/src/network/system_error/tests.rs
@@ -1,4 +1,4 @@
-use super::{is_exhaustion, may_pass};
+use super::{is_exhaustion, is_transient};
 use rustix::io::Errno;
 use std::io;
 
@@ -10,7 +10,7 @@
 #[test]
 fn exhausted_resources_are_distinguished_from_errors_of_one_connection() {
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
-        assert!(is_exhaustion(&error(errno)) && may_pass(&error(errno)), "{errno}");
+        assert!(is_exhaustion(&error(errno)) && is_transient(&error(errno)), "{errno}");
     }
     for errno in [Errno::CONNABORTED, Errno::PROTO, Errno::NETUNREACH, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
         assert!(!is_exhaustion(&error(errno)), "{errno}");
@@ -20,9 +20,9 @@
 #[test]
 fn only_transient_errors_may_pass() {
     for errno in [Errno::ACCESS, Errno::INVAL, Errno::NOENT, Errno::AFNOSUPPORT] {
-        assert!(!may_pass(&error(errno)), "{errno}");
+        assert!(!is_transient(&error(errno)), "{errno}");
     }
     for errno in [Errno::ADDRINUSE, Errno::ADDRNOTAVAIL, Errno::INTR, Errno::IO] {
-        assert!(may_pass(&error(errno)), "{errno}");
+        assert!(is_transient(&error(errno)), "{errno}");
     }
 }
--- a/crates/gateway/src/servers/attempt.rs
+++ b/crates/gateway/src/servers/attempt.rs
@@ -20,12 +20,12 @@
     /// The client's body.
     pub body: Rc<Upload>,
     /// Whether the client has disconnected, so that nothing more is sent.
-    pub client_has_left: Box<dyn Fn() -> bool>,
+    pub client_has_disconnected: Box<dyn Fn() -> bool>,
 }
 
 /// The time limits of an attempt.
 #[derive(Clone, Copy)]
-pub struct AttemptTimes {
+pub struct AttemptDeadlines {
     /// Its first byte is written by then, or none is.
     pub send_by: Instant,
     /// It times out then. Its server is sent the time that remains.
--- a/crates/gateway/src/servers/exchange.rs
+++ b/crates/gateway/src/servers/exchange.rs
@@ -5,7 +5,7 @@
 use crate::bodies::size::{FORWARDING_BUFFER_BYTES, MAX_BUFFERED_BODY_BYTES};
 use crate::bodies::upload::RequestBody;
 use crate::network::headers;
-use crate::servers::attempt::{AttemptConnection, AttemptResponse, AttemptTimes, OutgoingRequest};
+use crate::servers::attempt::{AttemptConnection, AttemptDeadlines, AttemptResponse, OutgoingRequest};
 use crate::servers::connection::ServerConnection;
 use crate::servers::pool::{Pool, PooledConnection};
 use bytes::Bytes;
@@ -80,7 +80,7 @@
         server: ServerId,
         connection: &AttemptConnection,
         request: &OutgoingRequest,
-        times: AttemptTimes,
+        times: AttemptDeadlines,
         written_counter: Option<&Rc<Cell<u64>>>,
     ) -> AttemptResponse {
         let attempt = Attempt { server, connection, request, answer_by: times.answer_by, written_counter };
@@ -89,7 +89,7 @@
             if let Some(delay) = idle.remaining_reuse_delay() {
                 sleep(delay).await;
             }
-            if Instant::now() >= times.send_by || (request.client_has_left)() {
+            if Instant::now() >= times.send_by || (request.client_has_disconnected)() {
                 self.pool.restore(server, idle);
                 return AttemptResponse::without_response(AttemptStatus::NotSent);
             }
@@ -97,7 +97,7 @@
                 return response;
             }
         }
-        if (request.client_has_left)() {
+        if (request.client_has_disconnected)() {
             return AttemptResponse::without_response(AttemptStatus::NotSent);
         }
         let connected = match timeout_at(times.send_by.into(), self.pool.connect(server)).await {
@@ -105,7 +105,7 @@
             Ok(Err(status)) => return AttemptResponse::without_response(status),
             Err(_) => return AttemptResponse::without_response(AttemptStatus::NotSent),
         };
-        if (request.client_has_left)() {
+        if (request.client_has_disconnected)() {
             self.pool.restore(server, connected);
             return AttemptResponse::without_response(AttemptStatus::NotSent);
         }
--- a/crates/gateway/src/servers/exchange/tests.rs
+++ b/crates/gateway/src/servers/exchange/tests.rs
@@ -1,4 +1,4 @@
-use super::{AttemptConnection, AttemptTimes, OutgoingRequest, Pool, Upstream};
+use super::{AttemptConnection, AttemptDeadlines, OutgoingRequest, Pool, Upstream};
 use crate::bodies::upload::Upload;
 use crate::control::endpoint_list::ListedEndpoint;
 use grebehook_core::{AttemptStatus, Endpoint, EndpointState, ServerId};
@@ -19,11 +19,11 @@
         uri: hyper::Uri::from_static("/"),
         headers: hyper::HeaderMap::new(),
         body: Rc::new(Upload::empty()),
-        client_has_left: Box::new(|| false),
+        client_has_disconnected: Box::new(|| false),
     };
     let connection = AttemptConnection::default();
     let deadline = Instant::now() + second;
-    let times = AttemptTimes { send_by: deadline, answer_by: deadline };
+    let times = AttemptDeadlines { send_by: deadline, answer_by: deadline };
     let exchange = upstream.exchange(ServerId(1), &connection, &request, times, None);
     assert_eq!(runtime.block_on(exchange).status, AttemptStatus::NotSent);
 }
--- a/crates/gateway/src/servers/mod.rs
+++ b/crates/gateway/src/servers/mod.rs
@@ -4,6 +4,6 @@
 pub mod connection;
 mod dial;
 pub mod exchange;
-mod health_check;
+pub mod health_check;
 pub mod pool;
 mod request_progress;
