--- a/crates/core/src/admission/client_timeouts.rs
+++ b/crates/core/src/admission/client_timeouts.rs
@@ -23,7 +23,7 @@
         ClientTimeouts { usual_us: classes.iter().map(|class| class.deadline as f64).collect() }
     }
 
-    /// Books the timeout of a request.
+    /// Records the timeout of a request.
     pub fn record(&mut self, class: usize, timeout: Micros, class_deadline: Micros) {
         let usual_us = &mut self.usual_us[class];
         let direction = if timeout as f64 > *usual_us { USUAL_QUANTILE } else { USUAL_QUANTILE - 1.0 };
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -20,7 +20,7 @@
 const MAX_UNITS: f64 = 1e9;
 
 impl Gateway {
-    /// Takes a client's request.
+    /// Receives a client's request.
     pub(crate) fn receive_request(
         &mut self,
         now: Micros,
--- a/crates/core/src/api/settings.rs
+++ b/crates/core/src/api/settings.rs
@@ -81,7 +81,7 @@
     None,
 }
 
-/// What the deployment lets a gateway do, and the costs that bear on a decision.
+/// The features that the deployment allows a gateway, and the costs that bear on a decision.
 #[derive(Clone, Debug, Default)]
 pub struct Capabilities {
     /// Servers may be sent health checks.
--- a/crates/core/src/attempts/dispatch.rs
+++ b/crates/core/src/attempts/dispatch.rs
@@ -13,7 +13,7 @@
     server: ServerId,
     /// How long an answer should take, microseconds.
     expected_latency_us: f64,
-    /// What it takes from the retry budget; `None` for the first attempt.
+    /// Its cost in the retry budget; `None` for the first attempt.
     retry_cost: Option<f64>,
 }
 
@@ -97,7 +97,8 @@
         class.priority_weight * plan.weight_multiplier * quota_factor
     }
 
-    /// Takes the units of a request that is forwarded for the first time; false if the hard limit forbids it.
+    /// Charges the units of a request that is forwarded for the first time; false if the hard limit forbids
+    /// it.
     fn charge_customer(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get_mut(request.customer) else { return false };
@@ -113,7 +114,7 @@
         true
     }
 
-    /// Sends an attempt and books it.
+    /// Sends an attempt and records it.
     fn send_attempt(
         &mut self,
         now: Micros,
@@ -174,7 +175,7 @@
         (has_alternative && may_retry && is_in_time).then_some(timeout)
     }
 
-    /// Takes that the last of a long body was forwarded: only now does its server begin work, and its time
+    /// Handles the end of a long body: only now does its server begin work, and its time
     /// begin.
     pub(crate) fn body_completed(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.body_incomplete) else {
--- a/crates/core/src/attempts/load.rs
+++ b/crates/core/src/attempts/load.rs
@@ -23,7 +23,7 @@
     relative_latency: f64,
 }
 
-/// The figures that the next process takes over.
+/// The figures that are handed over to the successor process.
 pub(crate) struct LoadSnapshot {
     /// Mean latency, as a part of the latency objective.
     pub relative_latency: f64,
@@ -34,7 +34,7 @@
 }
 
 impl BackendLoad {
-    /// The figures that the next process takes over.
+    /// The figures that are handed over to the successor process.
     pub fn snapshot(&self) -> LoadSnapshot {
         LoadSnapshot {
             relative_latency: self.relative_latency,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes over the figures of the process before.
+    /// Restores the figures that the predecessor process handed over.
     pub fn restore(&mut self, snapshot: LoadSnapshot) {
         self.relative_latency = snapshot.relative_latency;
         self.attempt_rate = snapshot.attempt_rate;
--- a/crates/core/src/attempts/outcome.rs
+++ b/crates/core/src/attempts/outcome.rs
@@ -7,7 +7,7 @@
 use crate::health::outlier::Outcome;
 use crate::requests::may_have_run;
 
-/// What is known of an attempt that has ended.
+/// An attempt that has ended.
 struct EndedAttempt {
     /// How it ended.
     status: AttemptStatus,
@@ -24,7 +24,7 @@
 }
 
 impl Gateway {
-    /// Takes how an attempt ended.
+    /// Handles the end of an attempt.
     pub(crate) fn attempt_completed(
         &mut self,
         now: Micros,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Books the end of an attempt on its server.
+/// Records the end of an attempt in the record of its server.
 fn record_on_server(server: &mut Server, now: Micros, ended: &EndedAttempt) {
     server.attempts_in_flight = server.attempts_in_flight.saturating_sub(u32::from(ended.fully_sent));
     match ended.status {
--- a/crates/core/src/attempts/timeout.rs
+++ b/crates/core/src/attempts/timeout.rs
@@ -31,7 +31,7 @@
         AttemptTimeouts { slow_us: classes.iter().map(initial).collect() }
     }
 
-    /// Books an attempt that was answered after this time, or given up then.
+    /// Records an attempt that was answered, or abandoned, after this time.
     pub fn record(&mut self, class: usize, latency_objective: Micros, elapsed: Micros) {
         let step_us = QUANTILE_STEP * latency_objective as f64;
         if let Some(slow_us) = self.slow_us.get_mut(class) {
--- a/crates/core/src/balancing/selection.rs
+++ b/crates/core/src/balancing/selection.rs
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Takes a server for the best if it may be used and has the lowest score so far.
+    /// Makes a server the best candidate if it may be used and has the lowest score so far.
     fn compare(&mut self, server: &Server, position: usize) {
         if !self.may_use(server, position) {
             return;
--- a/crates/core/src/customer/counter_account.rs
+++ b/crates/core/src/customer/counter_account.rs
@@ -47,7 +47,7 @@
     possibly_counted_units: f64,
     /// Units that the bucket could not hold since the last total.
     overflow: f64,
-    /// What the call in flight corrects the total by.
+    /// The correction of the total that the call in flight makes.
     total_correction: f64,
     /// Requests that wait for the call in flight.
     queued_requests: Vec<RequestId>,
@@ -56,7 +56,7 @@
 handover_record!(CounterAccount { unreported_units, possibly_counted_units, replied_at, overflow, total }
     times {});
 
-/// What a call in flight was to add, and who waits for it.
+/// A call that has ended.
 pub(crate) struct CompletedCall {
     /// Units that it was to add.
     pub units: f64,
@@ -121,7 +121,7 @@
         self.units_in_call
     }
 
-    /// Notes a second call that only looks a total up.
+    /// Begins a second call that only looks a total up.
     pub fn begin_lookup(&mut self, total: f64) {
         self.call_in_flight = true;
         self.total = Some(total);
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Notes that the counter replied with a total.
+    /// Records that the counter replied with a total.
     pub fn record_reply(&mut self, now: Micros) {
         self.replied_at = Some(now);
     }
@@ -146,13 +146,13 @@
         self.unreported_units += units - std::mem::take(&mut self.total_correction);
     }
 
-    /// Notes units that a call without a reply may have added.
+    /// Records units that a call without a reply may have added.
     pub fn record_missing_reply(&mut self, units: f64) {
         self.possibly_counted_units += units;
         self.total_correction = 0.0;
     }
 
-    /// Takes a total among few gateways; returns the units that others used since the last one, less those
+    /// Applies a total among few gateways; returns the units that others used since the last one, less those
     /// that earlier calls of this gateway without a reply added.
     pub fn use_of_others(&mut self, total: f64, added: f64) -> f64 {
         let before = total - added;
@@ -166,8 +166,8 @@
         std::mem::take(&mut self.overflow)
     }
 
-    /// Takes the last total of the window before, in which the bucket was full at first; returns the deficit
-    /// with which the next window starts.
+    /// Applies the last total of the previous window, in which the bucket was full at first; returns the
+    /// deficit with which the next window starts.
     pub fn carry_over_deficit(&mut self, total: f64, plan: &Plan) -> f64 {
         let max_deficit = plan.burst * (1.0 + MAX_DEBT_OF_BURST);
         let refilled = plan.rate * seconds(COUNTER_KEY_LIFETIME);
@@ -175,9 +175,9 @@
         self.total_correction
     }
 
-    /// Takes a total among many gateways, of the window that began at `window_start` with a full bucket that
-    /// has been refilled since; returns the level of the bucket. Where the total lags behind the refill, the
-    /// bucket overflowed: the difference has to be added to the total, or the next burst would use it.
+    /// Applies a total among many gateways, of the window that began at `window_start` with a full bucket
+    /// that has been refilled since; returns the level of the bucket. Where the total lags behind the refill,
+    /// the bucket overflowed: the difference has to be added to the total, or the next burst would use it.
     /// `fraction` is random, so that only a part of the gateways corrects a total that is far ahead.
     ///
     /// `None` if another gateway has just made the same correction: ours is taken back by the next call.
--- a/crates/core/src/customer/demand.rs
+++ b/crates/core/src/customer/demand.rs
@@ -54,7 +54,7 @@
         1.0 - decay(now.saturating_sub(self.reported_at.unwrap_or(0)), USAGE_HORIZON_S)
     }
 
-    /// Takes a report.
+    /// Records a report.
     pub fn record(&mut self, now: Micros, demand: f64) {
         self.reported = demand;
         self.reported_at = Some(now);
@@ -65,7 +65,7 @@
         self.is_low
     }
 
-    /// Notes whether demand is far below the quota.
+    /// Records whether demand is far below the quota.
     pub fn set_low(&mut self, is_low: bool) {
         self.is_low = is_low;
     }
--- a/crates/core/src/customer/hard_limit.rs
+++ b/crates/core/src/customer/hard_limit.rs
@@ -30,7 +30,7 @@
         plan.hard_limit_rate > 0.0 && self.tokens < units
     }
 
-    /// Takes the units of a request that is forwarded.
+    /// Removes the units of a request that is forwarded.
     pub fn take(&mut self, units: f64) {
         self.tokens -= units;
     }
--- a/crates/core/src/customer/mod.rs
+++ b/crates/core/src/customer/mod.rs
@@ -54,9 +54,9 @@
     pub pacer: Pacer,
     /// This gateway's share of the plan's hard limit.
     pub hard_limit: HardLimit,
-    /// What the shared counter knows of its use.
+    /// Its account at the shared counter.
     pub counter: CounterAccount,
-    /// What gossip tells of its use.
+    /// Its use as gossip carries it.
     pub peer_usage: PeerUsage,
 }
 
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Books a request that has arrived, and ends the pacer's intervals that are over.
+    /// Records a request that has arrived, and ends the pacer's intervals that are over.
     pub fn record_arrival(&mut self, now: Micros, units: f64, source: UsageSource, max_delay_ms: f64) {
         self.refill(now, units, source);
         let quota_rate = self.plan.rate * self.quota_share(now, source);
@@ -183,8 +183,8 @@
         self.counter.add_use(units);
     }
 
-    /// Takes a demand that was reported or heard of. At its onset gateways start with different allowances, a
-    /// random `phase` of a request, so that their first requests do not all go at once.
+    /// Records a demand that a response or a gateway reported. At its onset gateways start with different
+    /// allowances, a random `phase` of a request, so that their first requests do not all go at once.
     pub fn record_demand(&mut self, now: Micros, demand: f64, phase: f64) {
         if self.demand.at(now) <= 1.0 && demand > 1.0 {
             self.bucket.limit_allowance(phase);
--- a/crates/core/src/customer/pacer.rs
+++ b/crates/core/src/customer/pacer.rs
@@ -76,7 +76,7 @@
         (self.last_dequeue_at.max(now) + delay).min(now + max_wait)
     }
 
-    /// Notes when the last queued request leaves the queue.
+    /// Records when the last queued request leaves the queue.
     pub fn set_last_dequeue_at(&mut self, at: Micros) {
         self.last_dequeue_at = at;
     }
--- a/crates/core/src/customer/peer_usage.rs
+++ b/crates/core/src/customer/peer_usage.rs
@@ -1,4 +1,4 @@
-//! Running totals of a customer's use as gossip carries them: this gateway's own, and those heard from
+//! Running totals of a customer's use as gossip carries them: this gateway's own, and those received from
 //! others.
 
 use crate::gossip::message::TOTAL_BITS;
@@ -7,7 +7,7 @@
 /// Fractions of a unit in which totals are sent.
 const PARTS_PER_UNIT: f64 = 8.0;
 
-/// The last total heard from a gateway.
+/// The last total received from a gateway.
 struct PeerTotal {
     /// Which start of that gateway it belongs to.
     incarnation: u32,
@@ -40,7 +40,7 @@
         (self.own_units * PARTS_PER_UNIT) as u64 as u32
     }
 
-    /// Takes a total of another gateway; returns the units that were used since the last one.
+    /// Records a total of another gateway; returns the units that were used since the last one.
     pub fn record(&mut self, from: usize, incarnation: u32, total_eighths: u32) -> f64 {
         let used = match self.totals.insert(from, PeerTotal { incarnation, total_eighths }) {
             Some(last) if last.incarnation == incarnation => {
--- a/crates/core/src/customer/table.rs
+++ b/crates/core/src/customer/table.rs
@@ -77,7 +77,7 @@
         self.ids.insert(id);
     }
 
-    /// Takes out at most this many, beginning after the last one taken; all in order where there are no more.
+    /// Removes at most this many, beginning after the last one taken; all in order where there are no more.
     pub fn take(&mut self, max: usize) -> Vec<CustomerId> {
         if self.ids.len() <= max {
             return std::mem::take(&mut self.ids).into_iter().collect();
--- a/crates/core/src/customer/token_bucket.rs
+++ b/crates/core/src/customer/token_bucket.rs
@@ -56,7 +56,7 @@
         self.refilled_at
     }
 
-    /// Notes a refill.
+    /// Records a refill.
     pub fn set_refilled_at(&mut self, now: Micros) {
         self.refilled_at = self.refilled_at.max(now);
     }
@@ -83,7 +83,7 @@
         self.allowance = (self.allowance + elapsed_s * plan.rate * share).min(max);
     }
 
-    /// Takes the units of a request that is forwarded.
+    /// Removes the units of a request that is forwarded.
     pub fn take(&mut self, units: f64) {
         self.level -= units;
         self.allowance = (self.allowance - units).max(0.0);
@@ -119,7 +119,7 @@
         self.level = level;
     }
 
-    /// Takes units that others used at the same time, down to the largest debt.
+    /// Removes units that others used at the same time, down to the largest debt.
     pub fn take_use_of_peers(&mut self, units: f64, plan: &Plan) {
         self.level = (self.level - units).max(min_level(plan).min(self.level));
     }
--- a/crates/core/src/endpoints/load_report.rs
+++ b/crates/core/src/endpoints/load_report.rs
@@ -4,7 +4,7 @@
 use crate::gateway::Gateway;
 
 impl Gateway {
-    /// Takes a server's load report, if one came.
+    /// Applies a server's load report, if there is one.
     pub(crate) fn apply_load_report(&mut self, now: Micros, id: ServerId, report: Option<LoadReport>) {
         let Some(report) = report else { return };
         let gateways = self.settings.gateway_count as f64;
--- a/crates/core/src/endpoints/membership.rs
+++ b/crates/core/src/endpoints/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, as the watch of service discovery tells them.
+//! Changes of the endpoint list, as the watch of service discovery reports them.
 
 use crate::api::{Action, Endpoint, EndpointState, Micros, WatchEvent};
 use crate::endpoints::server::Server;
@@ -9,7 +9,7 @@
 const INITIAL_SERVICE_TIME_OF_OBJECTIVE: f64 = 0.05;
 
 impl Gateway {
-    /// Takes a list of servers, or the changed entries of one.
+    /// Applies a list of servers, or the changed entries of one.
     pub(crate) fn update_endpoints(
         &mut self,
         now: Micros,
@@ -48,7 +48,7 @@
         mean.unwrap_or(INITIAL_SERVICE_TIME_OF_OBJECTIVE * shortest_objective)
     }
 
-    /// Takes one entry; a server that has started since it was last listed begins anew.
+    /// Applies one entry; a server that has started since it was last listed begins anew.
     fn update_endpoint(&mut self, now: Micros, endpoint: Endpoint, service_time_us: f64) {
         let id = endpoint.server;
         let known = self.servers.get(id);
--- a/crates/core/src/endpoints/ranked_tree.rs
+++ b/crates/core/src/endpoints/ranked_tree.rs
@@ -101,7 +101,7 @@
         self.replace_child(parent, key, slot);
     }
 
-    /// Takes a key out.
+    /// Removes a key.
     pub fn remove(&mut self, key: u64) {
         let Some(slot) = self.find(key) else { return };
         self.set_membership(slot, [false; SUBSETS]);
--- a/crates/core/src/endpoints/server.rs
+++ b/crates/core/src/endpoints/server.rs
@@ -80,13 +80,13 @@
         self.rejection_backoff.get(&plan).is_some_and(|backoff| backoff.until > now)
     }
 
-    /// Books the time of an answer, by the requests that were expected in flight when it was sent.
+    /// Records the time of an answer, by the requests that were expected in flight when it was sent.
     pub fn record_service_time(&mut self, elapsed: Micros, expected_in_flight: f64) {
         let sample_us = elapsed as f64 / (expected_in_flight + 1.0);
         self.service_time_us += SERVICE_TIME_WEIGHT * (sample_us - self.service_time_us);
     }
 
-    /// Notes a rejection, for this plan alone: a server may reject one plan and have capacity for others.
+    /// Records a rejection, for this plan alone: a server may reject one plan and have capacity for others.
     pub fn record_rejection(&mut self, now: Micros, plan: usize) {
         let longest = BASE_REJECTION_BACKOFF << REJECTION_BACKOFF_DOUBLINGS;
         let since_last = now.saturating_sub(self.health.last_outcome_at()).min(longest);
--- a/crates/core/src/endpoints/start_times.rs
+++ b/crates/core/src/endpoints/start_times.rs
@@ -1,11 +1,11 @@
-//! When servers started, by this process's clock. Discovery tells starts by the fleet's wall clock, from
+//! When servers started, by this process's clock. Discovery gives starts by the fleet's wall clock, from
 //! which that of this machine may differ by any time if it was stepped before the process began.
 //!
 //! Two facts bound the difference without a look at the wall clock. No start lies in the future. And a start
 //! newer than any seen before has happened since discovery last answered, but for the time that a change
 //! takes to arrive. A clock that contradicts one of them is corrected such that the newest start was just
 //! now, which errs on the side of the slower slow start. What remains unseen is a clock ahead by less than
-//! [`CHANGE_DELAY`], and one that is ahead when the first list tells of a start that was recent then.
+//! [`CHANGE_DELAY`], and one that is ahead when the first list has a start that was recent then.
 
 use crate::api::{Endpoint, Micros, NonZeroMicros, WatchEvent};
 
@@ -26,7 +26,7 @@
 }
 
 impl StartTimes {
-    /// Takes the starts of a list that came now. Whether the difference was corrected.
+    /// Evaluates the starts of a list that came now. Returns whether the difference was corrected.
     pub fn observe(&mut self, now: Micros, watch_event: WatchEvent, endpoints: &[Endpoint]) -> bool {
         let answered_before = self.answered_at;
         if watch_event != WatchEvent::CachedSnapshot {
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -26,7 +26,7 @@
 /// The decisions of one gateway.
 #[derive(Default)]
 pub struct Gateway {
-    /// What it is configured with.
+    /// Its configuration.
     pub(crate) settings: Settings,
     /// The highest priority weight of a request.
     pub(crate) highest_weight: f64,
@@ -100,7 +100,7 @@
         })
     }
 
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event and appends the actions to carry out, in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.servers.advance(now);
         if !std::mem::replace(&mut self.has_ticked, true) {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// What is due with the first event.
+    /// Does what is due with the first event.
     fn begin(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.settings.capabilities.polls_discovery {
             actions.push(Action::PollEndpoints);
@@ -138,7 +138,7 @@
         self.tick(now, actions);
     }
 
-    /// What is due ten times a second.
+    /// Does what is due ten times a second.
     fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.report_changed_customers(now, actions);
         self.send_gossip(now, actions);
--- a/crates/core/src/gossip/message.rs
+++ b/crates/core/src/gossip/message.rs
@@ -18,7 +18,7 @@
 /// Fractions of the quota in which demand is sent.
 const DEMAND_PARTS: f64 = 16.0;
 
-/// What one gateway tells of one customer.
+/// One gateway's use of one customer's quota.
 pub(crate) struct CustomerUsage {
     /// The customer.
     pub customer: CustomerId,
@@ -36,7 +36,7 @@
 pub(crate) struct GossipMessage {
     /// Which start of the sender the totals belong to.
     pub incarnation: u32,
-    /// What it tells.
+    /// Its entries.
     pub entries: Vec<CustomerUsage>,
 }
 
--- a/crates/core/src/gossip/mod.rs
+++ b/crates/core/src/gossip/mod.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// What this gateway tells of a customer.
+    /// What this gateway publishes of a customer.
     fn usage_of(&self, id: CustomerId) -> Option<CustomerUsage> {
         let customer = self.customers.get(id)?;
         Some(CustomerUsage {
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Takes a message of another gateway.
+    /// Handles a message of another gateway.
     pub(crate) fn receive_gossip(&mut self, now: Micros, from: usize, message: &[u8]) {
         let is_peer = from < self.settings.gateway_count && from != self.settings.gateway_index;
         let phase = self.random_source.next_fraction();
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Takes what another gateway tells of one customer.
+    /// Applies what another gateway publishes of one customer.
     fn apply_peer_usage(
         &mut self,
         now: Micros,
--- a/crates/core/src/gossip/queue.rs
+++ b/crates/core/src/gossip/queue.rs
@@ -21,7 +21,7 @@
         self.queued.keys().copied().collect()
     }
 
-    /// Takes out at most this many customers queued for a gateway, the lowest numbers first.
+    /// Removes at most this many customers queued for a gateway, the lowest numbers first.
     pub fn take(&mut self, to: usize, max: usize) -> Vec<CustomerId> {
         let Some(ids) = self.queued.get_mut(&to) else { return Vec::new() };
         let taken = std::iter::from_fn(|| ids.pop_first()).take(max).collect();
--- a/crates/core/src/gossip/state.rs
+++ b/crates/core/src/gossip/state.rs
@@ -1,9 +1,10 @@
-//! What this gateway knows of its gossip: the budget, the queue and when each peer was last heard.
+//! What this gateway knows of its gossip: the budget, the queue and when the last message of each peer was
+//! received.
 
 use super::queue::GossipQueue;
 use crate::api::{CustomerId, Micros, NonZeroMicros, Settings};
 
-/// A peer not heard for so long may be down or cut off.
+/// A peer without a message for so long may be down or cut off.
 const PEER_TIMEOUT: Micros = 1_500_000;
 /// Time between two messages to a peer without other occasion: three lost in a row are rarer than a peer that
 /// is down.
@@ -34,7 +35,7 @@
     queued: GossipQueue,
     /// When the last message was sent.
     sent_at: Micros,
-    /// When each gateway was last heard.
+    /// When the last message of each gateway was received.
     heard_at: Vec<Option<NonZeroMicros>>,
 }
 
@@ -64,12 +65,12 @@
         self.full_mesh
     }
 
-    /// Whether a gateway was heard lately.
+    /// Whether a message of a gateway was received lately.
     pub fn is_peer_alive(&self, now: Micros, gateway: usize) -> bool {
         self.heard_at[gateway].is_some_and(|at| now < at.get().saturating_add(PEER_TIMEOUT))
     }
 
-    /// Notes a message from a gateway.
+    /// Records a message from a gateway.
     pub fn record_received(&mut self, now: Micros, from: usize) {
         self.heard_at[from] = NonZeroMicros::new(now);
     }
@@ -112,12 +113,12 @@
         }
     }
 
-    /// Notes that a message is sent.
+    /// Records that a message is sent.
     pub fn record_send(&mut self, now: Micros) {
         self.sent_at = now;
     }
 
-    /// Takes out at most this many customers queued for a gateway.
+    /// Removes at most this many customers queued for a gateway.
     pub fn take_queued(&mut self, gateway: usize, max: usize) -> Vec<CustomerId> {
         self.queued.take(gateway, max)
     }
--- a/crates/core/src/handover/mod.rs
+++ b/crates/core/src/handover/mod.rs
@@ -1,4 +1,5 @@
-//! What a gateway knows, as text, for the process that takes its place: use, debts and ejections outlive it.
+//! The state of a gateway as text, for its successor process: use, deficits and ejections outlive the
+//! process.
 //!
 //! The first line is the version of the text. The second is the time at which it was written, by the clock of
 //! the process that wrote it, to which all times in it refer. A line each for the gateway, its servers and
@@ -26,13 +27,13 @@
 
 impl std::fmt::Display for HandoverError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "line {} of what was handed over cannot be read", self.line)
+        write!(f, "line {} of the hand-over text is malformed", self.line)
     }
 }
 
 impl std::error::Error for HandoverError {}
 
-/// What the gateway's own line tells.
+/// The gateway's own line.
 #[derive(Default)]
 struct GatewayRecord {
     /// Mean latency, as a part of the latency objective.
@@ -71,7 +72,7 @@
 }
 
 impl Gateway {
-    /// What the next process has to know. What is not reported to the counter yet is left to it; this one
+    /// The state for the successor process. What is not reported to the counter yet is left to it; this one
     /// keeps what its open requests still settle for.
     pub fn hand_over(&mut self, now: Micros) -> String {
         let mut text = format!("{VERSION}\nclock {now}\n");
@@ -87,7 +88,7 @@
         text
     }
 
-    /// What the gateway's own line tells.
+    /// The gateway's own line.
     fn gateway_record(&self) -> GatewayRecord {
         let load = self.load.snapshot();
         GatewayRecord {
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Takes over what the process before has handed over; all of it, or nothing. Servers that are not listed
-    /// are skipped.
+    /// Restores the state that the predecessor process handed over; all of it, or nothing. Servers that are
+    /// not listed are skipped.
     pub fn take_over(&mut self, now: Micros, text: &str) -> Result<(), HandoverError> {
         let mut lines = text.lines().zip(1..);
         if lines.next().is_none_or(|(version, _)| version != VERSION) {
@@ -142,7 +143,7 @@
         is_known.then_some((id, Customer { plan, ..customer }))
     }
 
-    /// Takes over the records of a text.
+    /// Restores the records of a text.
     fn restore(&mut self, now: Micros, records: Records, shift: ClockShift) {
         for mut gateway in records.gateways {
             gateway.shift(shift);
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Takes over the gateway's own line.
+    /// Restores the gateway's own line.
     fn restore_gateway(&mut self, record: GatewayRecord) {
         self.counter_calls.set_per_request(record.calls_per_request);
         self.usage_reported_at = record.usage_reported_at;
@@ -171,12 +172,12 @@
     }
 }
 
-/// Takes over what the process before knew of a server.
+/// Restores what the predecessor process knew of a server.
 fn restore_server(known: &mut Server, now: Micros, record: &Server) {
     known.health = record.health.clone();
     known.service_time_us = record.service_time_us;
     known.slow_start_budget = record.slow_start_budget;
-    // What the process before still has in flight there is others' work to this one.
+    // What the predecessor still has in flight there counts as others' requests.
     known.peers_in_flight = f64::from(record.attempts_in_flight);
     known.load_reported_at = now;
 }
--- a/crates/core/src/health/outlier.rs
+++ b/crates/core/src/health/outlier.rs
@@ -75,7 +75,7 @@
         1.0 - (1.0 - self.success_rate) * decay(age, RECOVERY_HORIZON_S)
     }
 
-    /// Books one outcome; a server that keeps failing is ejected for a time that doubles.
+    /// Records one outcome; a server that keeps failing is ejected for a time that doubles.
     pub fn record(&mut self, now: Micros, outcome: Outcome) {
         self.success_rate = self.success_rate(now);
         let since_last = now.saturating_sub(self.last_outcome_at);
--- a/crates/core/src/quota/counter_calls.rs
+++ b/crates/core/src/quota/counter_calls.rs
@@ -111,12 +111,12 @@
         self.per_request
     }
 
-    /// Takes over the calls for each request from the process before.
+    /// Restores the calls for each request of the predecessor process.
     pub fn set_per_request(&mut self, per_request: f64) {
         self.per_request = per_request;
     }
 
-    /// Notes a call that is sent now.
+    /// Records a call that is sent now.
     pub fn begin(&mut self, call: PendingCall) {
         self.saved -= 1.0;
         self.pending.insert(call.key(), call);
--- a/crates/core/src/quota/counter_reply.rs
+++ b/crates/core/src/quota/counter_reply.rs
@@ -33,7 +33,7 @@
 }
 
 impl Gateway {
-    /// Takes how a call of the counter ended.
+    /// Handles the end of a counter call.
     pub(crate) fn apply_counter_reply(
         &mut self,
         now: Micros,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes a total of the counter.
+    /// Applies a total of the counter.
     fn apply_total(
         &mut self,
         now: Micros,
@@ -124,7 +124,7 @@
     }
 }
 
-/// Takes a total where few gateways serve the customer. Others used their units while the bucket filled, so
+/// Applies a total where few gateways serve the customer. Others used their units while the bucket filled, so
 /// first of all what it could not hold. What several used at once, each by a total of some age, becomes a
 /// debt; use beyond that was rejected.
 fn apply_total_of_few(customer: &mut Customer, counted: CountedTotal) {
--- a/crates/core/src/quota/usage_report.rs
+++ b/crates/core/src/quota/usage_report.rs
@@ -25,7 +25,8 @@
 }
 
 impl Gateway {
-    /// Takes what a response tells of the customer's use over all gateways, and of an estimate's true units.
+    /// Applies what a response reports of the customer's use over all gateways, and of an estimate's true
+    /// units.
     pub(crate) fn apply_usage_report(
         &mut self,
         now: Micros,
@@ -53,7 +54,7 @@
     }
 }
 
-/// Books the difference between a request's true units and those it named.
+/// Records the difference between a request's true units and those it named.
 fn settle_units(customer: &mut Customer, difference: f64) {
     customer.bucket.settle(difference, &customer.plan);
     if customer.is_shared_by_few() {
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -69,7 +69,7 @@
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// What is left of a latency objective at a time, counted from the client's first try.
+    /// The remainder of a latency objective at a time, counted from the client's first try.
     pub fn objective_left(&self, now: Micros, latency_objective: Micros) -> Micros {
         (self.arrived_at + latency_objective).saturating_sub(now + self.elapsed_before_arrival)
     }
