--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -112,9 +112,14 @@
         customer.record_arrival(now, request.units, source, max_queueing_us / 1e3);
         let is_covered = customer.covers(now, request.units, source);
         let dequeue_at = customer.pacer.dequeue_at(now, max_queueing_us as Micros);
+        let needs_counter = !quota_is_irrelevant
+            && self.settings.capabilities.shared_counter
+            && customer.needs_total(request.units, source)
+            && self.counter_calls.allow_call_for(now, customer, self.highest_overage_cost);
+        // A request over the quota may not be forwarded at all.
+        let reserve = if customer.demand.at(now) > 1.0 { 0.0 } else { request.units };
         actions.push(Action::Timer { at: request.deadline, timer: Timer::RequestDeadline(id).into() });
-        let waits_for_counter = !quota_is_irrelevant
-            && self.call_counter_for_request(now, customer_id, request.units, source, actions);
+        let waits_for_counter = needs_counter && self.call_counter(now, customer_id, reserve, actions);
         let queued = waits_for_counter || !is_covered && dequeue_at > now;
         let deadline = request.deadline;
         self.requests.insert(id, Request { queued, ..request });
@@ -139,24 +144,6 @@
         (objective * MAX_QUEUEING_OF_OBJECTIVE).min(client_time * MAX_QUEUEING_OF_CLIENT_TIME)
     }
 
-    /// Calls the counter for a request that should wait for it; whether a call is in flight then.
-    fn call_counter_for_request(
-        &mut self,
-        now: Micros,
-        id: CustomerId,
-        units: f64,
-        source: UsageSource,
-        actions: &mut Vec<Action>,
-    ) -> bool {
-        let Some(customer) = self.customers.get(id) else { return false };
-        if !self.needs_counter(now, customer, units, source) {
-            return false;
-        }
-        // A request over the quota may not be forwarded at all.
-        let reserve = if customer.demand.at(now) > 1.0 { 0.0 } else { units };
-        self.call_counter(now, id, reserve, actions)
-    }
-
     /// Ends a request's queueing: it is forwarded if its units are within the quota, else rejected.
     pub(crate) fn dequeue(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.finished) else { return };
--- a/crates/core/src/customer/mod.rs
+++ b/crates/core/src/customer/mod.rs
@@ -22,6 +22,10 @@
 /// the shared counter to the next.
 pub(crate) const MAX_FEW_GATEWAYS: usize = 8;
 
+/// Part of the burst: with a fresh total and this much in the bucket a request needs no call, but with less
+/// others may empty it meanwhile.
+const SURE_LEVEL_OF_BURST: f64 = 0.5;
+
 /// How a customer's use by other gateways is known.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum UsageSource {
@@ -159,6 +163,14 @@
         is_within_rate && self.is_within_concurrency(now, source)
     }
 
+    /// Whether a total of the shared counter would help to decide on a request of so many units: it could be
+    /// within the quota, and others' use is not known well enough.
+    pub fn needs_total(&self, units: f64, source: UsageSource) -> bool {
+        let is_sure =
+            source == UsageSource::Exact && self.bucket.level() >= SURE_LEVEL_OF_BURST * self.plan.burst;
+        !is_sure && !self.demand.is_low() && self.bucket.level() >= units
+    }
+
     /// Whether the requests in flight here are within this gateway's share of the plan's concurrency.
     fn is_within_concurrency(&self, now: Micros, source: UsageSource) -> bool {
         let Some(limit) = self.plan.max_concurrency else { return true };
--- a/crates/core/src/quota/counter_calls.rs
+++ b/crates/core/src/quota/counter_calls.rs
@@ -1,6 +1,7 @@
 //! The budget of calls to the shared counter, which follows the counter's own speed, and the calls in flight.
 
 use crate::api::{CounterId, CustomerId, Micros};
+use crate::customer::Customer;
 use std::collections::BTreeMap;
 
 /// Calls for each request at least: enough to notice that a silent counter replies again.
@@ -101,9 +102,14 @@
         self.saved >= CALLS_RESERVED_FOR_REQUESTS
     }
 
-    /// Part of the calls reserved for requests that is used up; negative where more are saved.
-    pub fn scarcity(&self) -> f64 {
-        1.0 - self.saved / CALLS_RESERVED_FOR_REQUESTS
+    /// Whether a customer's use over the quota costs enough for one of the calls that are left: the fewer
+    /// there are, the more it must cost, and it counts less where other gateways try as well.
+    pub fn allow_call_for(&self, now: Micros, customer: &Customer, highest_overage_cost: f64) -> bool {
+        let overage_cost = customer.plan.weight_multiplier * customer.plan.overage_cost;
+        let gain = overage_cost / customer.demand.at(now).max(1.0);
+        // Part of the calls reserved for requests that is used up; negative where more are saved.
+        let scarcity = 1.0 - self.saved / CALLS_RESERVED_FOR_REQUESTS;
+        customer.is_shared_by_few() || gain >= highest_overage_cost * scarcity
     }
 
     /// Calls for each request, for the next process.
--- a/crates/core/src/quota/counter_report.rs
+++ b/crates/core/src/quota/counter_report.rs
@@ -1,16 +1,12 @@
-//! Calls of the shared counter: which use is reported, and when a request is worth a call.
+//! Calls of the shared counter: which use is reported, and when.
 
 use crate::api::{Action, CustomerId, Micros};
 use crate::customer::counter_account::COUNTER_KEY_LIFETIME;
-use crate::customer::{Customer, UsageSource};
 use crate::gateway::Gateway;
 use crate::quota::counter_calls::PendingCall;
 
 /// Customers whose use is looked at in a tick; the others wait for the next one.
 const MAX_CUSTOMERS_PER_TICK: usize = 1_000;
-/// Part of the burst: with a fresh total and this much in the bucket a request needs no call, but with less
-/// others may empty it meanwhile.
-const SURE_LEVEL_OF_BURST: f64 = 0.5;
 
 impl Gateway {
     /// Adds what is not reported yet, and what is reserved for a waiting request, to the shared counter, one
@@ -41,32 +37,6 @@
         actions.push(Action::AddToCounter { counter: call.key(), amount, ttl: COUNTER_KEY_LIFETIME });
     }
 
-    /// Whether a request of so many units should wait for the counter: others' use is not known well enough,
-    /// and use over the quota costs enough for one of the calls that are left.
-    pub(crate) fn needs_counter(
-        &self,
-        now: Micros,
-        customer: &Customer,
-        units: f64,
-        source: UsageSource,
-    ) -> bool {
-        let sure_level = SURE_LEVEL_OF_BURST * customer.plan.burst;
-        let is_sure = source == UsageSource::Exact && customer.bucket.level() >= sure_level;
-        self.settings.capabilities.shared_counter
-            && self.is_worth_call(now, customer)
-            && !is_sure
-            && !customer.demand.is_low()
-            && customer.bucket.level() >= units
-    }
-
-    /// Whether a customer's use over the quota costs enough for one of the calls that are left: the fewer
-    /// there are, the more it must cost, and it counts less where other gateways try as well.
-    fn is_worth_call(&self, now: Micros, customer: &Customer) -> bool {
-        let overage_cost = customer.plan.weight_multiplier * customer.plan.overage_cost;
-        let gain = overage_cost / customer.demand.at(now).max(1.0);
-        customer.is_shared_by_few() || gain >= self.highest_overage_cost * self.counter_calls.scarcity()
-    }
-
     /// Reports use that no request waits for, to the counter and to other gateways.
     pub(crate) fn report_changed_customers(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for id in self.changed_customers.take(MAX_CUSTOMERS_PER_TICK) {
