--- a/crates/gateway/tests/loopback/rig/files.rs
+++ b/crates/gateway/tests/loopback/rig/files.rs
@@ -1,5 +1,6 @@
 //! Files and folders of the gateway processes under test.
 
+use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -22,11 +23,19 @@
 pub struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
-    /// Creates a folder.
+    /// Creates a folder. A test program that was killed may have left one of the same name, if this process has got
+    /// its process number.
     pub fn create() -> TemporaryFolder {
-        let path = std::env::temp_dir().join(unique_name());
-        std::fs::create_dir(&path).unwrap();
-        TemporaryFolder(path)
+        loop {
+            let path = std::env::temp_dir().join(unique_name());
+            match std::fs::create_dir(&path) {
+                Err(error) if error.kind() == ErrorKind::AlreadyExists => {}
+                created => {
+                    created.unwrap();
+                    return TemporaryFolder(path);
+                }
+            }
+        }
     }
 
     /// Where it is.
