--- a/crates/core/src/admission/client_timeouts.rs
+++ b/crates/core/src/admission/client_timeouts.rs
@@ -2,6 +2,7 @@
 //! retry: the rest of the client's time went by with earlier tries.
 
 use crate::api::{Class, Micros};
+use crate::running_quantile::step_direction;
 
 /// Rank of the usual timeout among clients': most requests are first tries.
 const USUAL_QUANTILE: f64 = 0.7;
@@ -26,7 +27,7 @@
     /// Records the timeout of a request.
     pub fn record(&mut self, class: usize, timeout: Micros, class_deadline: Micros) {
         let usual_us = &mut self.usual_us[class];
-        let direction = if timeout as f64 > *usual_us { USUAL_QUANTILE } else { USUAL_QUANTILE - 1.0 };
+        let direction = step_direction(*usual_us, timeout as f64, USUAL_QUANTILE);
         *usual_us += direction * QUANTILE_STEP * class_deadline as f64;
     }
 
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -105,8 +105,8 @@
         let source = self.usage_source(now, customer);
         self.gossip.earn();
         self.counter_calls.earn();
-        let weight = self.settings.classes[request.class].priority_weight
-            * self.settings.plans[request.plan].weight_multiplier;
+        let class = &self.settings.classes[request.class];
+        let weight = self.settings.plans[request.plan].priority_weight(class);
         let quota_is_irrelevant = self.overage_is_acceptable(request.plan) || self.is_overloaded(now, weight);
         let Some(customer) = self.customers.get_mut(customer_id) else { return };
         customer.record_arrival(now, request.units, source, max_queueing_us / 1e3);
@@ -148,8 +148,10 @@
     pub(crate) fn dequeue(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.finished) else { return };
         request.queued = false;
-        let (units, customer_id, class, plan_index) =
-            (request.units, request.customer, request.class, request.plan);
+        let units = request.units;
+        let customer_id = request.customer;
+        let class = request.class;
+        let plan_index = request.plan;
         let overage_is_acceptable = self.overage_is_acceptable(plan_index);
         let Some(customer) = self.customers.get(customer_id) else { return };
         let source = self.usage_source(now, customer);
--- a/crates/core/src/api/settings.rs
+++ b/crates/core/src/api/settings.rs
@@ -69,6 +69,18 @@
     pub hard_limit_overdraft: f64,
 }
 
+impl Plan {
+    /// The priority weight of a request of a class within the quota.
+    pub(crate) fn priority_weight(&self, class: &Class) -> f64 {
+        class.priority_weight * self.weight_multiplier
+    }
+
+    /// The cost of a request forwarded over the quota, before the priority weight of its class.
+    pub(crate) fn weighted_overage_cost(&self) -> f64 {
+        self.weight_multiplier * self.overage_cost
+    }
+}
+
 /// How load reports reach the gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadReports {
--- a/crates/core/src/attempts/dispatch.rs
+++ b/crates/core/src/attempts/dispatch.rs
@@ -94,7 +94,7 @@
         let class = &self.settings.classes[request.class];
         let plan = &self.settings.plans[request.plan];
         let quota_factor = if request.within_quota { 1.0 } else { plan.overage_weight };
-        class.priority_weight * plan.weight_multiplier * quota_factor
+        plan.priority_weight(class) * quota_factor
     }
 
     /// Charges the units of a request that is forwarded for the first time; false if the hard limit forbids
--- a/crates/core/src/attempts/timeout.rs
+++ b/crates/core/src/attempts/timeout.rs
@@ -3,6 +3,7 @@
 //! are slow the timeout rises.
 
 use crate::api::{Class, Micros};
+use crate::running_quantile::step_direction;
 
 /// Part of the answers that is not slow.
 const SLOW_QUANTILE: f64 = 0.97;
@@ -35,7 +36,7 @@
     pub fn record(&mut self, class: usize, latency_objective: Micros, elapsed: Micros) {
         let step_us = QUANTILE_STEP * latency_objective as f64;
         if let Some(slow_us) = self.slow_us.get_mut(class) {
-            let direction = if elapsed as f64 > *slow_us { SLOW_QUANTILE } else { SLOW_QUANTILE - 1.0 };
+            let direction = step_direction(*slow_us, elapsed as f64, SLOW_QUANTILE);
             *slow_us = (*slow_us + direction * step_us).max(0.0);
         }
     }
--- a/crates/core/src/customer/counter_account.rs
+++ b/crates/core/src/customer/counter_account.rs
@@ -7,7 +7,7 @@
 //! ([`CounterAccount::level_by_shared_total`]).
 
 use crate::api::{Micros, Plan, RequestId};
-use crate::customer::token_bucket::MAX_DEBT_OF_BURST;
+use crate::customer::token_bucket::max_deficit;
 use crate::decaying_rate::seconds;
 use crate::handover::text::handover_record;
 
@@ -154,9 +154,9 @@
 
     /// Applies a total among few gateways; returns the units that others used since the last one, less those
     /// that earlier calls of this gateway without a reply added.
-    pub fn use_of_others(&mut self, total: f64, added: f64) -> f64 {
-        let before = total - added;
-        let last = self.total.replace(total).unwrap_or(before);
+    pub fn use_of_others(&mut self, counted: CountedTotal) -> f64 {
+        let before = counted.before();
+        let last = self.total.replace(counted.total).unwrap_or(before);
         let others = if before < last * RESTARTED_TOTAL { before.max(0.0) } else { before - last };
         others - std::mem::take(&mut self.possibly_counted_units).clamp(0.0, others.max(0.0))
     }
@@ -169,28 +169,33 @@
     /// Applies the last total of the previous window, in which the bucket was full at first; returns the
     /// deficit with which the next window starts.
     pub fn carry_over_deficit(&mut self, total: f64, plan: &Plan) -> f64 {
-        let max_deficit = plan.burst * (1.0 + MAX_DEBT_OF_BURST);
         let refilled = plan.rate * seconds(COUNTER_KEY_LIFETIME);
-        self.total_correction = (total - refilled).clamp(0.0, max_deficit);
+        self.total_correction = (total - refilled).clamp(0.0, max_deficit(plan));
         self.total_correction
     }
 
-    /// Applies a total among many gateways, of the window that began at `window_start` with a full bucket
-    /// that has been refilled since; returns the level of the bucket. Where the total lags behind the refill,
+    /// Applies a total among many gateways, of a window that began with a full bucket, which has been refilled
+    /// for the time `elapsed` since; returns the level of the bucket. Where the total lags behind the refill,
     /// the bucket overflowed: the difference has to be added to the total, or the next burst would use it.
     /// `fraction` is random, so that only a part of the gateways corrects a total that is far ahead.
     ///
     /// `None` if another gateway has just made the same correction: ours is taken back by the next call.
-    pub fn level_by_shared_total(&mut self, report: SharedTotal, plan: &Plan, fraction: f64) -> Option<f64> {
-        let SharedTotal { elapsed, total, added } = report;
+    pub fn level_by_shared_total(
+        &mut self,
+        elapsed: Micros,
+        counted: CountedTotal,
+        plan: &Plan,
+        fraction: f64,
+    ) -> Option<f64> {
         let correction = std::mem::take(&mut self.total_correction);
-        let others = total - added - self.total.replace(total).unwrap_or(total - added);
+        let before = counted.before();
+        let others = before - self.total.replace(counted.total).unwrap_or(before);
         if correction != 0.0 && others / correction >= DUPLICATE_CORRECTION {
             self.total_correction = -correction;
             return None;
         }
-        let lag = plan.rate * seconds(elapsed) - total - self.unreported_units - self.settlement_due;
-        let excess = (lag + plan.burst * (1.0 + MAX_DEBT_OF_BURST)).min(0.0);
+        let lag = plan.rate * seconds(elapsed) - counted.total - self.unreported_units - self.settlement_due;
+        let excess = (lag + max_deficit(plan)).min(0.0);
         self.total_correction = if lag > MAX_LAG_OF_BURST * plan.burst {
             lag
         } else if fraction < CORRECTING_PART {
@@ -216,13 +221,18 @@
     }
 }
 
-/// A total of the shared counter in a window.
+/// A total of the shared counter, with what the call that it replies to added.
 #[derive(Clone, Copy)]
-pub(crate) struct SharedTotal {
-    /// Time since the window began.
-    pub elapsed: Micros,
-    /// The total.
+pub(crate) struct CountedTotal {
+    /// The total after the call.
     pub total: f64,
-    /// What the call added to it.
+    /// What the call added.
     pub added: f64,
 }
+
+impl CountedTotal {
+    /// The total before the call.
+    pub fn before(self) -> f64 {
+        self.total - self.added
+    }
+}
--- a/crates/core/src/customer/mod.rs
+++ b/crates/core/src/customer/mod.rs
@@ -11,12 +11,13 @@
 use crate::api::{CustomerId, Micros, Plan};
 use crate::decaying_rate::seconds;
 use crate::handover::text::handover_record;
+use crate::random_source::GOLDEN_RATIO;
 use counter_account::{CounterAccount, COUNTER_KEY_LIFETIME};
 use demand::Demand;
 use hard_limit::HardLimit;
 use pacer::Pacer;
 use peer_usage::PeerUsage;
-use token_bucket::{TokenBucket, MAX_DEBT_OF_BURST};
+use token_bucket::{max_deficit, TokenBucket};
 
 /// Gateways: with at most so many, each sees a customer often enough to tell others' use from one total of
 /// the shared counter to the next.
@@ -212,7 +213,7 @@
             return 0;
         }
         // Windows of different customers begin at different times.
-        let phase = id.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) % COUNTER_KEY_LIFETIME;
+        let phase = id.0.wrapping_mul(GOLDEN_RATIO) % COUNTER_KEY_LIFETIME;
         now - (now - phase) % COUNTER_KEY_LIFETIME
     }
 
@@ -220,7 +221,7 @@
     fn idle_after(&self) -> Micros {
         let plan = &self.plan;
         let fill_s = |units: f64, rate: f64| if rate > 0.0 { units / rate } else { 0.0 };
-        let quota_s = fill_s(plan.burst * (1.0 + MAX_DEBT_OF_BURST), plan.rate) * self.gateway_count as f64;
+        let quota_s = fill_s(max_deficit(plan), plan.rate) * self.gateway_count as f64;
         let hard_limit_s = fill_s(plan.hard_limit_burst + plan.hard_limit_overdraft, plan.hard_limit_rate);
         ((quota_s.max(hard_limit_s) + 1.0) * 1e6) as Micros
     }
--- a/crates/core/src/customer/token_bucket.rs
+++ b/crates/core/src/customer/token_bucket.rs
@@ -30,6 +30,11 @@
     (ALLOWANCE_HEADROOM * even_share).min(1.0)
 }
 
+/// Units between the lowest level that a bucket is taken to have and a full one.
+pub(crate) fn max_deficit(plan: &Plan) -> f64 {
+    plan.burst * (1.0 + MAX_DEBT_OF_BURST)
+}
+
 /// The lowest level that a bucket is taken to have.
 fn min_level(plan: &Plan) -> f64 {
     -plan.burst * MAX_DEBT_OF_BURST
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -83,7 +83,7 @@
         let highest_of = |figure: fn(&Plan) -> f64| settings.plans.iter().map(figure).fold(0.0, f64::max);
         Ok(Gateway {
             highest_weight: highest_class_weight * highest_of(|plan| plan.weight_multiplier),
-            highest_overage_cost: highest_of(|plan| plan.weight_multiplier * plan.overage_cost),
+            highest_overage_cost: highest_of(Plan::weighted_overage_cost),
             started_at: now,
             shutdown_deadline: Micros::MAX,
             client_timeouts: ClientTimeouts::new(&settings.classes),
--- a/crates/core/src/gossip/state.rs
+++ b/crates/core/src/gossip/state.rs
@@ -100,17 +100,13 @@
     /// heartbeat is due.
     pub fn due_gateways(&self, now: Micros, gateway_count: usize) -> Vec<usize> {
         let since_last = now.saturating_sub(self.sent_at);
-        if !self.full_mesh {
-            return self.queued.gateways();
-        }
-        if since_last < self.interval {
+        if self.full_mesh && since_last < self.interval {
             return Vec::new();
         }
-        if since_last >= HEARTBEAT_INTERVAL {
-            (0..gateway_count).collect()
-        } else {
-            self.queued.gateways()
+        if self.full_mesh && since_last >= HEARTBEAT_INTERVAL {
+            return (0..gateway_count).collect();
         }
+        self.queued.gateways()
     }
 
     /// Records that a message is sent.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -81,6 +81,7 @@
 mod quota;
 mod random_source;
 mod requests;
+mod running_quantile;
 mod settings_check;
 mod timer;
 
--- a/crates/core/src/quota/counter_calls.rs
+++ b/crates/core/src/quota/counter_calls.rs
@@ -74,12 +74,21 @@
     /// The budget at the start; `shared_by_many` where more gateways share the counter than see a customer
     /// often.
     pub fn new(shared_by_many: bool) -> CounterCalls {
-        let (saved, per_request, quick_divisor) = if shared_by_many {
-            (INITIAL_SAVED_CALLS_OF_MANY, INITIAL_CALLS_PER_REQUEST_OF_MANY, QUICK_DIVISOR_OF_MANY)
+        if shared_by_many {
+            CounterCalls {
+                saved: INITIAL_SAVED_CALLS_OF_MANY,
+                per_request: INITIAL_CALLS_PER_REQUEST_OF_MANY,
+                quick_divisor: QUICK_DIVISOR_OF_MANY,
+                ..CounterCalls::default()
+            }
         } else {
-            (MAX_SAVED_CALLS / 2.0, INITIAL_CALLS_PER_REQUEST, QUICK_DIVISOR)
-        };
-        CounterCalls { saved, per_request, quick_divisor, ..CounterCalls::default() }
+            CounterCalls {
+                saved: MAX_SAVED_CALLS / 2.0,
+                per_request: INITIAL_CALLS_PER_REQUEST,
+                quick_divisor: QUICK_DIVISOR,
+                ..CounterCalls::default()
+            }
+        }
     }
 
     /// Adds what a request earns.
@@ -105,8 +114,7 @@
     /// Whether a customer's use over the quota costs enough for one of the calls that are left: the fewer
     /// there are, the more it must cost, and it counts less where other gateways try as well.
     pub fn allow_call_for(&self, now: Micros, customer: &Customer, highest_overage_cost: f64) -> bool {
-        let overage_cost = customer.plan.weight_multiplier * customer.plan.overage_cost;
-        let gain = overage_cost / customer.demand.at(now).max(1.0);
+        let gain = customer.plan.weighted_overage_cost() / customer.demand.at(now).max(1.0);
         // Part of the calls reserved for requests that is used up; negative where more are saved.
         let scarcity = 1.0 - self.saved / CALLS_RESERVED_FOR_REQUESTS;
         customer.is_shared_by_few() || gain >= highest_overage_cost * scarcity
--- a/crates/core/src/quota/counter_reply.rs
+++ b/crates/core/src/quota/counter_reply.rs
@@ -2,8 +2,8 @@
 //! another for many, and what follows it.
 
 use crate::api::{Action, CounterId, CounterResult, CustomerId, Micros, RequestId};
-use crate::customer::counter_account::{SharedTotal, COUNTER_KEY_LIFETIME, TOTAL_FRESH_FOR};
-use crate::customer::token_bucket::MAX_DEBT_OF_BURST;
+use crate::customer::counter_account::{CountedTotal, COUNTER_KEY_LIFETIME, TOTAL_FRESH_FOR};
+use crate::customer::token_bucket::{max_deficit, MAX_DEBT_OF_BURST};
 use crate::customer::{Customer, UsageSource};
 use crate::decaying_rate::seconds;
 use crate::gateway::Gateway;
@@ -16,22 +16,6 @@
 /// Factor on the demand assumed before, if the bucket is empty again and many gateways serve the customer.
 const STILL_EMPTY_FACTOR: f64 = 1.5;
 
-/// A total with what the call that it replies to added.
-#[derive(Clone, Copy)]
-struct CountedTotal {
-    /// The total after the call.
-    total: f64,
-    /// What the call added.
-    added: f64,
-}
-
-impl CountedTotal {
-    /// The total before the call.
-    fn before(self) -> f64 {
-        self.total - self.added
-    }
-}
-
 impl Gateway {
     /// Handles the end of a counter call.
     pub(crate) fn apply_counter_reply(
@@ -89,9 +73,9 @@
             let lookup = PendingCall { window: call.window - COUNTER_KEY_LIFETIME, ..call };
             self.send_counter_call(lookup, 0.0, actions);
         } else {
-            let report =
-                SharedTotal { elapsed: now - call.window, total: counted.total, added: counted.added };
-            if let Some(level) = customer.counter.level_by_shared_total(report, &customer.plan, fraction) {
+            let elapsed = now - call.window;
+            let level = customer.counter.level_by_shared_total(elapsed, counted, &customer.plan, fraction);
+            if let Some(level) = level {
                 customer.bucket.set_level(level);
             }
         }
@@ -128,7 +112,7 @@
 /// first of all what it could not hold. What several used at once, each by a total of some age, becomes a
 /// debt; use beyond that was rejected.
 fn apply_total_of_few(customer: &mut Customer, counted: CountedTotal) {
-    let others = customer.counter.use_of_others(counted.total, counted.added);
+    let others = customer.counter.use_of_others(counted);
     let plan = &customer.plan;
     let simultaneous_use = seconds(TOTAL_FRESH_FOR) * plan.rate * customer.gateway_count as f64;
     let max_debt = simultaneous_use.min(plan.burst * MAX_DEBT_OF_BURST);
@@ -141,7 +125,7 @@
 /// Whether what the window before left owing may still bear on one that began then.
 fn may_owe_previous_window(customer: &Customer, now: Micros, window: Micros) -> bool {
     let refilled = customer.plan.rate * seconds(now - window);
-    window >= COUNTER_KEY_LIFETIME && refilled < customer.plan.burst * (1.0 + MAX_DEBT_OF_BURST)
+    window >= COUNTER_KEY_LIFETIME && refilled < max_deficit(&customer.plan)
 }
 
 /// Assumes a demand over the quota where the counter shows the bucket to be empty.
