--- a/crates/core/src/api/events.rs
+++ b/crates/core/src/api/events.rs
@@ -23,6 +23,13 @@
     NotSent,
 }
 
+impl AttemptStatus {
+    /// Whether a server may have begun work on a request whose attempt ended so.
+    pub fn may_have_run(self) -> bool {
+        !matches!(self, AttemptStatus::Rejected | AttemptStatus::ConnectFailed | AttemptStatus::NotSent)
+    }
+}
+
 /// A server's report of its load; what it does not tell is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
--- a/crates/core/src/attempts/outcome.rs
+++ b/crates/core/src/attempts/outcome.rs
@@ -5,7 +5,6 @@
 use crate::endpoints::server::{Server, BASE_REJECTION_BACKOFF};
 use crate::gateway::Gateway;
 use crate::health::outlier::Outcome;
-use crate::requests::may_have_run;
 
 /// An attempt that has ended.
 struct EndedAttempt {
@@ -38,7 +37,7 @@
         let attempt = request.attempts.get_mut(report.attempt as usize).filter(|attempt| attempt.in_flight);
         let Some(attempt) = attempt else { return };
         attempt.in_flight = false;
-        attempt.may_have_run = may_have_run(report.status);
+        attempt.may_have_run = report.status.may_have_run();
         let latency_objective = self.settings.classes[request.class].latency_objective;
         let ended = EndedAttempt {
             status: report.status,
--- a/crates/core/src/customer/counter_account.rs
+++ b/crates/core/src/customer/counter_account.rs
@@ -174,9 +174,10 @@
         self.total_correction
     }
 
-    /// Applies a total among many gateways, of a window that began with a full bucket, which has been refilled
-    /// for the time `elapsed` since; returns the level of the bucket. Where the total lags behind the refill,
-    /// the bucket overflowed: the difference has to be added to the total, or the next burst would use it.
+    /// Applies a total among many gateways, of a window that began with a full bucket, which has been
+    /// refilled for the time `elapsed` since; returns the level of the bucket. Where the total lags behind
+    /// the refill, the bucket overflowed: the difference has to be added to the total, or the next burst
+    /// would use it.
     /// `fraction` is random, so that only a part of the gateways corrects a total that is far ahead.
     ///
     /// `None` if another gateway has just made the same correction: ours is taken back by the next call.
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -1,6 +1,6 @@
 //! The records of clients' requests and of their attempts; nothing is decided here.
 
-use crate::api::{AttemptStatus, CustomerId, Micros, ServerId};
+use crate::api::{CustomerId, Micros, ServerId};
 
 /// An attempt of a request at a server.
 pub(crate) struct Attempt {
@@ -74,8 +74,3 @@
         (self.arrived_at + latency_objective).saturating_sub(now + self.elapsed_before_arrival)
     }
 }
-
-/// Whether a server may have begun work on an attempt that ended so.
-pub(crate) fn may_have_run(status: AttemptStatus) -> bool {
-    !matches!(status, AttemptStatus::Rejected | AttemptStatus::ConnectFailed | AttemptStatus::NotSent)
-}
--- a/crates/gateway/src/clients/disconnect.rs
+++ b/crates/gateway/src/clients/disconnect.rs
@@ -3,6 +3,7 @@
 use crate::bodies::upload::Upload;
 use crate::clients::stream::ClientStream;
 use crate::driver::decision_driver::DecisionDriver;
+use crate::driver::request::Answer;
 use grebehook_core::RequestId;
 use std::future::pending;
 use std::rc::Rc;
@@ -27,8 +28,8 @@
         DisconnectGuard { driver, id }
     }
 
-    /// Reports now that the client disconnected. Whether no server can have run its request.
-    pub fn report(&self) -> bool {
+    /// Reports now that the client disconnected. Returns the final answer of its request.
+    pub fn report(&self) -> Answer {
         self.driver.client_disconnected(self.id)
     }
 }
--- a/crates/gateway/src/clients/request_handler.rs
+++ b/crates/gateway/src/clients/request_handler.rs
@@ -159,9 +159,7 @@
             biased;
             answer = answer => answer.unwrap_or(Answer::Failed),
             // It may have ended its sending side only, and still read.
-            () = client_disconnected(&client.stream, body) => {
-                if disconnect_guard.report() { Answer::Rejected(None) } else { Answer::Failed }
-            }
+            () = client_disconnected(&client.stream, body) => disconnect_guard.report(),
         }
     }
 
--- a/crates/gateway/src/driver/decision_driver/requests.rs
+++ b/crates/gateway/src/driver/decision_driver/requests.rs
@@ -55,13 +55,13 @@
         self.process_events_from(&mut state, now);
     }
 
-    /// A request's client disconnected. Returns whether the request cannot have run.
-    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) -> bool {
+    /// A request's client disconnected. Returns the request's final answer.
+    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) -> Answer {
         let mut state = self.state.borrow_mut();
-        let Some(request) = state.requests.get_mut(id) else { return false };
-        let cannot_have_run = request.cannot_have_run();
+        let Some(request) = state.requests.get_mut(id) else { return Answer::Failed };
+        let answer = request.answer_without_response();
         if request.answer.take().is_none() {
-            return cannot_have_run;
+            return answer;
         }
         let in_flight = request.in_flight.as_ref();
         let is_unwritten = in_flight.is_some_and(|attempt| !attempt.connection.request_written());
@@ -72,7 +72,7 @@
         }
         state.requests.remove_if_finished(id);
         self.process_events(&mut state);
-        cannot_have_run
+        answer
     }
 
     /// Ends a request at its deadline. The decision core is first notified that the attempt in flight timed out
--- a/crates/gateway/src/driver/request_table.rs
+++ b/crates/gateway/src/driver/request_table.rs
@@ -72,19 +72,28 @@
         if self.answer.is_none() || !(self.outgoing.client_has_disconnected)() {
             return;
         }
-        let answer = if self.cannot_have_run() { Answer::Rejected(None) } else { Answer::Failed };
+        let answer = self.answer_without_response();
         if let Some(sender) = self.answer.take() {
             // A client that shut down only its sending side still receives the answer.
             let _ = sender.send(answer);
         }
     }
 
-    /// Whether no server can have run it: every ended attempt surely did not run, and none in flight is written
+    /// Its final answer if no server's response comes: rejected where no server can have run it.
+    pub fn answer_without_response(&self) -> Answer {
+        if self.may_have_run() {
+            Answer::Failed
+        } else {
+            Answer::Rejected(None)
+        }
+    }
+
+    /// Whether a server may have run it: an attempt has ended so that it may have, or the one in flight is written
     /// completely.
-    pub fn cannot_have_run(&self) -> bool {
+    fn may_have_run(&self) -> bool {
         let attempt_written =
             self.in_flight.as_ref().is_some_and(|attempt| attempt.connection.request_written());
-        self.may_have_run_at.is_none() && !attempt_written
+        self.may_have_run_at.is_some() || attempt_written
     }
 
     /// When an attempt that is sent now times out; without a timeout of its own, at the request's deadline.
@@ -115,9 +124,7 @@
     /// Records how an attempt ended. Returns whether the decision core has yet to be notified that the body cannot
     /// be sent again.
     pub fn record_end(&mut self, ended: &InFlightAttempt, status: AttemptStatus) -> bool {
-        let cannot_have_run =
-            matches!(status, AttemptStatus::Rejected | AttemptStatus::ConnectFailed | AttemptStatus::NotSent);
-        if !cannot_have_run {
+        if status.may_have_run() {
             self.may_have_run_at.get_or_insert(ended.sent_at);
         }
         let unreported = self.outgoing.body.is_consumed() && !self.body_consumption_reported;
