--- a/crates/core/src/decaying_rate.rs
+++ b/crates/core/src/decaying_rate.rs
@@ -1,36 +1,37 @@
-//! Spans in seconds, exponential decay, and a rate that decays; used by all state that ages.
+//! Conversion to seconds, exponential decay, and an exponentially weighted rate, for all state that ages.
 
 use crate::api::Micros;
 use crate::handover::text::handover_record;
 
-/// A span in seconds.
+/// Converts a duration to seconds.
 pub(crate) fn seconds(span: Micros) -> f64 {
     span as f64 / 1e6
 }
 
-/// What is left of a value after a span, when it falls by a factor of e in each `horizon_s` seconds.
+/// Returns the share of a value that remains after a duration if the value falls by a factor of e every
+/// `horizon_s` seconds.
 pub(crate) fn decay(span: Micros, horizon_s: f64) -> f64 {
     (-seconds(span) / horizon_s).exp()
 }
 
-/// A rate in units a second, an exponentially weighted average over a horizon of some seconds.
+/// A rate in units per second: an exponentially weighted average with a time constant of some seconds.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingRate {
-    /// The rate at the last update, units a second.
+    /// Rate at the last update, in units per second.
     value: f64,
-    /// When that was.
+    /// Time of the last update.
     updated_at: Micros,
 }
 
 handover_record!(DecayingRate { value, updated_at } times { updated_at });
 
 impl DecayingRate {
-    /// The rate as it is now, units a second.
+    /// Returns the rate decayed to `now`, in units per second.
     pub fn get(&self, now: Micros, horizon_s: f64) -> f64 {
         self.value * decay(now.saturating_sub(self.updated_at), horizon_s)
     }
 
-    /// Counts units now.
+    /// Adds units observed at `now`.
     pub fn add(&mut self, now: Micros, units: f64, horizon_s: f64) {
         *self = DecayingRate { value: self.get(now, horizon_s) + units / horizon_s, updated_at: now };
     }
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -16,7 +16,7 @@
 use crate::quota::counter_calls::CounterCalls;
 use crate::random_source::RandomSource;
 use crate::requests::Request;
-use crate::settings_check::check;
+use crate::settings_check::validate;
 use crate::timer::Timer;
 use std::collections::BTreeMap;
 
@@ -77,7 +77,7 @@
 impl Gateway {
     /// A gateway that starts now, or the field of the settings that makes no sense.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
-        check(&settings)?;
+        validate(&settings)?;
         let weights = settings.classes.iter().map(|class| class.priority_weight);
         let highest_class_weight = weights.fold(0.0, f64::max);
         let highest_of = |figure: fn(&Plan) -> f64| settings.plans.iter().map(figure).fold(0.0, f64::max);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
 //! The decision core of grebehook, a gateway that holds customers to their quotas before a shared back end:
-//! which request is admitted at once, queued or rejected, and which server gets it.
+//! it decides whether a request is admitted at once, queued or rejected, and which server receives it.
 //!
-//! It does no input or output and reads no clock. The host hands in [`Event`]s with the time and
-//! carries out the [`Action`]s that come back:
+//! The core performs no input or output and reads no clock. The caller passes in [`Event`]s with the time and
+//! carries out the returned [`Action`]s:
 //!
 //! ```
 //! use grebehook_core::{
@@ -59,7 +59,7 @@
 //! };
 //! gateway.handle(1_000, Event::RequestArrived(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { server: ServerId(1), .. })));
-//! // A host hands each `Action::Timer` back as an `Event::Timer` once its time has come.
+//! // The caller returns each `Action::Timer` as an `Event::Timer` when it expires.
 //! for action in actions.split_off(0) {
 //!     if let Action::Timer { at, timer } = action {
 //!         gateway.handle(at, Event::Timer { timer }, &mut actions);
--- a/crates/core/src/timer.rs
+++ b/crates/core/src/timer.rs
@@ -1,20 +1,20 @@
-//! What the decision core's timers are for, and their one conversion to the number that the host hands back.
+//! Timers of the decision core and their encoding as the opaque [`TimerId`] that the caller returns.
 
 use crate::api::{RequestId, TimerId};
 
-/// The purpose of a timer.
+/// A decoded timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// The next tick.
+    /// The next tick is due.
     Tick,
-    /// A request must have its final answer.
+    /// The deadline of a request has passed.
     RequestDeadline(RequestId),
-    /// A queued request waits no longer.
+    /// The longest queueing time of a request has passed.
     QueueTimeout(RequestId),
 }
 
 impl From<Timer> for TimerId {
-    /// A request's timers bear its number twice: even at its deadline, odd at the end of its queueing.
+    /// Encodes a request's timers as twice its id: even for the deadline, odd (plus 1) for the queue timeout.
     fn from(timer: Timer) -> TimerId {
         match timer {
             Timer::Tick => TimerId::TICK,
