--- a/crates/core/src/admission/client_timeouts.rs
+++ b/crates/core/src/admission/client_timeouts.rs
@@ -1,38 +1,38 @@
-//! How long clients of each class usually wait. A request whose client waits much shorter than usual is a
-//! retry: the rest of the client's time went by with earlier tries.
+//! The typical client timeout of each class. A request with a much shorter timeout is taken for a retry:
+//! earlier tries have used up the rest of the client's time.
 
 use crate::api::{Class, Micros};
-use crate::running_quantile::step_direction;
+use crate::running_quantile::step_factor;
 
-/// Rank of the usual timeout among clients': most requests are first tries.
-const USUAL_QUANTILE: f64 = 0.7;
-/// Step of that running quantile, as a part of the class's deadline.
+/// Quantile of the client timeouts that is the typical one: most requests are first tries.
+const TYPICAL_TIMEOUT_QUANTILE: f64 = 0.7;
+/// Step of the running quantile, as a share of the class's deadline.
 const QUANTILE_STEP: f64 = 0.02;
-/// A timeout under this part of the usual one shows a retry rather than a slow network.
-const SHORT_TIMEOUT: f64 = 0.92;
+/// Share of the typical timeout below which a timeout indicates a retry rather than a slow network.
+const SHORT_TIMEOUT_RATIO: f64 = 0.92;
 
-/// The usual timeouts.
+/// Typical client timeouts of all classes.
 #[derive(Default)]
 pub(crate) struct ClientTimeouts {
-    /// A running quantile for each class, microseconds.
-    usual_us: Vec<f64>,
+    /// Running quantile by class, in microseconds.
+    typical_timeout_us: Vec<f64>,
 }
 
 impl ClientTimeouts {
-    /// Before any request, clients are expected to wait until a class's deadline.
+    /// Creates estimates that start at the deadline of each class.
     pub fn new(classes: &[Class]) -> ClientTimeouts {
-        ClientTimeouts { usual_us: classes.iter().map(|class| class.deadline as f64).collect() }
+        ClientTimeouts { typical_timeout_us: classes.iter().map(|class| class.deadline as f64).collect() }
     }
 
-    /// Records the timeout of a request.
+    /// Updates the estimate of a class with the client timeout of a request.
     pub fn record(&mut self, class: usize, timeout: Micros, class_deadline: Micros) {
-        let usual_us = &mut self.usual_us[class];
-        let direction = step_direction(*usual_us, timeout as f64, USUAL_QUANTILE);
-        *usual_us += direction * QUANTILE_STEP * class_deadline as f64;
+        let typical_timeout_us = &mut self.typical_timeout_us[class];
+        let factor = step_factor(*typical_timeout_us, timeout as f64, TYPICAL_TIMEOUT_QUANTILE);
+        *typical_timeout_us += factor * QUANTILE_STEP * class_deadline as f64;
     }
 
-    /// Whether a timeout is much shorter than usual.
+    /// Returns whether a client timeout is much shorter than the typical one of its class.
     pub fn is_short(&self, class: usize, timeout: Micros) -> bool {
-        (timeout as f64) < SHORT_TIMEOUT * self.usual_us[class]
+        (timeout as f64) < SHORT_TIMEOUT_RATIO * self.typical_timeout_us[class]
     }
 }
--- a/crates/core/src/admission/final_answer.rs
+++ b/crates/core/src/admission/final_answer.rs
@@ -1,4 +1,4 @@
-//! The final answer of a request that no server answered, and the end of a request.
+//! Final answers to requests that no server answered, and the end of requests.
 
 use crate::api::{Action, DeduplicationScope, Idempotency, Micros, RequestId};
 use crate::gateway::Gateway;
@@ -6,12 +6,13 @@
 use crate::timer::Timer;
 
 impl Gateway {
-    /// The only place that gives a final answer: a rejection where a retry does no harm, else a failure.
+    /// Gives a request its final answer: a rejection if it is safe to retry, otherwise a failure. No other
+    /// function answers an admitted request.
     pub(crate) fn reject_or_fail(&mut self, id: RequestId, retry_after: Micros, actions: &mut Vec<Action>) {
         let is_open = |request: &&Request| !request.finished && !request.response_started;
         let Some(request) = self.requests.get(&id).filter(is_open) else { return };
-        actions.push(if self.is_retry_harmless(request) {
-            Action::Reject { id, retry_after: self.retry_advice(retry_after) }
+        actions.push(if self.is_safe_to_retry(request) {
+            Action::Reject { id, retry_after: self.capped_retry_after(retry_after) }
         } else {
             Action::Fail { id }
         });
@@ -22,26 +23,27 @@
         self.finish_request(id);
     }
 
-    /// Whether the client may retry a request without its effect happening twice.
-    fn is_retry_harmless(&self, request: &Request) -> bool {
+    /// Returns whether the client can retry a request without its effect happening twice.
+    fn is_safe_to_retry(&self, request: &Request) -> bool {
         match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => {
                 true
             }
             Idempotency::IdempotencyKey { .. } | Idempotency::NonIdempotent => {
-                request.first_that_may_run().is_none()
+                request.first_that_may_take_effect().is_none()
             }
         }
     }
 
-    /// When clients are advised to retry, if rejections may carry that advice.
-    fn retry_advice(&self, retry_after: Micros) -> Option<Micros> {
+    /// Returns the `Retry-After` time for the client, at most the configured maximum; `None` if it is 0 or
+    /// the deployment does not allow it.
+    fn capped_retry_after(&self, retry_after: Micros) -> Option<Micros> {
         let capabilities = &self.settings.capabilities;
-        let advice = retry_after.min(capabilities.max_retry_after);
-        Some(advice).filter(|advice| capabilities.retry_after && *advice > 0)
+        let capped = retry_after.min(capabilities.max_retry_after);
+        Some(capped).filter(|capped| capabilities.retry_after && *capped > 0)
     }
 
-    /// Ends a request; its record stays while an attempt is in flight.
+    /// Marks a request as finished and removes its record once no attempt is in flight.
     pub(crate) fn finish_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let was_finished = std::mem::replace(&mut request.finished, true);
@@ -54,7 +56,8 @@
         }
     }
 
-    /// Limits all deadlines to the end of this process: a request still open then would never be answered.
+    /// Limits all deadlines to the end of this process, since requests still open then would never be
+    /// answered.
     pub(crate) fn begin_shutdown(&mut self, deadline: Micros, actions: &mut Vec<Action>) {
         self.shutdown_deadline = deadline;
         for (id, request) in self.requests.iter_mut().filter(|(_, request)| request.deadline > deadline) {
@@ -63,7 +66,8 @@
         }
     }
 
-    /// Answers a request at its deadline. Its time does not count while part of its body is still to come.
+    /// Answers a request whose deadline has passed. The deadline does not apply while part of the body is
+    /// still to be received.
     pub(crate) fn expire_request(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let is_due = |request: &Request| !request.body_incomplete && now >= request.deadline;
         if self.requests.get(&id).is_some_and(is_due) {
@@ -71,8 +75,8 @@
         }
     }
 
-    /// Ends the queueing of a request that has waited long enough.
-    pub(crate) fn expire_queueing(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+    /// Ends the queueing of a request whose queue timeout has expired.
+    pub(crate) fn expire_queued_request(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         if self.requests.get(&id).is_some_and(|request| request.queued) {
             self.dequeue(now, id, actions);
         }
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -1,5 +1,5 @@
-//! Admission of requests: a request arrives, may be queued for its pacing delay or for the shared counter,
-//! and is then forwarded or rejected by the customer's quota.
+//! Admission of requests: an arriving request may be queued for its pacing delay or for the shared counter,
+//! and is then forwarded or rejected according to the customer's quota.
 
 pub(crate) mod client_timeouts;
 mod final_answer;
@@ -10,17 +10,19 @@
 use crate::requests::Request;
 use crate::timer::Timer;
 
-/// Most of the latency objective that queueing may use: the response needs the rest.
-const MAX_QUEUEING_OF_OBJECTIVE: f64 = 0.15;
-/// Most of the client's remaining time that queueing may use; it may be far shorter than the objective.
-const MAX_QUEUEING_OF_CLIENT_TIME: f64 = 0.25;
-/// Batches of events between an answer and its delivery, which a request's deadline leaves time for.
+/// Maximum share of the latency objective that queueing may use: the response needs the rest.
+const MAX_QUEUEING_SHARE_OF_OBJECTIVE: f64 = 0.15;
+/// Maximum share of the client's remaining time, which may be far shorter than the objective, that queueing
+/// may use.
+const MAX_QUEUEING_SHARE_OF_CLIENT_TIME: f64 = 0.25;
+/// Margin before the client timeout, in batches of events: the delay between an answer and its delivery.
 const MARGIN_BATCHES: Micros = 2;
-/// Units of a request above this make no sense.
+/// Upper bound (exclusive) of the units that a valid request may specify.
 const MAX_UNITS: f64 = 1e9;
 
 impl Gateway {
-    /// Receives a client's request.
+    /// Validates an arriving request and admits it. Rejects an invalid one and one without time for an
+    /// answer.
     pub(crate) fn receive_request(
         &mut self,
         now: Micros,
@@ -37,7 +39,7 @@
         }
         let gateway_count = arrival.customer_gateway_count;
         self.ensure_customer(now, arrival.customer, arrival.plan, gateway_count, arrival.first_gateway);
-        let latest = now.saturating_add(time_left - margin);
+        let latest_deadline = now.saturating_add(time_left - margin);
         let request = Request {
             class: arrival.class,
             plan: arrival.plan,
@@ -45,14 +47,14 @@
             units: arrival.units,
             arrived_at: now.saturating_sub(arrival.age),
             elapsed_before_arrival: self.elapsed_before_arrival(arrival),
-            deadline: latest.min(self.shutdown_deadline),
+            deadline: latest_deadline.min(self.shutdown_deadline),
             body_incomplete: arrival.body_incomplete,
             ..Request::default()
         };
         self.admit(now, arrival.id, request, actions);
     }
 
-    /// Whether a request names a class, a plan and a sensible number of units.
+    /// Returns whether a request specifies a known class, a known plan and a plausible number of units.
     fn is_valid(&self, arrival: &RequestArrival) -> bool {
         let settings = &self.settings;
         arrival.class < settings.classes.len()
@@ -60,7 +62,7 @@
             && (0.0..MAX_UNITS).contains(&arrival.units)
     }
 
-    /// How much of the client's time earlier tries of the same request have used.
+    /// Returns how much of the client's time earlier tries of the same request have used, in microseconds.
     fn elapsed_before_arrival(&mut self, arrival: &RequestArrival) -> Micros {
         let class_deadline = self.settings.classes[arrival.class].deadline;
         self.client_timeouts.record(arrival.class, arrival.client_timeout, class_deadline);
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Makes sure that a customer has a record.
+    /// Creates the record of a customer if there is none, else updates which gateways serve the customer.
     pub(crate) fn ensure_customer(
         &mut self,
         now: Micros,
@@ -97,8 +99,8 @@
         self.customers.insert(id, Customer { first_gateway, ..customer });
     }
 
-    /// Forwards a request within the quota at once, and queues others for their pacing delay. Where the
-    /// counter is called first, the request waits for its reply, no longer than for any other queueing.
+    /// Forwards a request within the quota at once and queues any other for its pacing delay. If the shared
+    /// counter has to be called first, the request is queued for the reply, up to the longest queueing time.
     fn admit(&mut self, now: Micros, id: RequestId, request: Request, actions: &mut Vec<Action>) {
         let customer_id = request.customer;
         let max_queueing_us = self.max_queueing_us(now, &request);
@@ -117,10 +119,11 @@
             && self.settings.capabilities.shared_counter
             && customer.needs_total(request.units, source)
             && self.counter_calls.allow_call_for(now, customer, self.highest_overage_cost);
-        // A request over the quota may not be forwarded at all.
-        let reserve = if customer.demand.at(now) > 1.0 { 0.0 } else { request.units };
+        // While demand exceeds the quota, the request may not be forwarded at all, so no units are reserved
+        // for it.
+        let reserved_units = if customer.demand.at(now) > 1.0 { 0.0 } else { request.units };
         actions.push(Action::Timer { at: request.deadline, timer: Timer::RequestDeadline(id).into() });
-        let waits_for_counter = needs_counter && self.call_counter(now, customer_id, reserve, actions);
+        let waits_for_counter = needs_counter && self.call_counter(now, customer_id, reserved_units, actions);
         let queued = waits_for_counter || !is_covered && dequeue_at > now;
         let deadline = request.deadline;
         self.requests.insert(id, Request { queued, ..request });
@@ -138,14 +141,15 @@
         actions.push(Action::Timer { at: dequeue_at.min(deadline), timer: Timer::QueueTimeout(id).into() });
     }
 
-    /// The longest time that a request may be queued, in microseconds.
+    /// Returns the longest time that a request may be queued, in microseconds.
     fn max_queueing_us(&self, now: Micros, request: &Request) -> f64 {
         let objective = self.settings.classes[request.class].latency_objective as f64;
         let client_time = request.deadline.saturating_sub(now) as f64;
-        (objective * MAX_QUEUEING_OF_OBJECTIVE).min(client_time * MAX_QUEUEING_OF_CLIENT_TIME)
+        (objective * MAX_QUEUEING_SHARE_OF_OBJECTIVE).min(client_time * MAX_QUEUEING_SHARE_OF_CLIENT_TIME)
     }
 
-    /// Ends a request's queueing: it is forwarded if its units are within the quota, else rejected.
+    /// Ends the queueing of a request: forwards it if it is within the quota or overage is acceptable, else
+    /// rejects it.
     pub(crate) fn dequeue(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.finished) else { return };
         request.queued = false;
@@ -158,7 +162,7 @@
         let source = self.usage_source(now, customer);
         let Some(customer) = self.customers.get_mut(customer_id) else { return };
         customer.refill(now, units, source);
-        grant_share_of_demand(customer, now, units, source);
+        grant_quota_share(customer, now, units, source);
         let within_quota = customer.covers(now, units, source);
         if !within_quota && !overage_is_acceptable {
             let retry_after = (customer.seconds_until_covered(now, units, source) * 1e6) as Micros;
@@ -174,9 +178,10 @@
     }
 }
 
-/// Grants a request over the quota this gateway's part of it: of a demand of three quotas, a third of each
-/// request.
-fn grant_share_of_demand(customer: &mut Customer, now: Micros, units: f64, source: UsageSource) {
+/// Grants an allowance in proportion to the quota's share of the customer's demand, if usage is known from
+/// usage reports and demand exceeds the quota: with a demand of three quotas, a third of each request's
+/// units.
+fn grant_quota_share(customer: &mut Customer, now: Micros, units: f64, source: UsageSource) {
     let demand = customer.demand.at(now);
     if source == UsageSource::Metered && demand > 1.0 {
         customer.bucket.grant_allowance(units / demand, units);
--- a/crates/core/src/attempts/dispatch.rs
+++ b/crates/core/src/attempts/dispatch.rs
@@ -1,5 +1,5 @@
-//! Whether an attempt of a request may be sent now, and its dispatch. Calls follow when a request leaves the
-//! queue and when an attempt of it has ended.
+//! Decision whether a request's next attempt may be sent, and its dispatch: when the request leaves the
+//! queue, and after each attempt that ended without a final answer.
 
 use super::retry_budget::retry_cost;
 use crate::api::{Action, Idempotency, Micros, RequestId, ServerId};
@@ -7,35 +7,36 @@
 use crate::requests::{Attempt, Request};
 use crate::timer::Timer;
 
-/// An attempt that may be sent.
-struct PlannedAttempt {
-    /// Where to.
+/// An attempt that may be sent, with its server and cost.
+struct PreparedAttempt {
     server: ServerId,
-    /// How long an answer should take, microseconds.
+    /// Expected latency at the server, in microseconds.
     expected_latency_us: f64,
-    /// Its cost in the retry budget; `None` for the first attempt.
+    /// Cost in the retry budget; `None` for the first attempt, which is charged to the customer.
     retry_cost: Option<f64>,
 }
 
 impl Gateway {
-    /// The only place that sends. False if no attempt may be sent now.
+    /// Sends the next attempt of a request. Returns false if no attempt may be sent now. No other function
+    /// sends attempts.
     pub(crate) fn try_attempt(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(planned) = self.plan_attempt(now, id) else { return false };
-        let is_paid = match planned.retry_cost {
+        let Some(prepared) = self.prepare_attempt(now, id) else { return false };
+        let is_charged = match prepared.retry_cost {
             None => self.charge_customer(id),
             Some(cost) => {
-                self.retry_budget.pay(cost);
+                self.retry_budget.withdraw(cost);
                 true
             }
         };
-        if is_paid {
-            self.send_attempt(now, id, &planned, actions);
+        if is_charged {
+            self.send_attempt(now, id, &prepared, actions);
         }
-        is_paid
+        is_charged
     }
 
-    /// The next attempt of a request, unless the rules, the budgets or the load of the back end forbid it.
-    fn plan_attempt(&mut self, now: Micros, id: RequestId) -> Option<PlannedAttempt> {
+    /// Selects the server for the next attempt of a request. Returns `None` if the rules, the retry budget,
+    /// the expected latency or the load of the back end forbid an attempt.
+    fn prepare_attempt(&mut self, now: Micros, id: RequestId) -> Option<PreparedAttempt> {
         let request = self.requests.get(&id)?;
         if !self.is_attempt_allowed(now, request) {
             return None;
@@ -59,14 +60,14 @@
         if self.is_overloaded(now, if is_expected_late { late_weight } else { weight }) {
             return None;
         }
-        Some(PlannedAttempt {
+        Some(PreparedAttempt {
             server: choice.server,
             expected_latency_us: choice.expected_latency_us,
             retry_cost: (!is_first).then_some(cost),
         })
     }
 
-    /// Whether the rules allow another attempt of a request.
+    /// Returns whether the rules allow another attempt of a request.
     fn is_attempt_allowed(&self, now: Micros, request: &Request) -> bool {
         let first = request.first_that_may_have_run();
         let may_repeat = match self.settings.classes[request.class].idempotency {
@@ -84,12 +85,12 @@
             && request.attempts.len() < self.max_attempts()
     }
 
-    /// Most attempts of one request.
+    /// Returns the maximum number of attempts of one request.
     fn max_attempts(&self) -> usize {
         self.settings.capabilities.max_attempts as usize
     }
 
-    /// The priority weight of a request, less beyond its customer's quota.
+    /// Returns the priority weight of a request, scaled by the plan's overage weight if it is over the quota.
     fn weight(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.class];
         let plan = &self.settings.plans[request.plan];
@@ -97,8 +98,8 @@
         plan.priority_weight(class) * quota_factor
     }
 
-    /// Charges the units of a request that is forwarded for the first time; false if the hard limit forbids
-    /// it.
+    /// Charges the units of a request to its customer for the first attempt, and adds to the retry budget.
+    /// Returns false, without a charge, if the units would exceed the hard limit.
     fn charge_customer(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get_mut(request.customer) else { return false };
@@ -110,22 +111,22 @@
             customer.use_units(request.units);
             self.changed_customers.insert(request.customer);
         }
-        self.retry_budget.earn();
+        self.retry_budget.deposit();
         true
     }
 
-    /// Sends an attempt and records it.
+    /// Sends an attempt and records it on its request and on its server.
     fn send_attempt(
         &mut self,
         now: Micros,
         id: RequestId,
-        planned: &PlannedAttempt,
+        prepared: &PreparedAttempt,
         actions: &mut Vec<Action>,
     ) {
-        let early_timeout = self.early_timeout(now, id, planned);
+        let attempt_timeout = self.attempt_timeout(now, id, prepared);
         self.load.record_send(now);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let server = planned.server;
+        let server = prepared.server;
         let fully_sent = !request.body_incomplete;
         let (rules, virtual_time) = (&self.settings.rules, &mut self.virtual_time);
         let expected_in_flight = self.servers.update(now, server, |server| {
@@ -143,40 +144,40 @@
             in_flight: true,
             may_have_run: false,
             expected_in_flight,
-            uses_attempt_timeout: early_timeout.is_some(),
+            uses_attempt_timeout: attempt_timeout.is_some(),
             fully_sent,
         });
         if fully_sent {
             self.load.record_fully_sent();
         }
-        let timeout = early_timeout.unwrap_or(request.deadline - now);
+        let timeout = attempt_timeout.unwrap_or(request.deadline - now);
         actions.push(Action::Send { id, server, timeout });
     }
 
-    /// How long to wait for an attempt if a retry can follow: the objective, the budget, the rules and the
-    /// servers allow it.
-    fn early_timeout(&self, now: Micros, id: RequestId, planned: &PlannedAttempt) -> Option<Micros> {
+    /// Returns the attempt timeout, or `None` if no retry could follow it: the latency objective, the retry
+    /// budget, the rules and the other servers must all allow one.
+    fn attempt_timeout(&self, now: Micros, id: RequestId, prepared: &PreparedAttempt) -> Option<Micros> {
         let request = self.requests.get(&id)?;
         let class = &self.settings.classes[request.class];
         let timeout = self.attempt_timeouts.timeout(request.class, class.latency_objective);
-        let first_sent_at = request.first_that_may_have_run().map_or(now, |attempt| attempt.sent_at);
-        let key_is_remembered = match class.idempotency {
-            Idempotency::IdempotencyKey { window, .. } => now + timeout < first_sent_at + window,
+        let window_started_at = request.first_that_may_have_run().map_or(now, |attempt| attempt.sent_at);
+        let is_within_deduplication_window = match class.idempotency {
+            Idempotency::IdempotencyKey { window, .. } => now + timeout < window_started_at + window,
             Idempotency::Idempotent | Idempotency::NonIdempotent => true,
         };
         let has_alternative =
-            key_is_remembered && self.has_alternative(now, planned.server, class.idempotency);
+            is_within_deduplication_window && self.has_alternative(now, prepared.server, class.idempotency);
         let may_retry =
-            request.attempts.len() + 1 < self.max_attempts() && self.retry_budget.allows_early_retry();
+            request.attempts.len() + 1 < self.max_attempts() && self.retry_budget.allows_attempt_timeout();
         let objective_at =
             (request.arrived_at + class.latency_objective).saturating_sub(request.elapsed_before_arrival);
-        let answered_at = now + timeout + planned.expected_latency_us as Micros;
-        let is_in_time = answered_at < objective_at.min(request.deadline);
+        let retry_answered_at = now + timeout + prepared.expected_latency_us as Micros;
+        let is_in_time = retry_answered_at < objective_at.min(request.deadline);
         (has_alternative && may_retry && is_in_time).then_some(timeout)
     }
 
-    /// Handles the end of a long body: only now does its server begin work, and its time
-    /// begin, when the last of the body reached this machine.
+    /// Handles the complete receipt of a streamed body. The server begins work only now, so the attempt
+    /// counts as sent now, and the request's time counts from when the last of the body reached this machine.
     pub(crate) fn body_completed(
         &mut self,
         now: Micros,
--- a/crates/core/src/attempts/load.rs
+++ b/crates/core/src/attempts/load.rs
@@ -1,40 +1,40 @@
-//! What this gateway's attempts show of the back end's load: attempts in flight, goodput and latency.
+//! The back end's load as observed through this gateway's attempts: attempts in flight, goodput and latency.
 
 use crate::api::{AttemptStatus, Micros};
 use crate::customer::demand::USAGE_HORIZON_S;
 use crate::decaying_rate::{seconds, DecayingRate};
 
-/// Mean latency aimed at when overloaded, as a part of the latency objective: longer queues end past the
-/// objective.
-const TARGET_LATENCY: f64 = 0.22;
-/// Weight of one answer in the mean latency: some twenty answers count.
+/// Target for the mean latency under overload, as a share of the latency objective: longer queues would make
+/// responses miss the objective.
+const TARGET_RELATIVE_LATENCY: f64 = 0.22;
+/// Weight of one sample in the moving average of the latency, which thus spans about twenty samples.
 const LATENCY_WEIGHT: f64 = 0.05;
 
-/// The figures of all attempts.
+/// Load statistics over all attempts.
 #[derive(Default)]
 pub(crate) struct BackendLoad {
-    /// Attempts in flight whose requests are fully sent.
+    /// Number of attempts in flight whose requests are fully sent.
     in_flight: u32,
-    /// Attempts a second.
+    /// Attempts per second.
     attempt_rate: DecayingRate,
-    /// Requests that would be in flight if each answer took the target latency (Little's law).
+    /// Number of requests in flight if each successful answer took the target latency (Little's law).
     goodput: DecayingRate,
-    /// Mean latency, as a part of the latency objective.
+    /// Moving average of the latency, as a share of the latency objective.
     relative_latency: f64,
 }
 
-/// The figures that are handed over to the successor process.
+/// Load statistics that are handed over to the successor process.
 pub(crate) struct LoadSnapshot {
-    /// Mean latency, as a part of the latency objective.
+    /// Moving average of the latency, as a share of the latency objective.
     pub relative_latency: f64,
-    /// Attempts a second.
+    /// Attempts per second.
     pub attempt_rate: DecayingRate,
-    /// Requests in flight at the target latency.
+    /// Number of requests in flight if each successful answer took the target latency.
     pub goodput: DecayingRate,
 }
 
 impl BackendLoad {
-    /// The figures that are handed over to the successor process.
+    /// Returns the statistics that are handed over to the successor process.
     pub fn snapshot(&self) -> LoadSnapshot {
         LoadSnapshot {
             relative_latency: self.relative_latency,
@@ -43,50 +43,50 @@
         }
     }
 
-    /// Restores the figures that the predecessor process handed over.
+    /// Restores the statistics that the predecessor process handed over.
     pub fn restore(&mut self, snapshot: LoadSnapshot) {
         self.relative_latency = snapshot.relative_latency;
         self.attempt_rate = snapshot.attempt_rate;
         self.goodput = snapshot.goodput;
     }
 
-    /// Attempts in flight whose requests are fully sent.
+    /// Returns the number of attempts in flight whose requests are fully sent.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Attempts a second.
+    /// Returns the attempts per second.
     pub fn attempt_rate(&self, now: Micros) -> f64 {
         self.attempt_rate.get(now, USAGE_HORIZON_S)
     }
 
-    /// Requests that the goodput keeps in flight at the target latency.
+    /// Returns the number of requests that the goodput keeps in flight at the target latency.
     pub fn goodput(&self, now: Micros) -> f64 {
         self.goodput.get(now, USAGE_HORIZON_S)
     }
 
-    /// Whether answers come faster than the target latency.
-    pub fn is_fast(&self) -> bool {
-        self.relative_latency < TARGET_LATENCY
+    /// Returns whether the mean latency is below the target.
+    pub fn is_below_target_latency(&self) -> bool {
+        self.relative_latency < TARGET_RELATIVE_LATENCY
     }
 
-    /// The target latency as a part of the mean one, at most 1.
-    pub fn target_of_latency(&self) -> f64 {
-        (TARGET_LATENCY / self.relative_latency.max(1e-9)).min(1.0)
+    /// Returns the ratio of the target latency to the mean latency, at most 1.
+    pub fn target_latency_ratio(&self) -> f64 {
+        (TARGET_RELATIVE_LATENCY / self.relative_latency.max(1e-9)).min(1.0)
     }
 
-    /// Counts an attempt that is sent.
+    /// Counts an attempt as sent.
     pub fn record_send(&mut self, now: Micros) {
         self.attempt_rate.add(now, 1.0, USAGE_HORIZON_S);
     }
 
-    /// Counts an attempt whose request is fully sent.
+    /// Counts an attempt as in flight, once its request is fully sent.
     pub fn record_fully_sent(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Counts the end of an attempt.
-    pub fn record_end(
+    /// Updates the statistics with the outcome of an attempt.
+    pub fn record_completion(
         &mut self,
         now: Micros,
         status: AttemptStatus,
@@ -101,7 +101,7 @@
                 LATENCY_WEIGHT * (seconds(elapsed) / objective_s - self.relative_latency);
         }
         if status == AttemptStatus::Ok {
-            self.goodput.add(now, TARGET_LATENCY * objective_s, USAGE_HORIZON_S);
+            self.goodput.add(now, TARGET_RELATIVE_LATENCY * objective_s, USAGE_HORIZON_S);
         }
     }
 }
--- a/crates/core/src/attempts/mod.rs
+++ b/crates/core/src/attempts/mod.rs
@@ -1,5 +1,5 @@
-//! Attempts of a request at servers: whether one may be sent now, how long it is waited for, and what follows
-//! its outcome.
+//! Attempts of requests at servers: whether an attempt may be sent, its timeout, and the handling of its
+//! outcome.
 
 mod dispatch;
 pub(crate) mod load;
--- a/crates/core/src/attempts/outcome.rs
+++ b/crates/core/src/attempts/outcome.rs
@@ -1,29 +1,28 @@
-//! What follows the end of an attempt: the server's health, the load of the back end, and a retry or the
-//! final answer.
+//! Handling of completed attempts: updates of the server's health and of the back end's load, then a retry or
+//! the final answer.
 
 use crate::api::{Action, AttemptReport, AttemptStatus, Micros};
 use crate::endpoints::server::{Server, BASE_REJECTION_BACKOFF};
 use crate::gateway::Gateway;
 use crate::health::outlier::Outcome;
 
-/// An attempt that has ended.
-struct EndedAttempt {
-    /// How it ended.
+/// The data of a completed attempt that its server's record needs.
+struct CompletedAttempt {
     status: AttemptStatus,
-    /// Time since the send.
+    /// Time since the attempt was sent.
     elapsed: Micros,
-    /// Index of the request's plan.
     plan: usize,
-    /// Requests that the server was expected to have in flight at the send.
+    /// Number of requests expected in flight at the server when the attempt was sent.
     expected_in_flight: f64,
-    /// The server had received the complete request.
+    /// Whether the complete request was sent to the server.
     fully_sent: bool,
-    /// It took longer than a slow answer, or than the latency objective.
+    /// Whether an attempt that timed out or was cancelled counts as a failure of its server: it had the
+    /// attempt timeout, or took at least the latency objective.
     is_late: bool,
 }
 
 impl Gateway {
-    /// Handles the end of an attempt.
+    /// Updates all state with the outcome of an attempt, then retries, or finishes or answers the request.
     pub(crate) fn attempt_completed(
         &mut self,
         now: Micros,
@@ -39,7 +38,7 @@
         attempt.in_flight = false;
         attempt.may_have_run = report.status.may_have_run();
         let latency_objective = self.settings.classes[request.class].latency_objective;
-        let ended = EndedAttempt {
+        let completed = CompletedAttempt {
             status: report.status,
             elapsed: report.elapsed,
             plan: request.plan,
@@ -47,15 +46,21 @@
             fully_sent: attempt.fully_sent,
             is_late: attempt.uses_attempt_timeout || report.elapsed >= latency_objective,
         };
-        let was_given_up = ended.status == AttemptStatus::Timeout && attempt.uses_attempt_timeout;
-        if ended.status == AttemptStatus::Ok || was_given_up {
-            self.attempt_timeouts.record(request.class, latency_objective, ended.elapsed);
+        let hit_attempt_timeout = completed.status == AttemptStatus::Timeout && attempt.uses_attempt_timeout;
+        if completed.status == AttemptStatus::Ok || hit_attempt_timeout {
+            self.attempt_timeouts.record(request.class, latency_objective, completed.elapsed);
         }
         let server = attempt.server;
-        let is_over = report.request_finished || request.finished;
-        self.load.record_end(now, ended.status, ended.elapsed, latency_objective, ended.fully_sent);
-        self.servers.update(now, server, |server| record_on_server(server, now, &ended));
-        if is_over {
+        let is_request_finished = report.request_finished || request.finished;
+        self.load.record_completion(
+            now,
+            completed.status,
+            completed.elapsed,
+            latency_objective,
+            completed.fully_sent,
+        );
+        self.servers.update(now, server, |server| record_on_server(server, now, &completed));
+        if is_request_finished {
             self.finish_request(id);
         } else if !self.try_attempt(now, id, actions) {
             self.reject_or_fail(id, BASE_REJECTION_BACKOFF, actions);
@@ -63,19 +68,19 @@
     }
 }
 
-/// Records the end of an attempt in the record of its server.
-fn record_on_server(server: &mut Server, now: Micros, ended: &EndedAttempt) {
-    server.attempts_in_flight = server.attempts_in_flight.saturating_sub(u32::from(ended.fully_sent));
-    match ended.status {
+/// Updates the record of a server with the outcome of an attempt.
+fn record_on_server(server: &mut Server, now: Micros, completed: &CompletedAttempt) {
+    server.attempts_in_flight = server.attempts_in_flight.saturating_sub(u32::from(completed.fully_sent));
+    match completed.status {
         AttemptStatus::Ok => {
-            server.record_service_time(ended.elapsed, ended.expected_in_flight);
+            server.record_service_time(completed.elapsed, completed.expected_in_flight);
             server.health.record(now, Outcome::Success);
-            server.clear_rejections(ended.plan);
+            server.clear_rejections(completed.plan);
         }
-        AttemptStatus::Rejected => server.record_rejection(now, ended.plan),
+        AttemptStatus::Rejected => server.record_rejection(now, completed.plan),
         AttemptStatus::Error | AttemptStatus::ConnectionReset => server.health.record(now, Outcome::Failure),
         AttemptStatus::ConnectFailed => server.health.record(now, Outcome::Unreachable),
-        AttemptStatus::Timeout | AttemptStatus::Cancelled if ended.is_late => {
+        AttemptStatus::Timeout | AttemptStatus::Cancelled if completed.is_late => {
             server.health.record(now, Outcome::Failure);
         }
         AttemptStatus::Timeout | AttemptStatus::Cancelled | AttemptStatus::NotSent => {}
--- a/crates/core/src/attempts/retry_budget.rs
+++ b/crates/core/src/attempts/retry_budget.rs
@@ -1,25 +1,25 @@
-//! The retry budget: retries are a limited share of requests, so that they cannot multiply the load of a back
-//! end in trouble.
+//! The retry budget limits retries to a share of requests, so that they cannot multiply the load of a failing
+//! back end.
 
-/// Share of requests that may be retried.
+/// Retries that each first attempt adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.15;
-/// Retries that may be saved up.
-const MAX_SAVED_RETRIES: f64 = 10.0;
-/// Cost of a retry after an attempt that may have run.
+/// Maximum balance of the budget, in retries.
+const MAX_BALANCE: f64 = 10.0;
+/// Cost of a retry after an attempt that may have run, in retries.
 const FULL_COST: f64 = 1.0;
-/// Cost of a retry after one that was rejected before any work on it.
+/// Cost of a retry after an attempt that was rejected before any work on it.
 const REJECTED_COST: f64 = 0.25;
-/// Retries that must be left for an attempt to be given up early.
-const MIN_SAVED_FOR_EARLY_RETRY: f64 = 2.0;
+/// Balance below which no attempt is abandoned at the attempt timeout for a retry.
+const MIN_BALANCE_FOR_ATTEMPT_TIMEOUT: f64 = 2.0;
 
-/// The budget.
+/// A balance of retries that first attempts replenish.
 #[derive(Default)]
 pub(crate) struct RetryBudget {
-    /// Retries that may be sent now.
-    saved: f64,
+    /// Number of full-cost retries that may be sent now.
+    balance: f64,
 }
 
-/// What a retry costs.
+/// Returns the cost of a retry, given whether an earlier attempt may have run.
 pub(crate) fn retry_cost(may_have_run: bool) -> f64 {
     if may_have_run {
         FULL_COST
@@ -29,28 +29,28 @@
 }
 
 impl RetryBudget {
-    /// The budget at the start.
+    /// Creates a budget with half of the maximum balance.
     pub fn new() -> RetryBudget {
-        RetryBudget { saved: MAX_SAVED_RETRIES / 2.0 }
+        RetryBudget { balance: MAX_BALANCE / 2.0 }
     }
 
-    /// Whether a retry of this cost may be sent.
+    /// Returns whether the balance covers a retry of this cost.
     pub fn allows(&self, cost: f64) -> bool {
-        self.saved >= cost
+        self.balance >= cost
     }
 
-    /// Whether so much is left that an attempt may be given up early for a retry.
-    pub fn allows_early_retry(&self) -> bool {
-        self.saved >= MIN_SAVED_FOR_EARLY_RETRY
+    /// Returns whether the balance is high enough to abandon an attempt at the attempt timeout for a retry.
+    pub fn allows_attempt_timeout(&self) -> bool {
+        self.balance >= MIN_BALANCE_FOR_ATTEMPT_TIMEOUT
     }
 
-    /// Adds what a first attempt earns.
-    pub fn earn(&mut self) {
-        self.saved = (self.saved + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
+    /// Adds the share of a retry that a first attempt contributes.
+    pub fn deposit(&mut self) {
+        self.balance = (self.balance + RETRIES_PER_REQUEST).min(MAX_BALANCE);
     }
 
-    /// Pays for a retry.
-    pub fn pay(&mut self, cost: f64) {
-        self.saved -= cost;
+    /// Deducts the cost of a retry.
+    pub fn withdraw(&mut self, cost: f64) {
+        self.balance -= cost;
     }
 }
--- a/crates/core/src/balancing/mod.rs
+++ b/crates/core/src/balancing/mod.rs
@@ -1,4 +1,4 @@
-//! Load balancing: which server an attempt goes to.
+//! Load balancing: selection of the server for an attempt.
 
 pub(crate) mod selection;
 mod subset;
--- a/crates/core/src/balancing/selection.rs
+++ b/crates/core/src/balancing/selection.rs
@@ -1,4 +1,4 @@
-//! Which server a request's next attempt goes to: of those that may be used, the one with the lowest score.
+//! Server selection for a request's next attempt: the usable server with the lowest score.
 
 use super::subset::SubsetRange;
 use crate::api::{DeduplicationScope, Endpoint, EndpointState, Idempotency, Micros, RequestId, ServerId};
@@ -9,64 +9,67 @@
 use crate::health::outlier::enforced_ejections;
 use crate::requests::Request;
 
-/// A server in another zone must look this much better.
+/// Factor on the score of a server in another zone, which must be better by this factor to be selected.
 const CROSS_ZONE_FACTOR: f64 = 1.1;
-/// A server that has just rejected this request, or any of its plan, comes last.
+/// Factor on the score of a server that an earlier attempt went to or that recently rejected the plan, so
+/// that it ranks last.
 const LAST_RESORT_FACTOR: f64 = 10.0;
-/// Least square of a success rate in a score, so that scores stay finite.
+/// Lower bound of the squared success rate in a score, which keeps scores finite.
 const MIN_SQUARED_SUCCESS_RATE: f64 = 1e-3;
-/// Servers compared for one attempt. Of a larger subset so many are drawn: the best of them is among the best
-/// twenty-fifth of all in 199 of 200 draws (1 - 0.96^128), and comparing them takes some microseconds.
+/// Maximum number of servers compared for one attempt; a larger subset is sampled. The best of 128 samples is
+/// among the best twenty-fifth of all servers in 199 of 200 draws (1 - 0.96^128), and comparing them takes a
+/// few microseconds.
 const MAX_CANDIDATES: usize = 128;
-/// Servers looked at in place of ones that may not be used, so that no outage makes a request walk the table.
+/// Maximum number of servers examined in place of unusable ones, so that no outage makes a request walk the
+/// whole table.
 const MAX_SUBSTITUTES: usize = 512;
 
-/// A server for an attempt.
-pub(crate) struct Choice {
-    /// The server.
+/// A server selected for an attempt.
+pub(crate) struct ServerChoice {
+    /// Selected server.
     pub server: ServerId,
-    /// How long it should take to answer, microseconds.
+    /// Expected latency of the answer, in microseconds.
     pub expected_latency_us: f64,
 }
 
-/// The best candidate so far.
+/// A candidate with its score.
 struct ScoredChoice {
-    /// Its score; the lowest is the best.
+    /// Score of the candidate; lower is better.
     score: f64,
-    /// The candidate.
-    choice: Choice,
+    choice: ServerChoice,
 }
 
-/// The comparison of servers for one attempt.
+/// A comparison of servers for one attempt.
 struct Selection<'a> {
-    /// The gateway that selects.
     gateway: &'a Gateway,
-    /// The request.
     request: &'a Request,
-    /// The time.
     now: Micros,
-    /// Whether it is a retry.
     is_retry: bool,
-    /// The gateway's subset.
+    /// Subset of the servers that this gateway sends to.
     range: SubsetRange,
     /// Whether ejected servers are avoided.
     avoids_ejected: bool,
-    /// Where the attempt has to go, if an earlier one may have run.
+    /// Zone or cell that the attempt must stay in because an earlier attempt may have run there.
     site: Option<Site>,
     /// The best candidate so far.
     best: Option<ScoredChoice>,
-    /// Candidates so far that are no last resort.
-    usable: usize,
-    /// How many of these are enough.
-    wanted: usize,
+    /// Number of candidates so far that are not a last resort.
+    usable_count: usize,
+    /// Number of such candidates after which no substitutes are examined.
+    usable_target: usize,
 }
 
 impl Gateway {
-    /// The best server for a request's next attempt, if any may be used.
-    pub(crate) fn select_server(&mut self, now: Micros, id: RequestId, is_retry: bool) -> Option<Choice> {
+    /// Returns the best server for a request's next attempt, or `None` if none is usable.
+    pub(crate) fn select_server(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        is_retry: bool,
+    ) -> Option<ServerChoice> {
         let ready = self.servers.count(Subset::Ready);
         let size = self.subset_size(ready);
-        let drawn = (size > MAX_CANDIDATES).then(|| self.server_sampler.sample(size, MAX_CANDIDATES));
+        let sampled = (size > MAX_CANDIDATES).then(|| self.server_sampler.sample(size, MAX_CANDIDATES));
         let request = self.requests.get(&id)?;
         let ejected = ready - self.servers.count(Subset::Trusted);
         let selection = Selection {
@@ -78,15 +81,16 @@
             avoids_ejected: enforced_ejections(ejected, ready) > 0,
             site: self.required_site(request),
             best: None,
-            usable: 0,
-            wanted: size.min(MAX_CANDIDATES),
+            usable_count: 0,
+            usable_target: size.min(MAX_CANDIDATES),
         };
-        selection.select(drawn)
+        selection.select(sampled)
     }
 
-    /// Where repeats of a request that may have run are dropped, if not everywhere.
+    /// Returns the site whose servers drop repeats of a request that may have run; `None` if no such limit
+    /// applies.
     fn required_site(&self, request: &Request) -> Option<Site> {
-        let first = request.first_that_may_run()?;
+        let first = request.first_that_may_take_effect()?;
         let endpoint = &self.servers.get(first.server)?.endpoint;
         match self.settings.classes[request.class].idempotency {
             Idempotency::IdempotencyKey { scope, .. } => site_of(scope, endpoint),
@@ -94,7 +98,7 @@
         }
     }
 
-    /// Whether a server besides this one could take a retry of a request that may have run there.
+    /// Returns whether another server could take a retry of a request that may have run on this server.
     pub(crate) fn has_alternative(&self, now: Micros, id: ServerId, idempotency: Idempotency) -> bool {
         let Some(server) = self.servers.get(id) else { return false };
         let scope = match idempotency {
@@ -112,7 +116,8 @@
     }
 }
 
-/// The site of one server whose servers share idempotency keys; `None` if all servers do.
+/// Returns the site of a server within which servers share idempotency keys; `None` if all servers share
+/// them.
 fn site_of(scope: DeduplicationScope, endpoint: &Endpoint) -> Option<Site> {
     match scope {
         DeduplicationScope::All => None,
@@ -122,56 +127,58 @@
 }
 
 impl Selection<'_> {
-    /// Compares the servers that come into question.
-    fn select(mut self, drawn: Option<Vec<usize>>) -> Option<Choice> {
+    /// Compares the eligible servers and returns the best one.
+    fn select(mut self, sampled: Option<Vec<usize>>) -> Option<ServerChoice> {
         match self.site.filter(|_| self.range.ready > MAX_SUBSTITUTES) {
             Some(site) => self.compare_site(site),
             None => {
-                self.compare_subset(drawn);
+                self.compare_subset(sampled);
                 self.compare_substitutes();
             }
         }
         self.best.map(|best| best.choice)
     }
 
-    /// Compares the servers of the subset, or those drawn from it, in their order on the ring.
-    fn compare_subset(&mut self, drawn: Option<Vec<usize>>) {
+    /// Compares the servers of the subset, or those sampled from it, in ring order.
+    fn compare_subset(&mut self, sampled: Option<Vec<usize>>) {
         let servers = &self.gateway.servers;
-        for position in drawn.unwrap_or_else(|| (0..self.range.size).collect()) {
+        for position in sampled.unwrap_or_else(|| (0..self.range.size).collect()) {
             let Some(server) = self.range.at(servers, position) else { return };
             self.compare(server, position);
         }
     }
 
-    /// Goes on to the next past servers of the subset that may not be used, so that subsets stay as large.
+    /// Compares servers after the end of the subset in place of unusable ones, so that there are as many
+    /// usable candidates.
     fn compare_substitutes(&mut self) {
         let servers = &self.gateway.servers;
         let some_are_ejected = servers.count(Subset::Trusted) < self.range.ready;
-        // Servers that warm up are not used outside of the subset, ejected ones nowhere.
+        // Servers that are warming up are not used outside the subset. Ejected servers are used only while
+        // ejections are not enforced.
         let uses_ejected = some_are_ejected && !self.avoids_ejected;
         let subset = if uses_ejected { Subset::Ready } else { Subset::Available };
         let range = self.range.clone();
-        for (position, server) in range.past(servers, subset).take(MAX_SUBSTITUTES) {
-            if self.usable >= self.wanted {
+        for (position, server) in range.positions_after(servers, subset).take(MAX_SUBSTITUTES) {
+            if self.usable_count >= self.usable_target {
                 return;
             }
             self.compare(server, position);
         }
     }
 
-    /// Compares servers of one zone or cell, beginning at a part of them that differs between gateways.
+    /// Compares the servers of one zone or cell, starting at an offset that differs between gateways.
     fn compare_site(&mut self, site: Site) {
         let servers = &self.gateway.servers;
-        let from = self.gateway.spread_fraction();
+        let from = self.gateway.start_fraction();
         for server in servers.at_site(site, from).take(MAX_SUBSTITUTES) {
-            if self.usable >= self.wanted {
+            if self.usable_count >= self.usable_target {
                 return;
             }
             self.compare(server, self.range.position(servers, server));
         }
     }
 
-    /// Makes a server the best candidate if it may be used and has the lowest score so far.
+    /// Makes a server the best candidate if it is usable and has the lowest score so far.
     fn compare(&mut self, server: &Server, position: usize) {
         if !self.may_use(server, position) {
             return;
@@ -180,13 +187,13 @@
         let expected_latency_us = server.expected_latency_us(self.now, &self.gateway.settings.rules);
         let score = self.score(server, expected_latency_us, is_last_resort);
         if self.best.as_ref().is_none_or(|best| score < best.score) {
-            let choice = Choice { server: server.endpoint.server, expected_latency_us };
+            let choice = ServerChoice { server: server.endpoint.server, expected_latency_us };
             self.best = Some(ScoredChoice { score, choice });
         }
-        self.usable += usize::from(!is_last_resort);
+        self.usable_count += usize::from(!is_last_resort);
     }
 
-    /// Whether the rules allow this attempt there.
+    /// Returns whether the site, the enforced ejections and slow start allow this attempt at a server.
     fn may_use(&self, server: &Server, position: usize) -> bool {
         let is_at_site = match self.site {
             Some(Site::Zone(zone)) => server.endpoint.zone == zone,
@@ -197,27 +204,28 @@
         is_at_site && !is_avoided && !self.exceeds_slow_start(server, position)
     }
 
-    /// Whether a server warms up and has no budget left for this gateway. The budget is shared by the
-    /// gateways whose subset the server is in, and by no others.
+    /// Returns whether a server is warming up and has no slow-start budget left for this gateway. Only the
+    /// gateways whose subset contains the server share its budget.
     fn exceeds_slow_start(&self, server: &Server, position: usize) -> bool {
         let is_warming_up = server.slow_start_factor(self.now, &self.gateway.settings.rules) < 1.0;
         is_warming_up && (server.slow_start_budget < 1.0 || !self.range.contains(position))
     }
 
-    /// Whether the server has just rejected the request, or any of its plan.
+    /// Returns whether the server recently rejected the request's plan or, for a retry, had an earlier
+    /// attempt of the request.
     fn is_last_resort(&self, server: &Server) -> bool {
         let id = server.endpoint.server;
         server.is_backing_off(self.now, self.request.plan)
             || self.is_retry && self.request.attempts.iter().any(|attempt| attempt.server == id)
     }
 
-    /// How long an answer should take, weighted by what speaks against the server.
+    /// Returns the expected latency with penalties for failures, recent use, another zone and last resorts.
     fn score(&self, server: &Server, expected_latency_us: f64, is_last_resort: bool) -> f64 {
         let settings = &self.gateway.settings;
         let success_rate = server.health.success_rate(self.now);
         let mut score = expected_latency_us / (success_rate * success_rate).max(MIN_SQUARED_SUCCESS_RATE);
         if self.range.is_partial() {
-            // A server used a moment ago comes after the others, for as long as one request keeps it busy.
+            // A recently used server ranks after the others for as long as one request keeps it busy.
             let busy_time_us = server.busy_time_us(self.now, &settings.rules);
             score += (server.virtual_time - self.gateway.virtual_time).max(-busy_time_us);
         }
--- a/crates/core/src/balancing/subset.rs
+++ b/crates/core/src/balancing/subset.rs
@@ -1,54 +1,56 @@
-//! The subset of the servers that one of many gateways sends to, so that it needs few connections and learns
-//! enough of each server. It is a range of the ready servers in the order of their numbers, on a ring: the
-//! last is followed by the first. Positions in the subset count from the start of the range.
+//! The subset of the servers that one of many gateways sends to, so that each gateway needs few connections
+//! and observes each of its servers often enough. The subset is a range of the ready servers, ordered by
+//! number on a ring: the last is followed by the first. Positions count from the start of the range.
 
 use crate::endpoints::ranked_tree::Subset;
 use crate::endpoints::server::Server;
 use crate::endpoints::server_index::ServerIndex;
 use crate::gateway::Gateway;
 
-/// Gateways that send to a server, where there are so many, so that their differences even out.
+/// Number of gateways that send to a server, in fleets that have as many: enough for their differences to
+/// even out.
 const GATEWAYS_PER_SERVER: usize = 16;
-/// Its multiples lie evenly between 0 and 1, however many there are.
+/// Fractional part of the golden ratio: the fractional parts of its multiples are spread evenly over [0, 1),
+/// however many there are.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
-/// Servers of a subset at least, so that there is a choice.
+/// Minimum number of servers in a subset, so that there is a choice.
 const MIN_SUBSET_SIZE: usize = 3;
 
-/// The range of a gateway's subset.
+/// Range of the ready servers that forms a gateway's subset.
 #[derive(Clone)]
 pub(super) struct SubsetRange {
-    /// The position of its first server among all ready ones.
+    /// Rank of the first server of the range among all ready servers.
     pub start: usize,
-    /// Servers in the range.
+    /// Number of servers in the range.
     pub size: usize,
-    /// All ready servers.
+    /// Number of all ready servers.
     pub ready: usize,
 }
 
 impl SubsetRange {
-    /// Whether the range leaves some servers out.
+    /// Returns whether the range leaves out some ready servers.
     pub fn is_partial(&self) -> bool {
         self.size < self.ready
     }
 
-    /// Whether a position lies in the range.
+    /// Returns whether a position lies in the range.
     pub fn contains(&self, position: usize) -> bool {
         position < self.size
     }
 
-    /// The server at a position.
+    /// Returns the server at a position, counted from the start of the range.
     pub fn at<'a>(&self, servers: &'a ServerIndex, position: usize) -> Option<&'a Server> {
         servers.at(Subset::Ready, (self.start + position) % self.ready.max(1))
     }
 
-    /// The position of a ready server.
+    /// Returns the position of a ready server, counted from the start of the range.
     pub fn position(&self, servers: &ServerIndex, server: &Server) -> usize {
         let rank = servers.rank(Subset::Ready, server.endpoint.server);
         (rank + self.ready - self.start) % self.ready.max(1)
     }
 
-    /// The members of a subset past the range with their positions, in their order, all the way round.
-    pub fn past<'a>(
+    /// Returns the members of a subset outside the range with their positions, in ring order from its end.
+    pub fn positions_after<'a>(
         &'a self,
         servers: &'a ServerIndex,
         subset: Subset,
@@ -63,27 +65,27 @@
 }
 
 impl Gateway {
-    /// This gateway's subset of so many ready servers.
+    /// Returns this gateway's subset of `ready` servers.
     pub(super) fn subset_range(&self, ready: usize) -> SubsetRange {
         let size = self.subset_size(ready);
-        // Subsets begin at places spread evenly over the list, those of neighbouring gateways far apart.
-        let start = if size == ready { 0 } else { (self.spread_fraction() * ready as f64) as usize };
+        // Start positions are spread evenly over the list, those of consecutive gateway numbers far apart.
+        let start = if size == ready { 0 } else { (self.start_fraction() * ready as f64) as usize };
         SubsetRange { start, size, ready }
     }
 
-    /// A fraction of its own for each gateway, evenly spread over all of them.
-    pub(super) fn spread_fraction(&self) -> f64 {
+    /// Returns a fraction in [0, 1) that differs for each gateway and is evenly spread over all gateways.
+    pub(super) fn start_fraction(&self) -> f64 {
         (self.settings.gateway_index as f64 * GOLDEN_RATIO).fract()
     }
 
-    /// How many of so many servers one gateway sends to.
+    /// Returns how many servers one gateway sends to, of `servers` ready ones.
     pub(crate) fn subset_size(&self, servers: usize) -> usize {
         let shared = (servers * GATEWAYS_PER_SERVER).div_ceil(self.settings.gateway_count);
         shared.max(MIN_SUBSET_SIZE).min(servers)
     }
 
-    /// How many gateways have a server in their subset, on average.
-    pub(crate) fn senders_per_server(&self) -> f64 {
+    /// Returns the mean number of gateways whose subset contains a given server.
+    pub(crate) fn gateways_per_server(&self) -> f64 {
         let ready = self.servers.count(Subset::Ready).max(1);
         self.settings.gateway_count as f64 * self.subset_size(ready) as f64 / ready as f64
     }
--- a/crates/core/src/endpoints/load_report.rs
+++ b/crates/core/src/endpoints/load_report.rs
@@ -8,7 +8,7 @@
     pub(crate) fn apply_load_report(&mut self, now: Micros, id: ServerId, report: Option<LoadReport>) {
         let Some(report) = report else { return };
         let gateways = self.settings.gateway_count as f64;
-        let senders = self.senders_per_server();
+        let senders = self.gateways_per_server();
         self.servers.update(now, id, |server| {
             let own = f64::from(server.attempts_in_flight);
             let in_flight = report.in_flight.map(|in_flight| in_flight - own);
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -1,5 +1,5 @@
-//! The state of one gateway and the entrance of its decisions. Each module beside this one owns a part of the
-//! state; a decision that needs several parts is a method of [`Gateway`] in the module that it belongs to.
+//! The state of one gateway and the entry point for its events. Each sibling module owns a part of the state;
+//! a decision that needs several parts is a method of [`Gateway`], defined in the module that it belongs to.
 
 use crate::admission::client_timeouts::ClientTimeouts;
 use crate::api::{Action, EndpointCounts, Event, Micros, Plan, RequestId, Settings, SettingsError, TimerId};
@@ -20,67 +20,67 @@
 use crate::timer::Timer;
 use std::collections::BTreeMap;
 
-/// Time between two ticks: well under the length of any burst.
+/// Interval between two ticks, well below the duration of any burst.
 pub(crate) const TICK_INTERVAL: Micros = 100_000;
 
-/// The decisions of one gateway.
+/// The decision core of one gateway.
 #[derive(Default)]
 pub struct Gateway {
-    /// Its configuration.
+    /// Configuration of the gateway, validated.
     pub(crate) settings: Settings,
-    /// The highest priority weight of a request.
+    /// Highest priority weight that a request can have, over all classes and plans.
     pub(crate) highest_weight: f64,
-    /// The highest cost of a request over its quota.
+    /// Highest weighted overage cost of all plans; see [`Plan::weighted_overage_cost`].
     pub(crate) highest_overage_cost: f64,
-    /// When this process started.
+    /// Start time of this process.
     pub(crate) started_at: Micros,
-    /// The first event has come, and with it the first tick.
-    pub(crate) has_ticked: bool,
-    /// When this process ends; far away until it shuts down.
+    /// Whether the first event was handled, which starts the ticks.
+    pub(crate) has_started: bool,
+    /// Time by which this process ends; [`Micros::MAX`] until a shutdown begins.
     pub(crate) shutdown_deadline: Micros,
-    /// The requests that are open or have an attempt in flight.
+    /// Requests that are open or have an attempt in flight.
     pub(crate) requests: BTreeMap<RequestId, Request>,
-    /// How long clients usually wait.
+    /// Typical client timeout of each class.
     pub(crate) client_timeouts: ClientTimeouts,
-    /// The customers.
+    /// Customers known to this gateway.
     pub(crate) customers: CustomerTable,
-    /// Those with use to be reported.
+    /// Customers whose usage is still to be reported to peers or the shared counter.
     pub(crate) changed_customers: ChangedCustomers,
-    /// When a response last reported use.
+    /// Time of the last usage report in a response.
     pub(crate) usage_reported_at: Micros,
-    /// Calls of the shared counter.
+    /// Budget for calls of the shared counter and the calls in flight.
     pub(crate) counter_calls: CounterCalls,
-    /// Gossip with other gateways.
+    /// State of the gossip with peers.
     pub(crate) gossip: Gossip,
-    /// The servers.
+    /// Servers known to this gateway.
     pub(crate) servers: ServerIndex,
-    /// When servers started, by this process's clock.
+    /// Start times of servers, on this process's clock.
     pub(crate) start_times: StartTimes,
-    /// When servers were last sent health checks.
+    /// Time of the last health check sent to any server.
     pub(crate) health_checked_at: Micros,
-    /// The virtual time of servers that take turns, microseconds.
+    /// Virtual time of the fair queueing among servers, in microseconds.
     pub(crate) virtual_time: f64,
-    /// What the attempts show of the back end's load.
+    /// Back end's load as observed through this gateway's attempts.
     pub(crate) load: BackendLoad,
-    /// The retry budget.
+    /// Budget for retries.
     pub(crate) retry_budget: RetryBudget,
-    /// How long attempts are waited for.
+    /// Attempt timeout of each class.
     pub(crate) attempt_timeouts: AttemptTimeouts,
-    /// Random numbers for all but the choice of servers.
+    /// Random numbers for everything except server selection.
     pub(crate) random_source: RandomSource,
-    /// Random numbers for the choice of servers.
+    /// Random numbers for server selection.
     pub(crate) server_sampler: RandomSource,
-    /// Customers and gateways examined by ticks since the start.
+    /// Number of customer and gateway entries that ticks have examined since the start.
     pub(crate) entries_examined: u64,
 }
 
 impl Gateway {
-    /// A gateway that starts now, or the field of the settings that makes no sense.
+    /// Creates a gateway that starts at `now`. Fails with the first invalid field of the settings.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         validate(&settings)?;
         let weights = settings.classes.iter().map(|class| class.priority_weight);
         let highest_class_weight = weights.fold(0.0, f64::max);
-        let highest_of = |figure: fn(&Plan) -> f64| settings.plans.iter().map(figure).fold(0.0, f64::max);
+        let highest_of = |value_of: fn(&Plan) -> f64| settings.plans.iter().map(value_of).fold(0.0, f64::max);
         Ok(Gateway {
             highest_weight: highest_class_weight * highest_of(|plan| plan.weight_multiplier),
             highest_overage_cost: highest_of(Plan::weighted_overage_cost),
@@ -100,11 +100,11 @@
         })
     }
 
-    /// Handles one event and appends the actions to carry out, in order.
+    /// Handles one event and appends the resulting actions, in the order in which to carry them out.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.servers.advance(now);
-        if !std::mem::replace(&mut self.has_ticked, true) {
-            self.begin(now, actions);
+        if !std::mem::replace(&mut self.has_started, true) {
+            self.start(now, actions);
         }
         match event {
             Event::EndpointsChanged { watch_event, endpoints } => {
@@ -130,15 +130,15 @@
         }
     }
 
-    /// Does what is due with the first event.
-    fn begin(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    /// Polls the endpoint list if it has to be polled, and runs the first tick.
+    fn start(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.settings.capabilities.polls_discovery {
             actions.push(Action::PollEndpoints);
         }
         self.tick(now, actions);
     }
 
-    /// Does what is due ten times a second.
+    /// Runs the periodic work, ten times a second, and sets the timer of the next tick.
     fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.report_changed_customers(now, actions);
         self.send_gossip(now, actions);
@@ -148,23 +148,22 @@
         actions.push(Action::Timer { at: now + TICK_INTERVAL, timer: Timer::Tick.into() });
     }
 
-    /// Does what a timer was set for.
     fn timer_expired(&mut self, now: Micros, timer: TimerId, actions: &mut Vec<Action>) {
         match timer.into() {
             Timer::Tick => self.tick(now, actions),
             Timer::RequestDeadline(id) => self.expire_request(now, id, actions),
-            Timer::QueueTimeout(id) => self.expire_queueing(now, id, actions),
+            Timer::QueueTimeout(id) => self.expire_queued_request(now, id, actions),
         }
     }
 
-    /// Changes the record of a request, if it is still there.
+    /// Applies a change to the record of a request, if there still is one.
     fn update_request(&mut self, id: RequestId, change: impl FnOnce(&mut Request)) {
         if let Some(request) = self.requests.get_mut(&id) {
             change(request);
         }
     }
 
-    /// How many servers are listed, and how many of them are ejected.
+    /// Returns how many servers are listed and how many ejections are enforced at `now`.
     pub fn endpoint_counts(&self, now: Micros) -> EndpointCounts {
         let ready = self.servers.count(Subset::Ready);
         EndpointCounts {
@@ -173,8 +172,8 @@
         }
     }
 
-    /// How many entries for servers, customers and gateways were examined since the start, which tests hold
-    /// to a bound. Steps of a search in an index are not counted.
+    /// Returns how many entries for servers, customers and gateways were examined since the start. Tests
+    /// assert an upper bound on it. Steps of a search in an index are not counted.
     pub fn entries_visited(&self) -> u64 {
         self.servers.visited() + self.customers.visited() + self.entries_examined
     }
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -46,6 +46,6 @@
     pub(crate) fn overage_is_acceptable(&self, plan_index: usize) -> bool {
         let plan = self.settings.plans.get(plan_index);
         let pays = plan.is_some_and(|plan| plan.overage_weight > plan.overage_cost);
-        pays && self.load.is_fast()
+        pays && self.load.is_below_target_latency()
     }
 }
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -1,75 +1,76 @@
-//! The records of clients' requests and of their attempts; nothing is decided here.
+//! Records of clients' requests and of their attempts, without any decisions.
 
 use crate::api::{CustomerId, Micros, ServerId};
 
 /// An attempt of a request at a server.
 pub(crate) struct Attempt {
-    /// The server that it was sent to.
+    /// Server that the attempt was sent to.
     pub server: ServerId,
-    /// When it was sent, or when the last of a long body was.
+    /// Send time, or the time when the last part of a streamed body was sent.
     pub sent_at: Micros,
-    /// No outcome yet.
+    /// Whether the attempt has no outcome yet.
     pub in_flight: bool,
-    /// Its server may have begun work on it.
+    /// Whether the attempt has ended and its server may have begun work on it.
     pub may_have_run: bool,
-    /// Requests that the server was expected to have in flight at the send.
+    /// Number of requests expected in flight at the server when the attempt was sent.
     pub expected_in_flight: f64,
-    /// Waited for no longer than a slow response takes.
+    /// Whether the attempt was sent with the attempt timeout of its class rather than the request's deadline.
     pub uses_attempt_timeout: bool,
-    /// The server has received the complete request.
+    /// Whether the complete request was sent to the server.
     pub fully_sent: bool,
 }
 
 /// A client's request.
 #[derive(Default)]
 pub(crate) struct Request {
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Index of its plan.
+    /// Index of the customer's plan.
     pub plan: usize,
-    /// Whose it is.
+    /// Customer that the request is charged to.
     pub customer: CustomerId,
-    /// Units of quota that it uses.
+    /// Units of quota that the request uses.
     pub units: f64,
-    /// When it reached this machine, or when the last of a long body did.
+    /// Time when the request, or the last part of a streamed body, reached this machine.
     pub arrived_at: Micros,
-    /// Time that the client has spent on earlier tries of the same request.
+    /// Time that the client has spent on earlier tries of the same request, in microseconds.
     pub elapsed_before_arrival: Micros,
-    /// When it must have its final answer.
+    /// Time by which the request must have its final answer.
     pub deadline: Micros,
-    /// Waits for its pacing delay or for the shared counter.
+    /// Whether the request is queued for its pacing delay or for the shared counter.
     pub queued: bool,
-    /// Within the customer's quota.
+    /// Whether the request is within the customer's quota.
     pub within_quota: bool,
-    /// Its response has begun to stream.
+    /// Whether the response has begun to stream.
     pub response_started: bool,
-    /// Part of its body was forwarded and is not buffered.
+    /// Whether part of the body was forwarded without being buffered, which rules out further attempts.
     pub body_consumed: bool,
-    /// Part of its body is still to come.
+    /// Whether part of the body has not been received yet.
     pub body_incomplete: bool,
-    /// Answered, or abandoned by its client.
+    /// Whether the request has its final answer or its client disconnected.
     pub finished: bool,
-    /// Its attempts in the order of their sends.
+    /// Attempts of the request, in the order in which they were sent.
     pub attempts: Vec<Attempt>,
 }
 
 impl Request {
-    /// The first attempt that ended and may have run.
+    /// Returns the first attempt that ended and may have run.
     pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run)
     }
 
-    /// The first attempt that may have run or may still do so.
-    pub fn first_that_may_run(&self) -> Option<&Attempt> {
+    /// Returns the first attempt that may have run or is still in flight.
+    pub fn first_that_may_take_effect(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run || attempt.in_flight)
     }
 
-    /// Whether an attempt has no outcome yet.
+    /// Returns whether an attempt has no outcome yet.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// The remainder of a latency objective at a time, counted from the client's first try.
+    /// Returns what remains of a latency objective that counts from the client's first try, or 0 if it is
+    /// over.
     pub fn objective_left(&self, now: Micros, latency_objective: Micros) -> Micros {
         (self.arrived_at + latency_objective).saturating_sub(now + self.elapsed_before_arrival)
     }
--- a/crates/core/src/running_quantile.rs
+++ b/crates/core/src/running_quantile.rs
@@ -1,8 +1,8 @@
-//! Running estimates of a quantile, which move by a step with each sample.
+//! Running estimation of a quantile by stochastic approximation: each sample moves the estimate by a step.
 
-/// The direction in which an estimate moves for a sample: none on average once the share `quantile` of the
-/// samples is below it.
-pub(crate) fn step_direction(estimate: f64, sample: f64, quantile: f64) -> f64 {
+/// Returns the signed factor of the step by which a sample moves the estimate. The factor is 0 on average
+/// once the share `quantile` of the samples is below the estimate.
+pub(crate) fn step_factor(estimate: f64, sample: f64, quantile: f64) -> f64 {
     if sample > estimate {
         quantile
     } else {
