--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -111,12 +111,12 @@
         let quota_is_irrelevant = self.overage_is_acceptable(request.plan) || self.is_overloaded(now, weight);
         let Some(customer) = self.customers.get_mut(customer_id) else { return };
         customer.record_arrival(now, request.units, source, max_queueing_us / 1e3);
-        let is_covered = customer.covers(now, request.units, source);
+        let is_covered = customer.is_within_quota(now, request.units, source);
         let dequeue_at = customer.pacer.dequeue_at(now, max_queueing_us as Micros);
         let needs_counter = !quota_is_irrelevant
             && self.settings.capabilities.shared_counter
-            && customer.needs_total(request.units, source)
-            && self.counter_calls.allow_call_for(now, customer, self.highest_overage_cost);
+            && customer.needs_counter_total(request.units, source)
+            && self.counter_calls.allows_call_for(now, customer, self.highest_overage_cost);
         // A request over the quota may not be forwarded at all.
         let reserve = if customer.demand.at(now) > 1.0 { 0.0 } else { request.units };
         actions.push(Action::Timer { at: request.deadline, timer: Timer::RequestDeadline(id).into() });
@@ -159,9 +159,9 @@
         let Some(customer) = self.customers.get_mut(customer_id) else { return };
         customer.refill(now, units, source);
         grant_share_of_demand(customer, now, units, source);
-        let within_quota = customer.covers(now, units, source);
+        let within_quota = customer.is_within_quota(now, units, source);
         if !within_quota && !overage_is_acceptable {
-            let retry_after = (customer.seconds_until_covered(now, units, source) * 1e6) as Micros;
+            let retry_after = (customer.seconds_until_available(now, units, source) * 1e6) as Micros;
             return self.reject_or_fail(id, retry_after, actions);
         }
         if let Some(request) = self.requests.get_mut(&id) {
@@ -178,7 +178,7 @@
 /// request.
 fn grant_share_of_demand(customer: &mut Customer, now: Micros, units: f64, source: UsageSource) {
     let demand = customer.demand.at(now);
-    if source == UsageSource::Metered && demand > 1.0 {
+    if source == UsageSource::Reported && demand > 1.0 {
         customer.bucket.grant_allowance(units / demand, units);
     }
 }
--- a/crates/core/src/attempts/dispatch.rs
+++ b/crates/core/src/attempts/dispatch.rs
@@ -107,7 +107,7 @@
         }
         customer.hard_limit.take(request.units);
         if request.within_quota {
-            customer.use_units(request.units);
+            customer.consume_units(request.units);
             self.changed_customers.insert(request.customer);
         }
         self.retry_budget.earn();
--- a/crates/core/src/customer/counter_account.rs
+++ b/crates/core/src/customer/counter_account.rs
@@ -1,53 +1,54 @@
-//! What this gateway has reported to the shared counter of a customer's use and what it knows of the
-//! counter's total.
+//! The usage that this gateway has reported to the shared counter for one customer, and the counter's last
+//! known total.
 //!
-//! A total means different things to few and to many gateways. Few see the customer often: what a total rose
-//! by besides a gateway's own use is the others' ([`CounterAccount::use_of_others`]). One of many sees it
-//! seldom: the total since the start of a window alone tells what the bucket holds
-//! ([`CounterAccount::level_by_shared_total`]).
+//! A total is interpreted by the number of gateways that serve the customer. Few gateways see the customer
+//! often: the increase of the total beyond a gateway's own usage is the peers'
+//! ([`CounterAccount::peer_usage_since_last_total`]). One of many gateways sees the customer seldom: the
+//! total since the start of a window has to give the level of the bucket by itself
+//! ([`CounterAccount::level_from_total`]).
 
 use crate::api::{Micros, Plan, RequestId};
 use crate::customer::token_bucket::max_deficit;
 use crate::decaying_rate::seconds;
 use crate::handover::text::handover_record;
 
-/// The longest lifetime of a counter's key.
+/// Maximum lifetime of a counter key.
 pub(crate) const COUNTER_KEY_LIFETIME: Micros = 60_000_000;
-/// A total as young as this needs no second look.
-pub(crate) const TOTAL_FRESH_FOR: Micros = 200_000;
-/// A total that fell below this part of the last one has started anew.
-const RESTARTED_TOTAL: f64 = 0.5;
-/// Part of the burst reserved for use that never reaches a total: use without a call, differences of true
-/// units.
-const RESERVE_OF_BURST: f64 = 0.2;
-/// A total that lags by more than this part of the burst hides how much the bucket could not hold.
-const MAX_LAG_OF_BURST: f64 = 0.25;
-/// Part of the gateways that correct a total which is far ahead: the others' corrections may be under way.
-const CORRECTING_PART: f64 = 0.1;
-/// Part of a correction; others' use that rose by so much meanwhile was the same correction by another
-/// gateway.
-const DUPLICATE_CORRECTION: f64 = 0.8;
-
-/// The account.
+/// Age up to which a total is used without another lookup.
+pub(crate) const FRESH_TOTAL_MAX_AGE: Micros = 200_000;
+/// Fraction of the last total below which a new total shows that the counter restarted from 0.
+const RESTARTED_TOTAL_FRACTION: f64 = 0.5;
+/// Fraction of the burst reserved for usage that never reaches a total: units used without a call and
+/// differences from settlement.
+const RESERVED_BURST_FRACTION: f64 = 0.2;
+/// Fraction of the burst by which a total may lag behind the refill. A larger lag hides how many units
+/// overflowed the bucket.
+const MAX_LAG_FRACTION: f64 = 0.25;
+/// Probability with which a gateway corrects a total that is far too high: corrections by peers may be in
+/// progress.
+const CORRECTION_PROBABILITY: f64 = 0.1;
+/// Fraction of a correction. If peer usage rose by this much in the meantime, a peer has made the same
+/// correction.
+const DUPLICATE_CORRECTION_FRACTION: f64 = 0.8;
+
+/// A gateway's record of its calls to the shared counter for one customer.
 #[derive(Default)]
 pub(crate) struct CounterAccount {
-    /// Units used here that no call has reported yet; negative where a reservation was not used.
+    /// Units used at this gateway that no call has reported yet; negative where a reservation was not used.
     unreported_units: f64,
     /// Units that the call in flight adds.
     units_in_call: f64,
-    /// Differences between true and named units, for the next call.
+    /// Differences between true and declared units, to be added by the next call.
     settlement_due: f64,
-    /// A call has no reply yet.
     call_in_flight: bool,
-    /// When the counter last replied with a total.
+    /// Time of the counter's last reply with a total.
     replied_at: Option<Micros>,
-    /// The last total.
     total: Option<f64>,
-    /// Units of calls without a reply, which may have been added.
+    /// Units of calls without a reply, which the counter may or may not have added.
     possibly_counted_units: f64,
-    /// Units that the bucket could not hold since the last total.
+    /// Units that overflowed the bucket since the last total.
     overflow: f64,
-    /// The correction of the total that the call in flight makes.
+    /// Correction of the total that the call in flight makes.
     total_correction: f64,
     /// Requests that wait for the call in flight.
     queued_requests: Vec<RequestId>,
@@ -56,63 +57,63 @@
 handover_record!(CounterAccount { unreported_units, possibly_counted_units, replied_at, overflow, total }
     times {});
 
-/// A call that has ended.
+/// A finished counter call.
 pub(crate) struct CompletedCall {
-    /// Units that it was to add.
+    /// Units that the call was to add.
     pub units: f64,
-    /// Requests that waited for it.
+    /// Requests that waited for the call.
     pub queued_requests: Vec<RequestId>,
 }
 
 impl CounterAccount {
-    /// Counts units used here.
-    pub fn add_use(&mut self, units: f64) {
+    /// Adds units used at this gateway to those not reported yet.
+    pub fn add_usage(&mut self, units: f64) {
         self.unreported_units += units;
     }
 
-    /// Counts the difference between a request's true and named units, for the next call.
+    /// Adds the difference between a request's true and declared units, which the next call reports.
     pub fn add_settlement(&mut self, difference: f64) {
         self.settlement_due += difference;
     }
 
-    /// Counts units that the bucket could not hold.
+    /// Adds units that overflowed the bucket.
     pub fn add_overflow(&mut self, units: f64) {
         self.overflow += units;
     }
 
-    /// Units that no call has reported yet.
+    /// Returns the units that no call has reported yet.
     pub fn unreported_units(&self) -> f64 {
         self.unreported_units
     }
 
-    /// Whether a call has no reply yet.
+    /// Returns whether a call has no reply yet.
     pub fn has_call_in_flight(&self) -> bool {
         self.call_in_flight
     }
 
-    /// Whether the last total is so young that it needs no second look.
-    pub fn is_fresh(&self, now: Micros) -> bool {
-        self.replied_at.is_some_and(|at| now <= at + TOTAL_FRESH_FOR)
+    /// Returns whether the last total is recent enough to be used without another lookup.
+    pub fn has_fresh_total(&self, now: Micros) -> bool {
+        self.replied_at.is_some_and(|at| now <= at + FRESH_TOTAL_MAX_AGE)
     }
 
-    /// The last total.
+    /// Returns the total of the counter's last reply.
     pub fn total(&self) -> Option<f64> {
         self.total
     }
 
-    /// Whether another call is due at once: the total lacks a correction, or holds a reservation that was not
-    /// used.
+    /// Returns whether another call is due at once because the total lacks a correction or holds a
+    /// reservation that was not used.
     pub fn needs_correction(&self) -> bool {
         self.total_correction != 0.0 || self.unreported_units != 0.0
     }
 
-    /// Queues a request until the call in flight has its reply.
+    /// Queues a request until the call in flight ends.
     pub fn queue(&mut self, id: RequestId) {
         self.queued_requests.push(id);
     }
 
-    /// Begins a call that reports all that is due and reserves units, which count as used until the request
-    /// is forwarded; returns what to add.
+    /// Begins a call that reports all outstanding units and reserves `reserve` units, which count as used
+    /// until the request is forwarded. Returns the amount to add.
     pub fn begin_call(&mut self, reserve: f64) -> f64 {
         self.call_in_flight = true;
         let settlement = std::mem::take(&mut self.settlement_due);
@@ -121,7 +122,7 @@
         self.units_in_call
     }
 
-    /// Begins a second call that only looks a total up.
+    /// Begins a second call that only looks up a total.
     pub fn begin_lookup(&mut self, total: f64) {
         self.call_in_flight = true;
         self.total = Some(total);
@@ -136,12 +137,12 @@
         }
     }
 
-    /// Records that the counter replied with a total.
+    /// Records the time of a reply with a total.
     pub fn record_reply(&mut self, now: Micros) {
         self.replied_at = Some(now);
     }
 
-    /// Takes back the units of a call that was refused.
+    /// Adds the units of a refused call, less its correction of the total, back to those not reported yet.
     pub fn record_refusal(&mut self, units: f64) {
         self.unreported_units += units - std::mem::take(&mut self.total_correction);
     }
@@ -152,62 +153,66 @@
         self.total_correction = 0.0;
     }
 
-    /// Applies a total among few gateways; returns the units that others used since the last one, less those
-    /// that earlier calls of this gateway without a reply added.
-    pub fn use_of_others(&mut self, counted: CountedTotal) -> f64 {
-        let before = counted.before();
-        let last = self.total.replace(counted.total).unwrap_or(before);
-        let others = if before < last * RESTARTED_TOTAL { before.max(0.0) } else { before - last };
-        others - std::mem::take(&mut self.possibly_counted_units).clamp(0.0, others.max(0.0))
+    /// Applies a total where few gateways serve the customer. Returns the units that peers have used since
+    /// the last total, less the units of this gateway's earlier calls without a reply that may be included in
+    /// it.
+    pub fn peer_usage_since_last_total(&mut self, counter_total: CounterTotal) -> f64 {
+        let before = counter_total.before();
+        let last = self.total.replace(counter_total.total).unwrap_or(before);
+        let peer_usage =
+            if before < last * RESTARTED_TOTAL_FRACTION { before.max(0.0) } else { before - last };
+        peer_usage - std::mem::take(&mut self.possibly_counted_units).clamp(0.0, peer_usage.max(0.0))
     }
 
-    /// Units that the bucket could not hold since the last total.
+    /// Returns the units that overflowed the bucket since the last total, and resets them.
     pub fn take_overflow(&mut self) -> f64 {
         std::mem::take(&mut self.overflow)
     }
 
-    /// Applies the last total of the previous window, in which the bucket was full at first; returns the
-    /// deficit with which the next window starts.
+    /// Applies the last total of the previous window, which began with a full bucket. Returns the deficit
+    /// with which the current window begins.
     pub fn carry_over_deficit(&mut self, total: f64, plan: &Plan) -> f64 {
         let refilled = plan.rate * seconds(COUNTER_KEY_LIFETIME);
         self.total_correction = (total - refilled).clamp(0.0, max_deficit(plan));
         self.total_correction
     }
 
-    /// Applies a total among many gateways, of a window that began with a full bucket, which has been
-    /// refilled for the time `elapsed` since; returns the level of the bucket. Where the total lags behind
-    /// the refill, the bucket overflowed: the difference has to be added to the total, or the next burst
-    /// would use it.
-    /// `fraction` is random, so that only a part of the gateways corrects a total that is far ahead.
+    /// Applies a total where many gateways serve the customer. The total's window began with a full bucket,
+    /// which has been refilled for the time `elapsed` since. Returns the level of the bucket. A total that
+    /// lags behind the refill shows that the bucket overflowed: the difference must be added to the total, or
+    /// the next burst would use it. `random_fraction` is drawn so that only some of the gateways correct a
+    /// total that is far too high.
     ///
-    /// `None` if another gateway has just made the same correction: ours is taken back by the next call.
-    pub fn level_by_shared_total(
+    /// Returns `None` if a peer has just made the same correction; the next call then reverts this gateway's.
+    pub fn level_from_total(
         &mut self,
         elapsed: Micros,
-        counted: CountedTotal,
+        counter_total: CounterTotal,
         plan: &Plan,
-        fraction: f64,
+        random_fraction: f64,
     ) -> Option<f64> {
         let correction = std::mem::take(&mut self.total_correction);
-        let before = counted.before();
-        let others = before - self.total.replace(counted.total).unwrap_or(before);
-        if correction != 0.0 && others / correction >= DUPLICATE_CORRECTION {
+        let before = counter_total.before();
+        let peer_usage = before - self.total.replace(counter_total.total).unwrap_or(before);
+        if correction != 0.0 && peer_usage / correction >= DUPLICATE_CORRECTION_FRACTION {
             self.total_correction = -correction;
             return None;
         }
-        let lag = plan.rate * seconds(elapsed) - counted.total - self.unreported_units - self.settlement_due;
+        let lag =
+            plan.rate * seconds(elapsed) - counter_total.total - self.unreported_units - self.settlement_due;
         let excess = (lag + max_deficit(plan)).min(0.0);
-        self.total_correction = if lag > MAX_LAG_OF_BURST * plan.burst {
+        self.total_correction = if lag > MAX_LAG_FRACTION * plan.burst {
             lag
-        } else if fraction < CORRECTING_PART {
+        } else if random_fraction < CORRECTION_PROBABILITY {
             excess
         } else {
             0.0
         };
-        Some(plan.burst * (1.0 - RESERVE_OF_BURST) + lag.min(0.0))
+        Some(plan.burst * (1.0 - RESERVED_BURST_FRACTION) + lag.min(0.0))
     }
 
-    /// Puts all that is not reported, or may not have been, into what the next process takes over.
+    /// Adds all units that are not reported, or may not have been, to the fields that are handed over.
+    /// Returns the possibly counted units that this process keeps.
     pub fn prepare_handover(&mut self) -> f64 {
         self.unreported_units += std::mem::take(&mut self.settlement_due);
         let possibly_counted = self.possibly_counted_units;
@@ -215,24 +220,25 @@
         possibly_counted
     }
 
-    /// Leaves with this process only what its open requests still settle for.
+    /// Resets the handed-over units, so that this process keeps only those that its open requests still
+    /// settle.
     pub fn complete_handover(&mut self, possibly_counted: f64) {
         self.unreported_units = 0.0;
         self.possibly_counted_units = possibly_counted;
     }
 }
 
-/// A total of the shared counter, with what the call that it replies to added.
+/// A total of the shared counter and the amount that the replied call added.
 #[derive(Clone, Copy)]
-pub(crate) struct CountedTotal {
-    /// The total after the call.
+pub(crate) struct CounterTotal {
+    /// Total after the call.
     pub total: f64,
-    /// What the call added.
+    /// Amount added by the call.
     pub added: f64,
 }
 
-impl CountedTotal {
-    /// The total before the call.
+impl CounterTotal {
+    /// Returns the total before the call.
     pub fn before(self) -> f64 {
         self.total - self.added
     }
--- a/crates/core/src/customer/pacer.rs
+++ b/crates/core/src/customer/pacer.rs
@@ -1,32 +1,31 @@
-//! The pacer of requests over the quota: the peak load control of Lee and Min (2007), their Figure 10. At the
-//! end of each interval the delay grows with the load over the quota, or falls by a factor.
+//! The pacing delay of requests over the quota: the peak load control of Lee and Min (2007), their Figure 10.
+//! At the end of each interval the delay grows with the load over the quota, or is reduced by a factor.
 //!
-//! In the paper's terms [`INTERVAL`] is the control interval, [`MIN_DELAY_MS`] is δ and [`DELAY_DECREASE`] is
-//! β.
+//! In the paper's terms [`INTERVAL`] is the control interval, [`MIN_DELAY_MS`] is δ and
+//! [`DELAY_DECREASE_FACTOR`] is β.
 
 use crate::api::Micros;
 use crate::decaying_rate::seconds;
 use crate::handover::text::handover_record;
 
-/// The control interval: long enough for a few requests of a small plan.
+/// Control interval, long enough for a few requests of a small plan.
 const INTERVAL: Micros = 500_000;
-/// A delay as short as this smooths nothing, so that it may fall to none, milliseconds.
+/// Delay, in milliseconds, that is too short to smooth the load; from there the delay is set to 0.
 const MIN_DELAY_MS: f64 = 10.0;
 /// Factor on the delay after an interval within the quota.
-const DELAY_DECREASE: f64 = 0.5;
-/// The delay that the first interval over the quota starts from, milliseconds.
+const DELAY_DECREASE_FACTOR: f64 = 0.5;
+/// Delay, in milliseconds, from which the first interval over the quota starts.
 const FIRST_DELAY_MS: f64 = 1.0;
 
 /// The pacer of one customer.
 #[derive(Default)]
 pub(crate) struct Pacer {
-    /// The delay between two requests, milliseconds.
+    /// Delay between two requests, in milliseconds.
     delay_ms: f64,
-    /// When the current interval started.
     interval_started_at: Micros,
-    /// Units that arrived in it.
+    /// Units that arrived in the current interval.
     interval_units: f64,
-    /// When the last queued request leaves the queue.
+    /// Time at which the last queued request leaves the queue.
     last_dequeue_at: Micros,
 }
 
@@ -34,12 +33,12 @@
     times { interval_started_at, last_dequeue_at });
 
 impl Pacer {
-    /// A pacer without delay whose first interval starts now.
+    /// Creates a pacer without delay whose first interval starts now.
     pub fn new(now: Micros) -> Pacer {
         Pacer { interval_started_at: now, ..Pacer::default() }
     }
 
-    /// Ends the intervals that are over.
+    /// Ends the intervals that have elapsed and updates the delay after each.
     pub fn advance(&mut self, now: Micros, quota_rate: f64, in_flight: u32, max_delay_ms: f64) {
         while now >= self.interval_started_at + INTERVAL {
             let excess_rate = self.interval_units / seconds(INTERVAL) - quota_rate;
@@ -47,36 +46,35 @@
             self.interval_units = 0.0;
             self.interval_started_at += INTERVAL;
             if self.delay_ms == 0.0 {
-                // Further intervals without arrivals change nothing.
+                // Further intervals without arrivals do not change the delay.
                 self.interval_started_at += (now - self.interval_started_at) / INTERVAL * INTERVAL;
             }
         }
     }
 
-    /// The delay of the next interval.
     fn next_delay_ms(&self, excess_rate: f64, in_flight: u32, max_delay_ms: f64) -> f64 {
         if excess_rate > 0.0 {
             let delay_ms = if self.delay_ms == 0.0 { FIRST_DELAY_MS } else { self.delay_ms };
             (excess_rate / f64::from(in_flight.max(1)) * delay_ms).min(max_delay_ms)
         } else if self.delay_ms > MIN_DELAY_MS {
-            self.delay_ms * DELAY_DECREASE
+            self.delay_ms * DELAY_DECREASE_FACTOR
         } else {
             0.0
         }
     }
 
-    /// Counts units that arrive.
+    /// Adds units that arrive in the current interval.
     pub fn add_units(&mut self, units: f64) {
         self.interval_units += units;
     }
 
-    /// When a request that is queued now would leave the queue.
+    /// Returns the time at which a request that is queued now would leave the queue.
     pub fn dequeue_at(&self, now: Micros, max_wait: Micros) -> Micros {
         let delay = (self.delay_ms * 1e3) as Micros;
         (self.last_dequeue_at.max(now) + delay).min(now + max_wait)
     }
 
-    /// Records when the last queued request leaves the queue.
+    /// Records the time at which the last queued request leaves the queue.
     pub fn set_last_dequeue_at(&mut self, at: Micros) {
         self.last_dequeue_at = at;
     }
--- a/crates/core/src/customer/table.rs
+++ b/crates/core/src/customer/table.rs
@@ -1,50 +1,50 @@
-//! The table of customers with the queue of those to be forgotten, and the set of those with use to be
-//! reported. A tick touches only what is due; nothing is decided here.
+//! The table of customers with its eviction queue, and the set of customers whose usage is to be reported. A
+//! tick examines only entries that are due; decisions are made elsewhere.
 
 use super::Customer;
 use crate::api::{CustomerId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The customers, by number.
+/// The customers of a gateway, by identifier, with their eviction queue.
 #[derive(Default)]
 pub(crate) struct CustomerTable {
-    /// The records.
     customers: BTreeMap<CustomerId, Box<Customer>>,
-    /// By a time before which the customer cannot be idle; it is examined again then.
+    /// Customers by the time of their next examination, before which they cannot be idle.
     idle_queue: BTreeSet<(Micros, CustomerId)>,
-    /// Customers examined by the queue since the start.
+    /// Number of customers that evictions have examined since the start.
     visited: u64,
 }
 
 impl CustomerTable {
-    /// Customers examined by the queue since the start.
+    /// Returns the number of customers that evictions have examined since the start.
     pub fn visited(&self) -> u64 {
         self.visited
     }
 
-    /// The record of a customer.
+    /// Returns a customer's record.
     pub fn get(&self, id: CustomerId) -> Option<&Customer> {
         self.customers.get(&id).map(Box::as_ref)
     }
 
-    /// The record of a customer, to be changed. The time until it may be forgotten may only get later by it.
+    /// Returns a customer's record for modification. A modification may only postpone the time at which the
+    /// customer becomes idle.
     pub fn get_mut(&mut self, id: CustomerId) -> Option<&mut Customer> {
         self.customers.get_mut(&id).map(Box::as_mut)
     }
 
-    /// All records in the order of numbers, to be changed as by [`Self::get_mut`].
+    /// Returns all records, ordered by identifier, for modification under the rule of [`Self::get_mut`].
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (CustomerId, &mut Customer)> {
         self.customers.iter_mut().map(|(id, customer)| (*id, customer.as_mut()))
     }
 
-    /// Adds a customer, or replaces its record.
+    /// Adds a customer or replaces its record.
     pub fn insert(&mut self, id: CustomerId, customer: Customer) {
         self.idle_queue.insert((customer.idle_at(), id));
         self.customers.insert(id, Box::new(customer));
     }
 
-    /// Forgets the customers that nothing is under way for and that are as good as new.
-    pub fn forget_idle(&mut self, now: Micros) {
+    /// Evicts the customers that have nothing in flight and whose state equals that of a new customer.
+    pub fn evict_idle(&mut self, now: Micros) {
         let mut later = Vec::new();
         while let Some((due, id)) = self.idle_queue.first().copied().filter(|(due, _)| *due <= now) {
             self.idle_queue.remove(&(due, id));
@@ -62,32 +62,32 @@
     }
 }
 
-/// Customers to be looked at by a tick, at most so many at a time, round robin.
+/// The customers that the next ticks examine, a limited number at a time, in round-robin order.
 #[derive(Default)]
 pub(crate) struct ChangedCustomers {
-    /// The customers.
     ids: BTreeSet<CustomerId>,
-    /// Where the next look begins.
-    next: CustomerId,
+    /// Identifier at which the next selection begins.
+    next_id: CustomerId,
 }
 
 impl ChangedCustomers {
-    /// Adds one, if it is not there yet.
+    /// Adds a customer; has no effect if it is already in the set.
     pub fn insert(&mut self, id: CustomerId) {
         self.ids.insert(id);
     }
 
-    /// Removes at most this many, beginning after the last one taken; all in order where there are no more.
+    /// Removes and returns at most `max` customers, beginning after the last one taken; if the set has no
+    /// more than `max`, returns all of them in ascending order.
     pub fn take(&mut self, max: usize) -> Vec<CustomerId> {
         if self.ids.len() <= max {
             return std::mem::take(&mut self.ids).into_iter().collect();
         }
-        let after = self.ids.range(self.next..);
-        let taken: Vec<CustomerId> = after.chain(self.ids.range(..self.next)).copied().take(max).collect();
+        let after = self.ids.range(self.next_id..);
+        let taken: Vec<CustomerId> = after.chain(self.ids.range(..self.next_id)).copied().take(max).collect();
         for id in &taken {
             self.ids.remove(id);
         }
-        self.next = CustomerId(taken.last().map_or(0, |last| last.0.wrapping_add(1)));
+        self.next_id = CustomerId(taken.last().map_or(0, |last| last.0.wrapping_add(1)));
         taken
     }
 }
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -144,7 +144,7 @@
         self.send_gossip(now, actions);
         self.refill_slow_start_budgets(now);
         self.check_health(now, actions);
-        self.customers.forget_idle(now);
+        self.customers.evict_idle(now);
         actions.push(Action::Timer { at: now + TICK_INTERVAL, timer: Timer::Tick.into() });
     }
 
--- a/crates/core/src/gossip/mod.rs
+++ b/crates/core/src/gossip/mod.rs
@@ -46,7 +46,7 @@
             customer: id,
             plan: customer.plan_index,
             gateway_count: customer.gateway_count,
-            total_eighths: customer.peer_usage.own_eighths(),
+            total_eighths: customer.peer_usage.local_total_eighths(),
             demand: customer.demand.reported(),
         })
     }
@@ -86,6 +86,6 @@
         let units = customer.peer_usage.record(from, incarnation, entry.total_eighths);
         // More than a burst at once is a total whose start was missed.
         let units = if units <= customer.plan.burst { units } else { 0.0 };
-        customer.bucket.take_use_of_peers(units, &customer.plan);
+        customer.bucket.take_peer_usage(units, &customer.plan);
     }
 }
--- a/crates/core/src/handover/mod.rs
+++ b/crates/core/src/handover/mod.rs
@@ -93,7 +93,7 @@
         let load = self.load.snapshot();
         GatewayRecord {
             relative_latency: load.relative_latency,
-            calls_per_request: self.counter_calls.per_request(),
+            calls_per_request: self.counter_calls.calls_per_request(),
             usage_reported_at: self.usage_reported_at,
             attempt_rate: load.attempt_rate,
             goodput: load.goodput,
@@ -162,7 +162,7 @@
 
     /// Restores the gateway's own line.
     fn restore_gateway(&mut self, record: GatewayRecord) {
-        self.counter_calls.set_per_request(record.calls_per_request);
+        self.counter_calls.set_calls_per_request(record.calls_per_request);
         self.usage_reported_at = record.usage_reported_at;
         self.load.restore(LoadSnapshot {
             relative_latency: record.relative_latency,
--- a/crates/core/src/quota/counter_report.rs
+++ b/crates/core/src/quota/counter_report.rs
@@ -1,16 +1,16 @@
-//! Calls of the shared counter: which use is reported, and when.
+//! Calls of the shared counter: which usage is reported, and when.
 
 use crate::api::{Action, CustomerId, Micros};
 use crate::customer::counter_account::COUNTER_KEY_LIFETIME;
 use crate::gateway::Gateway;
 use crate::quota::counter_calls::PendingCall;
 
-/// Customers whose use is looked at in a tick; the others wait for the next one.
+/// Maximum number of customers whose usage is examined in a tick; the others wait for the next one.
 const MAX_CUSTOMERS_PER_TICK: usize = 1_000;
 
 impl Gateway {
-    /// Adds what is not reported yet, and what is reserved for a waiting request, to the shared counter, one
-    /// call at a time for each customer. Whether a call is in flight now.
+    /// Adds the units not reported yet, and `reserve` units for a waiting request, to the shared counter,
+    /// with at most one call in flight per customer. Returns whether a call is in flight now.
     pub(crate) fn call_counter(
         &mut self,
         now: Micros,
@@ -26,8 +26,12 @@
             return false;
         }
         let amount = customer.counter.begin_call(reserve);
-        let window = customer.counter_window(now, id);
-        self.send_counter_call(PendingCall { customer: id, window, for_window: window }, amount, actions);
+        let window_start = customer.counter_window_start(now, id);
+        self.send_counter_call(
+            PendingCall { customer: id, window_start, current_window_start: window_start },
+            amount,
+            actions,
+        );
         true
     }
 
@@ -37,14 +41,14 @@
         actions.push(Action::AddToCounter { counter: call.key(), amount, ttl: COUNTER_KEY_LIFETIME });
     }
 
-    /// Reports use that no request waits for, to the counter and to other gateways.
+    /// Reports usage that no request waits for to the counter and to peers.
     pub(crate) fn report_changed_customers(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for id in self.changed_customers.take(MAX_CUSTOMERS_PER_TICK) {
             self.entries_examined += 1;
             let Some(customer) = self.customers.get(id) else { continue };
             let unreported = customer.counter.unreported_units();
             let may_call =
-                customer.is_shared_by_few() || unreported < 0.0 || self.counter_calls.has_surplus();
+                customer.is_served_by_few_gateways() || unreported < 0.0 || self.counter_calls.has_surplus();
             let is_due = self.settings.capabilities.shared_counter
                 && unreported != 0.0
                 && !self.overage_is_acceptable(customer.plan_index);
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -1,5 +1,5 @@
-//! Accounting of customers' use of their quotas over all gateways: how others' use is known, and whether use
-//! over the quota is acceptable.
+//! Accounting of customers' quota usage over all gateways: the source from which peers' usage is known, and
+//! whether usage over the quota is acceptable.
 
 pub(crate) mod counter_calls;
 mod counter_reply;
@@ -10,42 +10,42 @@
 use crate::customer::{Customer, UsageSource};
 use crate::gateway::Gateway;
 
-/// With no usage report for so long, usage reports are not known to arrive.
+/// Time since the last usage report after which usage reports are assumed not to arrive.
 const USAGE_REPORTS_STALE_AFTER: Micros = 4_000_000;
-/// Largest demand that is believed, in multiples of the quota: a report that is late tells the same excess
-/// twice.
+/// Maximum demand that is accepted, in multiples of the quota: a late report counts the same excess twice.
 pub(crate) const MAX_DEMAND: f64 = 10.0;
 
 impl Gateway {
-    /// How others' use of this customer's quota is known.
+    /// Returns the source from which peers' usage of a customer's quota is known.
     pub(crate) fn usage_source(&self, now: Micros, customer: &Customer) -> UsageSource {
         let capabilities = &self.settings.capabilities;
-        let is_counted = capabilities.shared_counter && customer.counter.is_fresh(now);
-        if is_counted || self.hears_all_gateways_of(now, customer) {
+        let has_fresh_total = capabilities.shared_counter && customer.counter.has_fresh_total(now);
+        if has_fresh_total || self.receives_gossip_from_all_gateways_of(now, customer) {
             return UsageSource::Exact;
         }
         let reports_arrive = now <= self.usage_reported_at + USAGE_REPORTS_STALE_AFTER;
         if capabilities.usage_report_period.is_some() && reports_arrive {
-            UsageSource::Metered
+            UsageSource::Reported
         } else {
             UsageSource::Unknown
         }
     }
 
-    /// Whether gossip tells the use of every other gateway that serves the customer.
-    fn hears_all_gateways_of(&self, now: Micros, customer: &Customer) -> bool {
+    /// Returns whether gossip reports the usage of every other gateway that serves the customer.
+    fn receives_gossip_from_all_gateways_of(&self, now: Micros, customer: &Customer) -> bool {
         let gateway_count = self.settings.gateway_count;
-        let is_heard = |offset| {
+        let is_self_or_alive = |offset| {
             let gateway = (customer.first_gateway + offset) % gateway_count;
             gateway == self.settings.gateway_index || self.gossip.is_peer_alive(now, gateway)
         };
-        self.gossip.is_full_mesh() && (0..customer.gateway_count).all(is_heard)
+        self.gossip.is_full_mesh() && (0..customer.gateway_count).all(is_self_or_alive)
     }
 
-    /// Whether a request pays also over its quota, so that it need not be known whether it is within.
+    /// Returns whether a request over its quota earns more than it costs while the back end is fast, in which
+    /// case the quota need not be checked.
     pub(crate) fn overage_is_acceptable(&self, plan_index: usize) -> bool {
         let plan = self.settings.plans.get(plan_index);
-        let pays = plan.is_some_and(|plan| plan.overage_weight > plan.overage_cost);
-        pays && self.load.is_fast()
+        let is_worthwhile = plan.is_some_and(|plan| plan.overage_weight > plan.overage_cost);
+        is_worthwhile && self.load.is_fast()
     }
 }
--- a/crates/core/src/quota/usage_report.rs
+++ b/crates/core/src/quota/usage_report.rs
@@ -1,4 +1,5 @@
-//! What responses tell of a customer's use over all gateways, and of a request's true units.
+//! Usage reports in responses: a customer's usage over all gateways, and the settlement of a request's true
+//! units.
 
 use crate::api::{Micros, RequestId};
 use crate::customer::Customer;
@@ -6,27 +7,30 @@
 use crate::gateway::Gateway;
 use crate::quota::MAX_DEMAND;
 
-/// A usage report made of fewer requests than this says little.
+/// Number of requests at which a usage report gets half of its full weight; a report based on fewer has
+/// little significance.
 const PRIOR_REQUESTS: f64 = 1.0;
-/// A customer whose demand is below this, in multiples of the quota, needs no counter calls...
+/// Demand, in multiples of the quota, below which a customer of many gateways needs no counter calls.
 const LOW_DEMAND: f64 = 0.5;
-/// ...once its quota allows so many of its requests in a report's period.
-const LOW_DEMAND_REQUESTS: f64 = 2.0;
-/// Use, as a share of the quota, that leaves nothing in the bucket of a customer that is new to this gateway.
-const FULL_USE: f64 = 1.0;
+/// Number of a customer's requests that the quota must allow within a report's period before a low demand is
+/// relied on.
+const LOW_DEMAND_MIN_REQUESTS: f64 = 2.0;
+/// Reported usage, as a fraction of the quota, from which a customer new to this gateway keeps in its bucket
+/// only what the counter's total leaves of the burst; without a total, nothing.
+const FULL_USAGE: f64 = 1.0;
 
-/// The request that a report came with, as far as accounting needs it.
+/// The accounting data of the request whose response holds a report.
 #[derive(Clone, Copy)]
 struct ReportedRequest {
-    /// Units that it named.
+    /// Units that the request declared.
     units: f64,
-    /// It was forwarded within the quota and has had no answer yet.
-    settles: bool,
+    /// Whether the request was forwarded within the quota and has had no final answer yet.
+    may_settle: bool,
 }
 
 impl Gateway {
-    /// Applies what a response reports of the customer's use over all gateways, and of an estimate's true
-    /// units.
+    /// Applies a response's report of the customer's usage over all gateways and of the true units of a
+    /// request that declared an estimate.
     pub(crate) fn apply_usage_report(
         &mut self,
         now: Micros,
@@ -38,9 +42,9 @@
         let Some(request) = self.requests.get(&id) else { return };
         let customer_id = request.customer;
         let reported =
-            ReportedRequest { units: request.units, settles: request.within_quota && !request.finished };
+            ReportedRequest { units: request.units, may_settle: request.within_quota && !request.finished };
         let Some(customer) = self.customers.get_mut(customer_id) else { return };
-        if let Some(units) = settled_units.filter(|units| units.is_finite() && reported.settles) {
+        if let Some(units) = settled_units.filter(|units| units.is_finite() && reported.may_settle) {
             settle_units(customer, units - reported.units);
         }
         let is_usable = |usage: &f64| usage.is_finite() && *usage >= 0.0 && customer.plan.rate > 0.0;
@@ -54,18 +58,18 @@
     }
 }
 
-/// Records the difference between a request's true units and those it named.
+/// Records the difference between a request's true and declared units.
 fn settle_units(customer: &mut Customer, difference: f64) {
     customer.bucket.settle(difference, &customer.plan);
-    if customer.is_shared_by_few() {
-        customer.counter.add_use(difference);
+    if customer.is_served_by_few_gateways() {
+        customer.counter.add_usage(difference);
     } else {
         customer.counter.add_settlement(difference);
     }
 }
 
-/// Updates a customer's demand by the use that a response reported; whether the demand exceeds the quota, or
-/// did.
+/// Updates a customer's demand from the usage in a response. Returns whether the demand exceeds the quota now
+/// or did before.
 fn update_demand(
     customer: &mut Customer,
     now: Micros,
@@ -75,21 +79,23 @@
     phase: f64,
 ) -> bool {
     let rate = customer.plan.rate;
-    if customer.is_shared_by_few() && customer.demand.is_unknown() && usage >= FULL_USE {
+    if customer.is_served_by_few_gateways() && customer.demand.is_unknown() && usage >= FULL_USAGE {
         let burst = customer.plan.burst;
         let left = (burst - customer.counter.total().unwrap_or(burst)).max(0.0);
-        customer.bucket.limit_level(left);
+        customer.bucket.cap_level(left);
     }
     let before = customer.demand.at(now);
-    // While gateways limit use to their shares, the report shows the limited demand, some time later.
-    if before > 1.0 && customer.demand.is_settling(now) {
+    // While gateways limit usage to their shares, reports show the limited demand, with a delay.
+    if before > 1.0 && customer.demand.is_within_report_lag(now) {
         return false;
     }
     let requests_seen = usage * rate * period_s / units.max(1e-9);
     let weight = customer.demand.weight_of_report(now) * requests_seen / (requests_seen + PRIOR_REQUESTS);
     let demand = (before + weight * (usage * before.max(1.0) - before)).min(MAX_DEMAND);
     customer.record_demand(now, demand, phase * units);
-    let is_seen_enough = rate * period_s >= LOW_DEMAND_REQUESTS * units;
-    customer.demand.set_low(!customer.is_shared_by_few() && demand < LOW_DEMAND && is_seen_enough);
+    let has_enough_requests = rate * period_s >= LOW_DEMAND_MIN_REQUESTS * units;
+    customer
+        .demand
+        .set_low(!customer.is_served_by_few_gateways() && demand < LOW_DEMAND && has_enough_requests);
     demand.max(before) > 1.0
 }
--- a/crates/core/tests/unit/customer_table.rs
+++ b/crates/core/tests/unit/customer_table.rs
@@ -58,7 +58,7 @@
                 }
                 Step::Tick(ms) => {
                     now += ms * 1_000;
-                    table.forget_idle(now);
+                    table.evict_idle(now);
                     model.retain(|_, customer| {
                         let has_call = customer.counter.has_call_in_flight();
                         customer.in_flight > 0 || has_call || now < customer.idle_at()
@@ -74,9 +74,9 @@
 fn a_tick_with_nothing_due_examines_nobody() {
     let mut table = CustomerTable::default();
     (0..1_000).for_each(|id| table.insert(CustomerId(id), customer(SECOND, 1)));
-    table.forget_idle(2 * SECOND);
+    table.evict_idle(2 * SECOND);
     assert_eq!(table.visited(), 0);
-    table.forget_idle(4 * SECOND);
+    table.evict_idle(4 * SECOND);
     assert_eq!((table.visited(), table.iter_mut().count()), (1_000, 0));
 }
 
@@ -86,9 +86,9 @@
     let mut table = CustomerTable::default();
     table.insert(CustomerId(1), customer(SECOND, 1));
     table.get_mut(CustomerId(1)).expect("just added").bucket.set_refilled_at(3 * SECOND);
-    (4 * SECOND..5 * SECOND).step_by(100_000).for_each(|now| table.forget_idle(now));
+    (4 * SECOND..5 * SECOND).step_by(100_000).for_each(|now| table.evict_idle(now));
     assert_eq!((table.visited(), table.iter_mut().count()), (1, 1));
-    table.forget_idle(6 * SECOND);
+    table.evict_idle(6 * SECOND);
     assert_eq!((table.visited(), table.iter_mut().count()), (2, 0));
 }
 
