--- a/crates/core/tests/unit/customer_table.rs
+++ b/crates/core/tests/unit/customer_table.rs
@@ -6,7 +6,7 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// A customer that is as good as new 1 s + 1.5 s for each of its gateways after its last use.
+/// Returns a customer whose state equals that of a new one 1 s + 1.5 s per gateway after its last use.
 fn customer(refilled_at: Micros, gateway_count: usize) -> Customer {
     let plan = Plan { rate: 1.0, burst: 1.0, ..Plan::default() };
     let mut customer = Customer { plan, gateway_count, ..Customer::default() };
@@ -33,9 +33,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// As if each tick had looked at each customer.
+    /// The queue must evict the same customers as a scan of the whole table in each tick.
     #[test]
-    fn the_queue_forgets_exactly_the_customers_that_are_due(steps in prop::collection::vec(step(), 1..150)) {
+    fn idle_queue_evicts_exactly_the_customers_that_are_due(steps in prop::collection::vec(step(), 1..150)) {
         let (mut table, mut model, mut now) = (CustomerTable::default(), BTreeMap::new(), SECOND);
         for step in steps {
             match step {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_tick_with_nothing_due_examines_nobody() {
+fn tick_with_no_customer_due_examines_none() {
     let mut table = CustomerTable::default();
     (0..1_000).for_each(|id| table.insert(CustomerId(id), customer(SECOND, 1)));
     table.evict_idle(2 * SECOND);
@@ -80,12 +80,13 @@
     assert_eq!((table.visited(), table.iter_mut().count()), (1_000, 0));
 }
 
-/// One used meanwhile is looked at once where it was due before, and not again before it is due anew.
+/// A customer used after its insertion is examined once at its original due time, and then not before its new
+/// one.
 #[test]
-fn a_customer_in_use_is_not_examined_by_each_tick() {
+fn customer_in_use_is_not_examined_by_each_tick() {
     let mut table = CustomerTable::default();
     table.insert(CustomerId(1), customer(SECOND, 1));
-    table.get_mut(CustomerId(1)).expect("just added").bucket.set_refilled_at(3 * SECOND);
+    table.get_mut(CustomerId(1)).expect("customer 1 was inserted").bucket.set_refilled_at(3 * SECOND);
     (4 * SECOND..5 * SECOND).step_by(100_000).for_each(|now| table.evict_idle(now));
     assert_eq!((table.visited(), table.iter_mut().count()), (1, 1));
     table.evict_idle(6 * SECOND);
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn changed_customers_take_turns_where_there_are_many() {
+fn changed_customers_above_the_limit_are_taken_in_round_robin_order() {
     let mut changed = ChangedCustomers::default();
     let ids = |range: std::ops::Range<u64>| range.map(CustomerId).collect::<Vec<_>>();
     for id in ids(0..10).into_iter().rev() {
@@ -103,7 +104,7 @@
     for id in ids(0..4) {
         changed.insert(id);
     }
-    assert_eq!(changed.take(4), ids(4..8), "those that were put back wait for the others");
+    assert_eq!(changed.take(4), ids(4..8), "customers added again wait until the others have been taken");
     assert_eq!(changed.take(4), [ids(8..10), ids(0..2)].concat());
     assert_eq!(changed.take(4), ids(2..4));
     assert!(changed.take(4).is_empty());
