--- a/crates/core/src/api/actions.rs
+++ b/crates/core/src/api/actions.rs
@@ -1,71 +1,71 @@
-//! What a gateway has its host do.
+//! The actions that the decision core asks the decision driver to carry out.
 
 use super::{CounterId, Micros, RequestId, ServerId, TimerId};
 
-/// Something for the host to do, in the order given.
+/// An instruction to the decision driver, which carries out actions in the order in which they were emitted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Sends an attempt of a request to a server.
     Send {
-        /// The request.
+        /// The request to send.
         id: RequestId,
-        /// Where to.
+        /// The destination.
         server: ServerId,
-        /// Its timeout.
+        /// How long the driver waits for the response, in microseconds.
         timeout: Micros,
     },
-    /// Final answer: rejected; the client may safely retry.
+    /// Answers the client with a rejection (final answer); the client may safely retry the request.
     Reject {
-        /// The request.
+        /// The rejected request.
         id: RequestId,
-        /// When the client should retry; `None` gives no advice.
+        /// Time after which the client should retry, in microseconds; `None` sends no such advice.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed; the request may or may not have taken effect.
+    /// Answers the client with a failure (final answer). The request may or may not have taken effect.
     Fail {
-        /// The request.
+        /// The failed request.
         id: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancels an attempt in flight.
     Cancel {
-        /// The request.
+        /// The request of the attempt.
         id: RequestId,
-        /// Which attempt.
+        /// Index of the attempt, as in [`AttemptReport::attempt`](super::AttemptReport::attempt).
         attempt: u32,
     },
-    /// Set a timer.
+    /// Sets a timer, which the driver reports with [`Event::Timer`](super::Event::Timer) once it expires.
     Timer {
-        /// When.
+        /// Expiry time, by the clock of the decision driver.
         at: Micros,
-        /// Handed back then.
+        /// Opaque id that the driver returns unchanged.
         timer: TimerId,
     },
-    /// Send a health check to a server.
+    /// Sends a health check to a server.
     CheckHealth {
-        /// Which.
+        /// The server to check.
         server: ServerId,
     },
-    /// Send a gossip message to another gateway.
+    /// Sends a gossip message to another gateway.
     SendGossip {
-        /// Its number.
+        /// Index of the receiving gateway.
         to: usize,
-        /// At most 256 bytes.
+        /// Encoded message of at most 256 bytes.
         message: Vec<u8>,
     },
-    /// Ask service discovery for the endpoint list.
+    /// Requests the endpoint list from service discovery.
     PollEndpoints,
-    /// Add to a key of the shared counter.
+    /// Adds an amount to a key of the shared counter.
     AddToCounter {
-        /// The key.
+        /// The key to add to.
         counter: CounterId,
-        /// What to add.
+        /// Units to add.
         amount: f64,
-        /// How long a new key lives.
+        /// Lifetime of the key in microseconds, applied if this call creates it.
         ttl: Micros,
     },
-    /// A line for the operators' log.
+    /// Writes a line to the operators' log.
     Log {
-        /// The text.
+        /// Text of the log line.
         text: String,
     },
 }
--- a/crates/core/src/api/endpoints.rs
+++ b/crates/core/src/api/endpoints.rs
@@ -1,54 +1,55 @@
-//! The endpoint list as service discovery tells it.
+//! The endpoint list as service discovery reports it.
 
 use super::{NonZeroMicros, ServerId};
 
-/// What the endpoint list says of a server.
+/// The state of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes new requests.
+    /// The server accepts new requests.
     Ready,
-    /// Completes its requests in flight and takes no new ones.
+    /// The server completes its requests in flight and accepts no new ones.
     Draining,
-    /// Removed.
+    /// The server is no longer in the list.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// Which server.
+    /// The server that the entry describes.
     pub server: ServerId,
-    /// Its state.
+    /// Whether the server is ready, draining or removed.
     pub state: EndpointState,
-    /// When it last started; `None` if that was long ago.
+    /// Time of the server's last start, by the fleet's clock as service discovery states it; `None` if that
+    /// was long ago, so that the server is warm.
     pub started_at: Option<NonZeroMicros>,
-    /// Its capacity relative to other servers'.
+    /// Capacity relative to that of other servers; 1 where the list states none.
     pub relative_size: f64,
-    /// Its zone.
+    /// Zone in which the server runs, comparable with [`Settings::zone`](super::Settings::zone).
     pub zone: u32,
-    /// Its cell.
+    /// Cell of the server: the servers of a [`DeduplicationScope::Cell`](super::DeduplicationScope::Cell).
     pub cell: u32,
 }
 
-/// How many servers the endpoint list has.
+/// Numbers of servers in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Servers that are listed.
+    /// Servers in the list, ready or draining.
     pub listed: usize,
-    /// Those of them that are ejected.
+    /// Ready servers that get no new requests because outlier detection has ejected them.
     pub ejected: usize,
 }
 
-/// What kind of answer the watch of the endpoint list gave.
+/// The kind of update that the watch of the endpoint list delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// The complete list.
+    /// The complete, current list.
     Snapshot,
-    /// The complete list as last known, perhaps outdated.
+    /// The complete list as last known, possibly outdated.
     CachedSnapshot,
-    /// Changed entries only.
+    /// The changed entries only.
     Delta,
-    /// A call failed; the known list stays valid.
+    /// A failed call; the known list stays valid.
     Failed,
 }
--- a/crates/core/src/api/events.rs
+++ b/crates/core/src/api/events.rs
@@ -1,179 +1,186 @@
-//! What happens to a gateway, as its host reports it.
+//! The events that the decision driver reports to the decision core.
 
 use super::{CounterId, CustomerId, Endpoint, Micros, RequestId, ServerId, TimerId, WatchEvent};
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
     /// The server answered with success.
     Ok,
     /// The server answered with an error.
     Error,
-    /// The server rejected the request before any work on it.
+    /// The server rejected the request before it did any work on it.
     Rejected,
-    /// No answer in time.
+    /// The server did not answer within the timeout.
     Timeout,
-    /// No connection in time.
+    /// No connection was established within the timeout.
     ConnectFailed,
     /// The connection broke after the request was sent.
     ConnectionReset,
-    /// Cancelled by this gateway.
+    /// This gateway cancelled the attempt.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 impl AttemptStatus {
-    /// Whether a server may have begun work on a request whose attempt ended so.
+    /// Returns whether the server may have begun to run a request whose attempt ended with this status.
     pub fn may_have_run(self) -> bool {
         !matches!(self, AttemptStatus::Rejected | AttemptStatus::ConnectFailed | AttemptStatus::NotSent)
     }
 }
 
-/// A server's report of its load; what it does not tell is `None`.
+/// A server's report of its load; fields that the server does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight there.
+    /// Requests in flight at the server, from all gateways.
     pub in_flight: Option<f64>,
-    /// Requests queued there.
+    /// Requests queued at the server, from all gateways.
     pub queued: Option<f64>,
-    /// Busy share of its cores.
+    /// Busy share of the server's cores, where 1 is all of them.
     pub utilization: Option<f64>,
-    /// Recent service time, milliseconds.
+    /// Recent service time, in milliseconds.
     pub latency_ms: Option<f64>,
 }
 
-/// A client's request as it came in.
+/// A client's request as it arrived.
 #[derive(Clone, Debug)]
 pub struct RequestArrival {
-    /// Its id.
+    /// Number that the driver assigned to the request.
     pub id: RequestId,
     /// Index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
     /// Index into [`Settings::plans`](super::Settings::plans).
     pub plan: usize,
-    /// Whose it is.
+    /// The customer whose quota the request uses.
     pub customer: CustomerId,
-    /// How long the client waits for the answer to this request.
+    /// How long the client waits for the answer to this request, in microseconds.
     pub client_timeout: Micros,
-    /// How much of that time has passed: how long ago the last byte of the request reached this machine.
+    /// How much of the client timeout has passed: microseconds since the last byte of the request reached
+    /// this machine.
     pub age: Micros,
-    /// Units of quota it uses.
+    /// Units of quota that the request uses, or an estimate where [`Capabilities::settles_units`] is set.
+    ///
+    /// [`Capabilities::settles_units`]: super::Capabilities::settles_units
     pub units: f64,
-    /// How many gateways serve the customer.
+    /// Number of gateways that serve the customer.
     pub customer_gateway_count: usize,
-    /// The first of them.
+    /// Index of the first gateway that serves the customer; the others follow it in order of index, modulo
+    /// the number of gateways.
     pub first_gateway: usize,
-    /// The client marked it as a retry of an earlier request.
+    /// Whether the client marked the request as a retry of an earlier one.
     pub is_retry: bool,
-    /// Part of its body is still to come; no time of its attempts counts until [`Event::BodyComplete`].
+    /// Whether part of the request's body is still to arrive; no attempt's time counts until
+    /// [`Event::BodyComplete`].
     pub body_incomplete: bool,
 }
 
-/// How an attempt of a request ended.
+/// The outcome of one attempt of a request.
 #[derive(Clone, Debug)]
 pub struct AttemptReport {
-    /// The request.
+    /// The request of the attempt.
     pub id: RequestId,
-    /// Attempts count from 0 in the order of their sends.
+    /// Index of the attempt; the attempts of a request are numbered from 0 in the order in which they are
+    /// sent.
     pub attempt: u32,
-    /// Where it went.
+    /// The server to which the attempt was sent.
     pub server: ServerId,
-    /// How it ended.
+    /// How the attempt ended.
     pub status: AttemptStatus,
-    /// Time since the send.
+    /// Time since the attempt was sent, in microseconds.
     pub elapsed: Micros,
-    /// The request is over.
+    /// Whether the request is over, so that it needs no further attempt.
     pub request_finished: bool,
-    /// The customer's use of its rate by all gateways in the last usage report period, as a share.
+    /// The customer's usage at all gateways in the last usage report period, as a share of its rate; `None`
+    /// if the response reports none.
     pub reported_usage: Option<f64>,
-    /// The true units, where they are settled afterwards.
+    /// Units that the request actually used, where they are settled after the response.
     pub settled_units: Option<f64>,
-    /// The load report that came along.
+    /// Load report that the response carried.
     pub load_report: Option<LoadReport>,
 }
 
-/// How a call of the shared counter ended.
+/// The outcome of a call to the shared counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CounterResult {
-    /// The amount was added; the total after it.
+    /// The amount was added; holds the key's total after the addition, in units.
     Total(f64),
-    /// Nothing was added.
+    /// The call was refused and nothing was added.
     Refused,
-    /// There was no reply; the amount may have been added.
+    /// No reply was received; the amount may or may not have been added.
     Unknown,
 }
 
-/// Something that happened.
+/// An occurrence that the decision core reacts to.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The watch of the endpoint list answered or failed.
+    /// The watch of the endpoint list delivered an update or failed.
     EndpointsChanged {
-        /// Snapshot, cached snapshot, delta or failure.
+        /// Whether this is a snapshot, a cached snapshot, a delta or a failure.
         watch_event: WatchEvent,
-        /// The entries.
+        /// The entries delivered: all of the list, or the changed ones of a delta.
         endpoints: Vec<Endpoint>,
     },
-    /// A client's request came in.
+    /// A client's request arrived.
     RequestArrived(RequestArrival),
     /// A streamed response has begun.
     ResponseStarted {
-        /// The request.
+        /// The request that is answered.
         id: RequestId,
     },
-    /// The rest of the request's body came and was forwarded to the attempt in flight; its time counts from
-    /// when that came.
+    /// The rest of the request's body arrived and was forwarded to the attempt in flight, whose time counts
+    /// from that arrival.
     BodyComplete {
-        /// The request.
+        /// The request of the body.
         id: RequestId,
-        /// How long ago the last byte of the body reached this machine.
+        /// Microseconds since the last byte of the body reached this machine.
         age: Micros,
     },
-    /// Part of the request's body was forwarded and is not buffered: no further attempt can be sent.
+    /// Part of the request's body was forwarded and is not buffered, so that no further attempt can be sent.
     BodyConsumed {
-        /// The request.
+        /// The request of the body.
         id: RequestId,
     },
     /// An attempt ended.
     AttemptCompleted(AttemptReport),
-    /// The process shuts down: every open request must have its answer by this time.
+    /// The process shuts down gracefully.
     Shutdown {
-        /// The time.
+        /// Time by which every open request must have its answer.
         deadline: Micros,
     },
-    /// The request is over: the client disconnected.
+    /// The client disconnected, which ends its request.
     ClientDisconnected {
-        /// The request.
+        /// The request of the client.
         id: RequestId,
     },
-    /// A timer fell due.
+    /// A timer set by [`Action::Timer`](super::Action::Timer) expired.
     Timer {
-        /// Which.
+        /// The id with which the timer was set.
         timer: TimerId,
     },
     /// A health check ended.
     HealthCheckCompleted {
-        /// The server.
+        /// The server that was checked.
         server: ServerId,
-        /// How it ended.
+        /// How the health check ended.
         status: AttemptStatus,
-        /// The load report that came along.
+        /// Load report that the response carried.
         load_report: Option<LoadReport>,
     },
-    /// A gossip message from another gateway.
+    /// A gossip message arrived from another gateway.
     GossipReceived {
-        /// Its number.
+        /// Index of the sending gateway.
         from: usize,
-        /// The message.
+        /// Encoded message.
         message: Vec<u8>,
     },
-    /// A call of the shared counter ended.
+    /// A call to the shared counter ended.
     CounterReplied {
-        /// The counter's key.
+        /// The key that the call added to.
         counter: CounterId,
-        /// How it ended.
+        /// How the call ended.
         result: CounterResult,
-        /// Time since the call.
+        /// Time since the call was sent, in microseconds.
         elapsed: Micros,
     },
 }
--- a/crates/core/src/api/ids.rs
+++ b/crates/core/src/api/ids.rs
@@ -1,12 +1,12 @@
-//! Times and the numbers by which events and actions name things.
+//! Time units and the identifiers that events and actions share.
 
-/// A time or a span, in microseconds on the clock of whoever drives the gateway.
+/// A time or a duration in microseconds, by the clock of the decision driver.
 pub type Micros = u64;
 
-/// A time that is not zero, so that an unknown one takes no more memory.
+/// A time other than zero; `Option<NonZeroMicros>` takes no more memory than [`Micros`].
 pub type NonZeroMicros = std::num::NonZeroU64;
 
-/// Defines a number that names something.
+/// Defines a newtype for a numeric identifier.
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
         $(#[$doc])*
@@ -15,18 +15,18 @@
     };
 }
 
-id!(/** A client's request, as this gateway's host numbers them, below 2^63. Never used twice. */
+id!(/** Identifies a client's request. Assigned by the decision driver, below 2^63, and never used twice. */
 RequestId(u64));
-id!(/** A server; every gateway must use the same number for the same server. */
+id!(/** Identifies a server; every gateway must use the same number for the same server. */
 ServerId(u64));
-id!(/** A customer; every gateway must use the same number for the same customer. */
+id!(/** Identifies a customer; every gateway must use the same number for the same customer. */
 CustomerId(u64));
-id!(/** A timer, opaque to the host, which hands it back as it was set. */
+id!(/** Identifies a timer; opaque to the decision driver, which returns it unchanged. */
 TimerId(u64));
-id!(/** A key of the shared counter; the same number means the same key at every gateway. */
+id!(/** Identifies a key of the shared counter; the same number is the same key at every gateway. */
 CounterId(u64));
 
 impl TimerId {
-    /// The timer of the gateway's regular tick.
+    /// The timer of the gateway's periodic tick.
     pub const TICK: TimerId = TimerId(u64::MAX);
 }
--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -1,5 +1,5 @@
-//! The interface of the decision core: settings in, events in, actions out. Types only; nothing is decided
-//! here.
+//! The interface of the decision core: the types of its settings, of the events that it receives and of the
+//! actions that it returns. Contains no decision logic.
 
 mod actions;
 mod endpoints;
--- a/crates/core/src/api/settings.rs
+++ b/crates/core/src/api/settings.rs
@@ -1,181 +1,183 @@
-//! What a gateway is configured with.
+//! The configuration of the decision core.
 
 use super::Micros;
 
-/// What a class of request allows once an attempt may have run.
+/// Whether a request may be sent again once one of its attempts may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Running twice does no harm.
+    /// Running a request twice has the same effect as running it once.
     Idempotent,
-    /// Requests carry an idempotency key, by which servers drop repeats for a while.
+    /// Requests carry an idempotency key, by which servers drop duplicates within a window.
     IdempotencyKey {
-        /// The servers that share the keys they have seen.
+        /// The servers that share the keys they have seen with each other.
         scope: DeduplicationScope,
-        /// How long they remember a key, from the send of the first attempt that may have run.
+        /// How long servers remember a key, in microseconds from the sending of the first attempt that may
+        /// have run.
         window: Micros,
     },
-    /// Must never run twice.
+    /// A request must never run twice.
     NonIdempotent,
 }
 
-/// Which servers drop the repeats of a request with an idempotency key.
+/// The servers among which duplicates of a request with an idempotency key are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Every server.
+    /// All servers of the back end.
     All,
-    /// The servers of one zone.
+    /// The servers of one zone, see [`Endpoint::zone`](super::Endpoint::zone).
     Zone,
-    /// The servers of one cell.
+    /// The servers of one cell, see [`Endpoint::cell`](super::Endpoint::cell).
     Cell,
 }
 
-/// A class of request.
+/// A class of requests that share objectives and retry rules.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// A response within this time earns the full weight.
+    /// Time within which a response earns the full priority weight, in microseconds.
     pub latency_objective: Micros,
-    /// How long a client waits in all, over its first request and its retries.
+    /// How long a client waits in total, over its first request and its retries, in microseconds.
     pub deadline: Micros,
-    /// Share of the weight that a response past the latency objective still earns.
+    /// Share of the priority weight that a response after the latency objective still earns.
     pub late_priority_weight: f64,
-    /// Priority weight of one request.
+    /// Value of one timely response, before [`Plan::weight_multiplier`].
     pub priority_weight: f64,
-    /// Whether it may run again.
+    /// Whether a request of the class may run again.
     pub idempotency: Idempotency,
-    /// Whether responses stream.
+    /// Whether responses are streamed.
     pub streaming: bool,
 }
 
-/// A plan; its figures hold for each customer, over all gateways together.
+/// The quota and the limits of a plan, which apply to each customer over all gateways together.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// Units a second that refill the token bucket; 0 means that the rate is not limited.
+    /// Refill rate of the token bucket, in units per second; 0 means that the rate is not limited.
     pub rate: f64,
-    /// Units that the token bucket holds at most.
+    /// Capacity of the token bucket, in units.
     pub burst: f64,
-    /// Most requests in flight at once; `None` if that is not limited.
+    /// Highest number of requests in flight at once; `None` means no limit.
     pub max_concurrency: Option<u32>,
-    /// Multiplier on the priority weight of a class.
+    /// Factor applied to [`Class::priority_weight`].
     pub weight_multiplier: f64,
-    /// Share of its weight that a request forwarded over the quota earns.
+    /// Share of its priority weight that a request forwarded over the quota earns.
     pub overage_weight: f64,
-    /// Share of its weight that a request forwarded over the quota costs.
+    /// Share of its priority weight that a request forwarded over the quota costs.
     pub overage_cost: f64,
-    /// Units a second that refill the bucket of the hard limit; 0 means that there is no hard limit.
+    /// Refill rate of the hard limit's token bucket, in units per second; 0 means no hard limit.
     pub hard_limit_rate: f64,
-    /// Units that the bucket of the hard limit holds at most.
+    /// Capacity of the hard limit's token bucket, in units.
     pub hard_limit_burst: f64,
-    /// Units by which the bucket of the hard limit may be overdrawn.
+    /// Units by which the hard limit's token bucket may be overdrawn.
     pub hard_limit_overdraft: f64,
 }
 
 impl Plan {
-    /// The priority weight of a request of a class within the quota.
+    /// Returns the priority weight of a request of the given class that is within the quota.
     pub(crate) fn priority_weight(&self, class: &Class) -> f64 {
         class.priority_weight * self.weight_multiplier
     }
 
-    /// The cost of a request forwarded over the quota, before the priority weight of its class.
+    /// Returns the cost of a request forwarded over the quota, relative to the priority weight of its class.
     pub(crate) fn weighted_overage_cost(&self) -> f64 {
         self.weight_multiplier * self.overage_cost
     }
 }
 
-/// How load reports reach the gateway.
+/// How load reports of servers reach the gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadReports {
-    /// With responses and health checks.
+    /// Reports arrive with responses and with health checks.
     WithResponses,
-    /// With health checks only.
+    /// Reports arrive with health checks only.
     WithHealthChecks,
-    /// Not at all.
+    /// Servers report no load.
     #[default]
     None,
 }
 
-/// The features that the deployment allows a gateway, and the costs that bear on a decision.
+/// The features that the deployment allows a gateway to use, and the costs that decisions weigh.
 #[derive(Clone, Debug, Default)]
 pub struct Capabilities {
-    /// Servers may be sent health checks.
+    /// Whether the gateway may send health checks to servers.
     pub health_checks: bool,
-    /// Gossip with other gateways is allowed.
+    /// Whether gateways may exchange gossip messages.
     pub gossip: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub cancellation: bool,
-    /// A request may have two attempts in flight at once.
+    /// Whether a request may have two attempts in flight at once.
     pub hedged_requests: bool,
-    /// Rejections may tell clients when to retry.
+    /// Whether rejections may advise clients when to retry.
     pub retry_after: bool,
-    /// The longest such time that clients heed.
+    /// Longest retry advice that clients respect, in microseconds.
     pub max_retry_after: Micros,
-    /// Most attempts of one request.
+    /// Highest number of attempts per request, the first included.
     pub max_attempts: u32,
-    /// Gossip messages a second that a gateway takes in.
+    /// Gossip messages per second that a gateway can receive from all its peers together.
     pub gossip_messages_per_s: f64,
-    /// Part of the score that one gossip message a request costs.
+    /// Share of the total score lost per gossip message sent per request.
     pub gossip_cost: f64,
-    /// Part of the score that one health check a request costs.
+    /// Share of the total score lost per health check sent per request.
     pub health_check_cost: f64,
-    /// The shared counter may be called.
+    /// Whether the gateway may call the shared counter.
     pub shared_counter: bool,
-    /// Part of the score that one counter call a request costs.
+    /// Share of the total score lost per shared counter call per request.
     pub counter_call_cost: f64,
-    /// A counter call without a reply by then ends; `None` if it may wait for ever.
+    /// Timeout of a call to the shared counter, in microseconds; `None` means no timeout.
     pub counter_timeout: Option<Micros>,
-    /// Clients mark their retries.
+    /// Whether clients mark their retries as such.
     pub marks_retries: bool,
-    /// Period of the quota usage reported in responses; `None` if none is reported.
+    /// Period that the usage reported in responses covers, in microseconds; `None` if none is reported.
     pub usage_report_period: Option<Micros>,
-    /// Units named in requests are estimates, settled by the first successful response.
+    /// Whether the units stated in requests are estimates, which the first successful response settles.
     pub settles_units: bool,
-    /// How load reports arrive.
+    /// With which answers load reports arrive.
     pub load_reports: LoadReports,
-    /// The endpoint list must be polled.
+    /// Whether the gateway must poll service discovery for the endpoint list.
     pub polls_discovery: bool,
 }
 
-/// The figures of the protocol's rules.
+/// Parameters of the protocol between clients, gateways and servers.
 #[derive(Clone, Debug, Default)]
 pub struct ProtocolRules {
-    /// A final answer still counts this long after the client's deadline.
+    /// Time after the client's deadline during which a final answer still counts, in microseconds.
     pub response_grace: Micros,
-    /// Share of its capacity that a server has at least when it starts.
+    /// Least share of its capacity that a server has when it starts.
     pub initial_capacity: f64,
-    /// A server has its full capacity this long after its start.
+    /// Time from a server's start until it has its full capacity, in microseconds; 0 means no warm-up.
     pub warm_up: Micros,
-    /// A server that warms up is overloaded when sent more than this multiple of its capacity...
+    /// Multiple of its current capacity that overloads a server which is warming up, when the rate sent to
+    /// it stays above that for [`Self::overload_window`].
     pub overload_multiple: f64,
-    /// ...for this long.
+    /// How long the rate must exceed [`Self::overload_multiple`] to overload a server, in microseconds.
     pub overload_window: Micros,
 }
 
 /// The configuration of a gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// This gateway's number, below [`Self::gateway_count`].
+    /// Index of this gateway, below [`Self::gateway_count`].
     pub gateway_index: usize,
-    /// How many gateways there are.
+    /// Number of gateways in the fleet, this one included.
     pub gateway_count: usize,
-    /// The zone this gateway is in.
+    /// Zone in which this gateway runs.
     pub zone: u32,
-    /// The shortest time between two batches of events.
+    /// Shortest time between two batches of events, in microseconds.
     pub batch_interval: Micros,
-    /// Classes of request.
+    /// Request classes, by the index that [`RequestArrival::class`](super::RequestArrival::class) gives.
     pub classes: Vec<Class>,
-    /// Plans.
+    /// Customers' plans, by the index that [`RequestArrival::plan`](super::RequestArrival::plan) gives.
     pub plans: Vec<Plan>,
-    /// What is allowed.
+    /// Features that the deployment allows, and their costs.
     pub capabilities: Capabilities,
-    /// The figures of the protocol's rules.
+    /// Parameters of the protocol.
     pub rules: ProtocolRules,
 }
 
-/// Why settings were refused.
+/// The reason why settings were refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The field, as a path from [`Settings`].
+    /// Path of the invalid field, relative to [`Settings`].
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the field, worded to follow its path.
     pub reason: &'static str,
 }
 
--- a/crates/core/src/balancing/selection.rs
+++ b/crates/core/src/balancing/selection.rs
@@ -68,7 +68,7 @@
         let size = self.subset_size(ready);
         let drawn = (size > MAX_CANDIDATES).then(|| self.server_sampler.sample(size, MAX_CANDIDATES));
         let request = self.requests.get(&id)?;
-        let ejected = ready - self.servers.count(Subset::Trusted);
+        let ejected = ready - self.servers.count(Subset::Healthy);
         let selection = Selection {
             gateway: self,
             request,
@@ -105,7 +105,7 @@
         let is_ejected = |server: &Server| server.health.ejected_until() > now;
         let Some(site) = site_of(scope, &server.endpoint) else {
             let is_trusted = server.endpoint.state == EndpointState::Ready && !is_ejected(server);
-            return self.servers.count(Subset::Trusted) > usize::from(is_trusted);
+            return self.servers.count(Subset::Healthy) > usize::from(is_trusted);
         };
         let mut nearby = self.servers.at_site(site, 0.0).take(MAX_SUBSTITUTES);
         nearby.any(|other| !is_ejected(other) && other.endpoint.server != id)
@@ -146,10 +146,10 @@
     /// Goes on to the next past servers of the subset that may not be used, so that subsets stay as large.
     fn compare_substitutes(&mut self) {
         let servers = &self.gateway.servers;
-        let some_are_ejected = servers.count(Subset::Trusted) < self.range.ready;
+        let some_are_ejected = servers.count(Subset::Healthy) < self.range.ready;
         // Servers that warm up are not used outside of the subset, ejected ones nowhere.
         let uses_ejected = some_are_ejected && !self.avoids_ejected;
-        let subset = if uses_ejected { Subset::Ready } else { Subset::Available };
+        let subset = if uses_ejected { Subset::Ready } else { Subset::WarmedUp };
         let range = self.range.clone();
         for (position, server) in range.past(servers, subset).take(MAX_SUBSTITUTES) {
             if self.usable >= self.wanted {
--- a/crates/core/src/endpoints/membership.rs
+++ b/crates/core/src/endpoints/membership.rs
@@ -1,15 +1,15 @@
-//! Changes of the endpoint list, as the watch of service discovery reports them.
+//! Updates of the endpoint list from the watch of service discovery.
 
 use crate::api::{Action, Endpoint, EndpointState, Micros, WatchEvent};
 use crate::endpoints::server::Server;
 use crate::gateway::Gateway;
 use crate::health::outlier::OutlierState;
 
-/// Part of the shortest latency objective: service time assumed of a server before any answer.
-const INITIAL_SERVICE_TIME_OF_OBJECTIVE: f64 = 0.05;
+/// Service time assumed before any server has answered, as a share of the shortest latency objective.
+const INITIAL_SERVICE_TIME_SHARE: f64 = 0.05;
 
 impl Gateway {
-    /// Applies a list of servers, or the changed entries of one.
+    /// Applies a snapshot or a delta of the endpoint list; polls again if the watch failed.
     pub(crate) fn update_endpoints(
         &mut self,
         now: Micros,
@@ -30,25 +30,27 @@
         for endpoint in endpoints {
             self.update_endpoint(now, endpoint, service_time_us);
         }
-        self.servers.remove_vacated();
+        self.servers.purge_removed();
     }
 
-    /// Removes the servers that a complete list does not name.
+    /// Marks the servers that are missing in a complete list as removed.
     fn remove_unlisted(&mut self, now: Micros, endpoints: &[Endpoint]) {
         for id in self.servers.unlisted(endpoints) {
-            self.servers.update(now, id, |server| server.endpoint.state = EndpointState::Gone);
+            self.servers.update(now, id, |server| server.endpoint.state = EndpointState::Removed);
         }
     }
 
-    /// The service time assumed of a new server: the mean of all, or else by the latency objectives.
+    /// Returns the service time assumed of a new server, in microseconds: the mean of the known servers, or
+    /// else a share of the shortest latency objective.
     fn initial_service_time_us(&self) -> f64 {
         let mean = self.servers.mean_service_time_us().filter(|mean| mean.is_finite());
         let objectives = self.settings.classes.iter().map(|class| class.latency_objective);
         let shortest_objective = objectives.min().unwrap_or(0) as f64;
-        mean.unwrap_or(INITIAL_SERVICE_TIME_OF_OBJECTIVE * shortest_objective)
+        mean.unwrap_or(INITIAL_SERVICE_TIME_SHARE * shortest_objective)
     }
 
-    /// Applies one entry; a server that has started since it was last listed begins anew.
+    /// Applies one entry. A server that has restarted since it was last listed gets a new record, which keeps
+    /// only its attempts in flight.
     fn update_endpoint(&mut self, now: Micros, endpoint: Endpoint, service_time_us: f64) {
         let id = endpoint.server;
         let known = self.servers.get(id);
@@ -56,7 +58,7 @@
         let reported_start = endpoint.started_at;
         let is_same_process = known.is_some_and(|server| server.reported_start == reported_start);
         let endpoint =
-            Endpoint { started_at: reported_start.map(|at| self.start_times.local(at)), ..endpoint };
+            Endpoint { started_at: reported_start.map(|at| self.start_times.to_local(at)), ..endpoint };
         if is_same_process {
             self.servers.update(now, id, |server| server.endpoint = endpoint);
             return;
@@ -67,7 +69,7 @@
             attempts_in_flight,
             service_time_us,
             health: OutlierState::healthy(now),
-            // Gateways start with different budgets, since together they send a new server the sum of them.
+            // Random per gateway, since all gateways together send a new server the sum of their budgets.
             slow_start_budget: self.random_source.next_fraction(),
             virtual_time: self.virtual_time,
             ..Server::default()
@@ -75,13 +77,13 @@
         self.servers.insert(now, server);
     }
 
-    /// Brings the starts of all servers in line with what is now known of this process's clock.
+    /// Recomputes the start times of all servers after a correction of the clock offset.
     fn correct_start_times(&mut self, now: Micros) {
         let ids: Vec<_> = self.servers.iter().map(|server| server.endpoint.server).collect();
         for id in ids {
             let start_times = &self.start_times;
             self.servers.update(now, id, |server| {
-                server.endpoint.started_at = server.reported_start.map(|at| start_times.local(at));
+                server.endpoint.started_at = server.reported_start.map(|at| start_times.to_local(at));
             });
         }
     }
--- a/crates/core/src/endpoints/mod.rs
+++ b/crates/core/src/endpoints/mod.rs
@@ -1,4 +1,5 @@
-//! The servers of the back end: the endpoint list, what is known of each server, and their order.
+//! The servers of the back end: updates of the endpoint list, the record of each server, and the index over
+//! the records.
 
 mod load_report;
 mod membership;
--- a/crates/core/src/endpoints/ranked_tree.rs
+++ b/crates/core/src/endpoints/ranked_tree.rs
@@ -1,60 +1,59 @@
-//! Slots in the order of their keys, with access by position within some subsets of them.
+//! An ordered set of slots, with access by position within subsets of it.
 //!
-//! A treap: a search tree by key that is a heap by a priority made from the key, so that its shape depends
-//! on the keys alone and its depth is logarithmic. Each node counts the members of each subset below it.
+//! The tree is a treap: a binary search tree by key and a heap by priority. A node's priority is a
+//! pseudorandom function of its key, so that the shape depends on the keys alone and the expected depth is
+//! logarithmic. Each node counts the members of each subset in its subtree.
 
 use crate::random_source::RandomSource;
 
-/// The place of a record.
+/// Index of a record in the caller's table.
 pub(crate) type Slot = u32;
 
-/// No slot.
+/// Marks an absent child, parent or root.
 const NONE: Slot = Slot::MAX;
 
-/// How many subsets are counted.
+/// Number of subsets, the variants of [`Subset`].
 const SUBSETS: usize = 3;
 
 /// A subset whose members can be counted and found by position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Subset {
-    /// Servers that take new requests.
+    /// Servers that accept new requests.
     Ready,
-    /// Of these, the ones that are not ejected.
-    Trusted,
-    /// Of these, the ones that are warm.
-    Available,
+    /// Ready servers that are not ejected.
+    Healthy,
+    /// Healthy servers that are not warming up.
+    WarmedUp,
 }
 
-/// Which subsets a slot belongs to, by [`Subset`] as an index.
+/// Whether a slot belongs to each subset, indexed by [`Subset`].
 pub(crate) type Membership = [bool; SUBSETS];
 
-/// A node of the tree, which is the slot of the same number.
+/// A node of the tree, stored at the index of its slot.
 #[derive(Clone, Copy)]
 struct Node {
-    /// Its key.
     key: u64,
-    /// The root of the smaller keys below it.
+    /// Root of the subtree of smaller keys.
     left: Slot,
-    /// The root of the larger keys below it.
+    /// Root of the subtree of larger keys.
     right: Slot,
-    /// Members in this node and below.
+    /// Members of each subset in this node and its subtrees.
     counts: [u32; SUBSETS],
-    /// The subsets it belongs to itself.
+    /// Subsets that the node itself belongs to.
     member: Membership,
 }
 
 impl Node {
-    /// Random, but always the same for a key.
+    /// Returns the heap priority, a pseudorandom function of the key.
     fn priority(&self) -> f64 {
         RandomSource::new(self.key).next_fraction()
     }
 }
 
-/// The tree; slots are chosen by the caller and should be dense.
+/// A treap of slots. The caller assigns the slots; memory grows with the highest one.
 pub(crate) struct RankedTree {
-    /// The nodes, by slot.
+    /// Nodes by slot; those of unused slots are stale.
     nodes: Vec<Node>,
-    /// The slot of the root.
     root: Slot,
 }
 
@@ -65,12 +64,12 @@
 }
 
 impl RankedTree {
-    /// Reserves memory for this many further slots.
-    pub fn reserve(&mut self, further: usize) {
-        self.nodes.reserve(further);
+    /// Reserves memory for a number of additional slots.
+    pub fn reserve(&mut self, additional: usize) {
+        self.nodes.reserve(additional);
     }
 
-    /// The slot with this key.
+    /// Returns the slot with the given key.
     pub fn find(&self, key: u64) -> Option<Slot> {
         let mut at = self.root;
         while let Some(node) = self.nodes.get(at as usize) {
@@ -83,17 +82,17 @@
         None
     }
 
-    /// Adds a slot, which is in no subset yet, under a key that is not in the tree.
+    /// Inserts a slot, which is in no subset yet, under a key that must not be in the tree.
     pub fn insert(&mut self, slot: Slot, key: u64) {
         let node = Node { key, left: NONE, right: NONE, counts: [0; SUBSETS], member: [false; SUBSETS] };
         if slot as usize >= self.nodes.len() {
             self.nodes.resize(slot as usize + 1, node);
         }
         let (mut parent, mut at) = (NONE, self.root);
-        while let Some(above) =
-            self.nodes.get(at as usize).filter(|above| above.priority() >= node.priority())
+        while let Some(ancestor) =
+            self.nodes.get(at as usize).filter(|ancestor| ancestor.priority() >= node.priority())
         {
-            (parent, at) = (at, if key < above.key { above.left } else { above.right });
+            (parent, at) = (at, if key < ancestor.key { ancestor.left } else { ancestor.right });
         }
         let (left, right) = self.split(at, key);
         self.nodes[slot as usize] = Node { left, right, ..node };
@@ -101,21 +100,21 @@
         self.replace_child(parent, key, slot);
     }
 
-    /// Removes a key.
+    /// Removes the slot with the given key, if there is one.
     pub fn remove(&mut self, key: u64) {
         let Some(slot) = self.find(key) else { return };
         self.set_membership(slot, [false; SUBSETS]);
         let (mut parent, mut at) = (NONE, self.root);
         while at != slot {
-            let above = &self.nodes[at as usize];
-            (parent, at) = (at, if key < above.key { above.left } else { above.right });
+            let ancestor = &self.nodes[at as usize];
+            (parent, at) = (at, if key < ancestor.key { ancestor.left } else { ancestor.right });
         }
         let Node { left, right, .. } = self.nodes[slot as usize];
         let child = self.merge(left, right);
         self.replace_child(parent, key, child);
     }
 
-    /// Says which subsets a slot belongs to from now on.
+    /// Sets the subsets that a slot belongs to.
     pub fn set_membership(&mut self, slot: Slot, member: Membership) {
         let node = &mut self.nodes[slot as usize];
         let (key, before) = (node.key, std::mem::replace(&mut node.member, member));
@@ -136,30 +135,30 @@
         }
     }
 
-    /// How many members a subset has.
+    /// Returns the number of members of a subset.
     pub fn count(&self, subset: Subset) -> usize {
         self.count_below(self.root, subset)
     }
 
-    /// The member at this position of a subset, from 0.
+    /// Returns the member at a position of a subset, counted from 0 in the order of keys.
     pub fn at(&self, subset: Subset, position: usize) -> Option<Slot> {
         let (mut at, mut position) = (self.root, position);
         while let Some(node) = self.nodes.get(at as usize) {
             let left = self.count_below(node.left, subset);
-            let own = usize::from(node.member[subset as usize]);
+            let here = usize::from(node.member[subset as usize]);
             if position < left {
                 at = node.left;
-            } else if position < left + own {
+            } else if position < left + here {
                 return Some(at);
             } else {
-                position -= left + own;
+                position -= left + here;
                 at = node.right;
             }
         }
         None
     }
 
-    /// How many members of a subset have a smaller key.
+    /// Returns the number of members of a subset whose key is smaller than the given one.
     pub fn rank(&self, subset: Subset, key: u64) -> usize {
         let (mut at, mut rank) = (self.root, 0);
         while let Some(node) = self.nodes.get(at as usize) {
@@ -173,21 +172,21 @@
         rank
     }
 
-    /// All slots in the order of their keys.
+    /// Returns all slots in the order of their keys.
     pub fn slots(&self) -> Vec<Slot> {
-        let (mut slots, mut above, mut at) = (Vec::new(), Vec::new(), self.root);
+        let (mut slots, mut ancestors, mut at) = (Vec::new(), Vec::new(), self.root);
         loop {
             while at != NONE {
-                above.push(at);
+                ancestors.push(at);
                 at = self.nodes[at as usize].left;
             }
-            let Some(slot) = above.pop() else { return slots };
+            let Some(slot) = ancestors.pop() else { return slots };
             slots.push(slot);
             at = self.nodes[slot as usize].right;
         }
     }
 
-    /// Levels of the tree; a walk.
+    /// Returns the number of levels, in time linear in the number of slots.
     #[cfg(test)]
     pub fn depth(&self) -> usize {
         let (mut depth, mut level) = (0, vec![self.root]);
@@ -202,12 +201,12 @@
         }
     }
 
-    /// Members of a subset in a node and below.
+    /// Returns the number of members of a subset in a subtree.
     fn count_below(&self, at: Slot, subset: Subset) -> usize {
         self.nodes.get(at as usize).map_or(0, |node| node.counts[subset as usize] as usize)
     }
 
-    /// Counts a node's members anew from its children.
+    /// Recomputes a node's member counts from its children.
     fn recount(&mut self, at: Slot) {
         let node = self.nodes[at as usize];
         let mut counts = node.member.map(u32::from);
@@ -219,52 +218,52 @@
         self.nodes[at as usize].counts = counts;
     }
 
-    /// Splits a tree into the keys below `key` and the others.
+    /// Splits a subtree into the keys below `key` and the remaining ones; returns the two roots.
     fn split(&mut self, at: Slot, key: u64) -> (Slot, Slot) {
         if at == NONE {
             return (NONE, NONE);
         }
         let node = self.nodes[at as usize];
         if node.key < key {
-            let (below, above) = self.split(node.right, key);
-            self.nodes[at as usize].right = below;
+            let (smaller, larger) = self.split(node.right, key);
+            self.nodes[at as usize].right = smaller;
             self.recount(at);
-            (at, above)
+            (at, larger)
         } else {
-            let (below, above) = self.split(node.left, key);
-            self.nodes[at as usize].left = above;
+            let (smaller, larger) = self.split(node.left, key);
+            self.nodes[at as usize].left = larger;
             self.recount(at);
-            (below, at)
+            (smaller, at)
         }
     }
 
-    /// Joins two trees, all keys of the first below those of the second.
-    fn merge(&mut self, below: Slot, above: Slot) -> Slot {
-        if below == NONE {
-            return above;
+    /// Merges two subtrees, all keys of the first below all of the second, and returns the root.
+    fn merge(&mut self, smaller: Slot, larger: Slot) -> Slot {
+        if smaller == NONE {
+            return larger;
         }
-        if above == NONE {
-            return below;
+        if larger == NONE {
+            return smaller;
         }
-        if self.nodes[below as usize].priority() >= self.nodes[above as usize].priority() {
-            let right = self.nodes[below as usize].right;
-            self.nodes[below as usize].right = self.merge(right, above);
-            self.recount(below);
-            below
+        if self.nodes[smaller as usize].priority() >= self.nodes[larger as usize].priority() {
+            let right = self.nodes[smaller as usize].right;
+            self.nodes[smaller as usize].right = self.merge(right, larger);
+            self.recount(smaller);
+            smaller
         } else {
-            let left = self.nodes[above as usize].left;
-            self.nodes[above as usize].left = self.merge(below, left);
-            self.recount(above);
-            above
+            let left = self.nodes[larger as usize].left;
+            self.nodes[larger as usize].left = self.merge(smaller, left);
+            self.recount(larger);
+            larger
         }
     }
 
-    /// Puts a tree where the search for a key goes on below `parent`.
+    /// Replaces the child of `parent` on the search path of a key, or the root if `parent` is `NONE`.
     fn replace_child(&mut self, parent: Slot, key: u64, child: Slot) {
         match self.nodes.get_mut(parent as usize) {
             None => self.root = child,
-            Some(above) if key < above.key => above.left = child,
-            Some(above) => above.right = child,
+            Some(node) if key < node.key => node.left = child,
+            Some(node) => node.right = child,
         }
     }
 }
--- a/crates/core/src/endpoints/server.rs
+++ b/crates/core/src/endpoints/server.rs
@@ -1,4 +1,4 @@
-//! A server as one gateway sees it.
+//! The record that a gateway keeps of one server.
 
 use crate::api::{Endpoint, Micros, NonZeroMicros, ProtocolRules};
 use crate::decaying_rate::decay;
@@ -7,96 +7,101 @@
 use crate::health::slow_start::slow_start_factor;
 use std::collections::BTreeMap;
 
-/// The weight of a load report falls by a factor of e in so many seconds.
+/// Time constant with which the weight of a load report decays, in seconds.
 pub(crate) const LOAD_REPORT_HORIZON_S: f64 = 1.0;
-/// A server that rejected a plan gets no requests of it for so long at first.
+/// First backoff after a server rejects a request, for requests of the same plan.
 pub(crate) const BASE_REJECTION_BACKOFF: Micros = 100_000;
-/// Times that this backoff doubles.
+/// Number of times that the backoff can double, to 6.4 s.
 const REJECTION_BACKOFF_DOUBLINGS: u32 = 6;
-/// Weight of one answer in a server's service time.
+/// Weight of the newest sample in the moving average of a server's service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
-/// A server's backoff for one plan.
+/// The backoff of one server for requests of one plan.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RejectionBackoff {
-    /// Until when it gets no requests of the plan while there are others.
+    /// End of the backoff, during which the server is a last resort for requests of the plan.
     pub until: Micros,
-    /// Rejections in a row.
-    consecutive: u32,
+    /// Rejections since the backoff was last cleared.
+    consecutive_rejections: u32,
 }
 
-/// A server as this gateway sees it.
+/// What one gateway knows of a server.
 #[derive(Default)]
 pub(crate) struct Server {
-    /// As it is listed; its start by this process's clock.
+    /// Entry of the endpoint list, with the start time converted to this process's clock.
     pub endpoint: Endpoint,
-    /// Its start by the fleet's clock, as it was listed.
+    /// Start time by the fleet's clock, as listed.
     pub reported_start: Option<NonZeroMicros>,
-    /// Attempts in flight there from here.
+    /// Attempts of this gateway in flight at the server.
     pub attempts_in_flight: u32,
-    /// Time per request in flight, microseconds.
+    /// Moving average of the response time per request in flight, in microseconds.
     pub service_time_us: f64,
-    /// Requests of other gateways in flight there, as last reported.
+    /// Share of other gateways' requests in flight at the server that this gateway accounts for, as of the
+    /// last load report.
     pub peers_in_flight: f64,
-    /// When that was.
+    /// Time of the last load report.
     pub load_reported_at: Micros,
-    /// Its success rate and ejection.
+    /// Success rate and ejection by outlier detection.
     pub health: OutlierState,
-    /// By plan: its backoff after rejections.
+    /// Backoff after rejections, by index of the plan.
     pub rejection_backoff: BTreeMap<usize, RejectionBackoff>,
-    /// Attempts that may be sent while it warms up.
+    /// Attempts that this gateway may send while the server warms up; may be negative.
     pub slow_start_budget: f64,
-    /// Its virtual finish time, where servers take turns.
+    /// Virtual finish time of the last attempt sent, in microseconds, by which the servers of a partial
+    /// subset take turns.
     pub virtual_time: f64,
 }
 
 handover_record!(Server { health, service_time_us, slow_start_budget, attempts_in_flight } times {});
 
 impl Server {
-    /// Requests expected in flight there: our own, always known, and others' as last reported, decaying with
-    /// age.
+    /// Returns the expected number of requests in flight at the server: this gateway's attempts, which are
+    /// known exactly, and other gateways' requests as last reported, decaying with the report's age.
     pub fn expected_in_flight(&self, now: Micros) -> f64 {
         let report_age = now.saturating_sub(self.load_reported_at);
         f64::from(self.attempts_in_flight) + self.peers_in_flight * decay(report_age, LOAD_REPORT_HORIZON_S)
     }
 
-    /// Share of its capacity that it has at least.
+    /// Returns the least share of its capacity that the server has while it warms up.
     pub fn slow_start_factor(&self, now: Micros, rules: &ProtocolRules) -> f64 {
         slow_start_factor(self.endpoint.started_at, now, rules)
     }
 
-    /// How long an answer to one more request should take, microseconds.
+    /// Returns the expected latency of one further request, in microseconds.
     pub fn expected_latency_us(&self, now: Micros, rules: &ProtocolRules) -> f64 {
         (self.expected_in_flight(now) + 1.0) * self.service_time_us / self.slow_start_factor(now, rules)
     }
 
-    /// The time that one more request keeps it busy, microseconds.
+    /// Returns the time for which one further request occupies the server, in microseconds.
     pub fn busy_time_us(&self, now: Micros, rules: &ProtocolRules) -> f64 {
         self.service_time_us / self.slow_start_factor(now, rules)
     }
 
-    /// Whether it has rejected requests of a plan lately.
+    /// Returns whether the backoff for a plan is still running.
     pub fn is_backing_off(&self, now: Micros, plan: usize) -> bool {
         self.rejection_backoff.get(&plan).is_some_and(|backoff| backoff.until > now)
     }
 
-    /// Records the time of an answer, by the requests that were expected in flight when it was sent.
+    /// Adds a sample to the service time: the time that an answer took, per request expected in flight when
+    /// its attempt was sent.
     pub fn record_service_time(&mut self, elapsed: Micros, expected_in_flight: f64) {
         let sample_us = elapsed as f64 / (expected_in_flight + 1.0);
         self.service_time_us += SERVICE_TIME_WEIGHT * (sample_us - self.service_time_us);
     }
 
-    /// Records a rejection, for this plan alone: a server may reject one plan and have capacity for others.
+    /// Starts or extends the backoff for one plan only: a server that rejects one plan may have capacity for
+    /// others.
     pub fn record_rejection(&mut self, now: Micros, plan: usize) {
         let longest = BASE_REJECTION_BACKOFF << REJECTION_BACKOFF_DOUBLINGS;
         let since_last = now.saturating_sub(self.health.last_outcome_at()).min(longest);
         let backoff = self.rejection_backoff.entry(plan).or_default();
-        let doubled = BASE_REJECTION_BACKOFF << backoff.consecutive.min(REJECTION_BACKOFF_DOUBLINGS);
+        let doubled =
+            BASE_REJECTION_BACKOFF << backoff.consecutive_rejections.min(REJECTION_BACKOFF_DOUBLINGS);
         backoff.until = now + doubled.max(since_last / 2);
-        backoff.consecutive += 1;
+        backoff.consecutive_rejections += 1;
     }
 
-    /// Ends the backoff for a plan.
+    /// Ends the backoff for a plan and resets its doubling.
     pub fn clear_rejections(&mut self, plan: usize) {
         self.rejection_backoff.remove(&plan);
     }
--- a/crates/core/src/endpoints/server_index.rs
+++ b/crates/core/src/endpoints/server_index.rs
@@ -1,6 +1,7 @@
-//! The table of servers and what is found in it without a walk: members in the order of their numbers and by
-//! position, those that warm up, ejected ones by the end of their ejection, and those of a zone or a cell.
-//! Each change of a record keeps it up to date in logarithmic time; nothing is decided here.
+//! The table of servers with its indexes: ready, healthy and warmed-up servers by position in the order of
+//! their ids, servers that warm up, ejected servers by the end of their ejection, and the ready servers of a
+//! zone or a cell. Each change of a record updates the indexes in logarithmic time. Contains no decision
+//! logic.
 
 use crate::api::{Endpoint, EndpointState, Micros, NonZeroMicros, ProtocolRules, ServerId};
 use crate::endpoints::ranked_tree::{RankedTree, Slot, Subset};
@@ -8,41 +9,39 @@
 use std::cell::Cell;
 use std::collections::BTreeSet;
 
-/// Servers that are summed one by one, in their order, at most: sums kept by changes gather rounding errors.
-const MAX_SUMMED: usize = 512;
+/// Largest table whose sums are computed afresh, in the order of ids; incrementally updated sums accumulate
+/// rounding errors.
+const MAX_EXACT_SUM_SERVERS: usize = 512;
 
-/// Servers that share the idempotency keys they have seen.
+/// A group of servers that share the idempotency keys they have seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Site {
-    /// Those of this zone.
+    /// The servers of the zone with this number.
     Zone(u32),
-    /// Those of this cell.
+    /// The servers of the cell with this number.
     Cell(u32),
 }
 
-/// What the index holds of a record.
+/// The fields of a record that the indexes depend on.
 #[derive(Clone, Copy, PartialEq)]
 struct IndexedFields {
-    /// Its state in the list.
+    /// State in the endpoint list.
     state: EndpointState,
-    /// Its zone.
     zone: u32,
-    /// Its cell.
     cell: u32,
-    /// When it started.
+    /// Start time by this process's clock.
     started_at: Option<NonZeroMicros>,
-    /// The end of its ejection.
+    /// End of the last ejection; in the past if the server is not ejected.
     ejected_until: Micros,
-    /// No attempt of this gateway is in flight there.
+    /// Whether no attempt of this gateway is in flight at the server.
     is_idle: bool,
-    /// Its service time.
     service_time_us: f64,
 }
 
 impl IndexedFields {
-    /// As if not in the table.
+    /// Fields that stand for a server that is not in the table.
     const ABSENT: IndexedFields = IndexedFields {
-        state: EndpointState::Gone,
+        state: EndpointState::Removed,
         zone: 0,
         cell: 0,
         started_at: None,
@@ -51,7 +50,7 @@
         service_time_us: 0.0,
     };
 
-    /// The fields of a record.
+    /// Extracts the indexed fields of a record.
     fn of(server: &Server) -> IndexedFields {
         let Endpoint { state, zone, cell, started_at, .. } = server.endpoint;
         IndexedFields {
@@ -65,98 +64,100 @@
         }
     }
 
-    /// Whether the server takes new requests.
+    /// Returns whether the server accepts new requests.
     fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
-    /// Whether the server is in the list.
+    /// Returns whether the server is in the endpoint list.
     fn is_listed(&self) -> bool {
-        self.state != EndpointState::Gone
+        self.state != EndpointState::Removed
     }
 
-    /// Whether the server is removed from the list and no attempt is in flight there.
-    fn is_vacated(&self) -> bool {
-        self.state == EndpointState::Gone && self.is_idle
+    /// Returns whether the record is no longer needed: the server was removed from the list and no attempt is
+    /// in flight there.
+    fn is_purgeable(&self) -> bool {
+        self.state == EndpointState::Removed && self.is_idle
     }
 }
 
-/// The servers, by number.
+/// The records of all known servers, indexed by id and by the fields that selections depend on.
 #[derive(Default)]
 pub(crate) struct ServerIndex {
-    /// The rules of slow start.
+    /// Protocol rules, which determine the slow start factor.
     rules: ProtocolRules,
-    /// The records; a server keeps its slot.
+    /// Records by slot; a server keeps its slot while it is in the table.
     records: Vec<Server>,
-    /// Slots without a server.
+    /// Unused slots.
     free: Vec<Slot>,
-    /// The slots in the order of the servers' numbers.
+    /// Slots in the order of the servers' ids, with membership of the subsets.
     order: RankedTree,
-    /// Ejected servers, by the end of the ejection.
+    /// Ejected servers by the end of their ejection.
     ejected: BTreeSet<(Micros, Slot)>,
-    /// Servers that warm up by the time of their start, so that the first is the next to be warm.
+    /// Servers that warm up by start time, so that the first is the next to be warm.
     warming_up: BTreeSet<(Option<NonZeroMicros>, Slot)>,
     /// Ready servers by zone.
     zones: BTreeSet<(u32, Slot)>,
     /// Ready servers by cell.
     cells: BTreeSet<(u32, Slot)>,
-    /// Removed servers with no attempt in flight.
-    vacated: BTreeSet<Slot>,
-    /// Servers in the list.
+    /// Servers removed from the list without an attempt in flight, which [`Self::purge_removed`] deletes.
+    purgeable: BTreeSet<Slot>,
+    /// Number of servers in the endpoint list.
     listed: usize,
-    /// Sum of the service times.
+    /// Sum of the service times of all records, updated incrementally.
     service_time_sum_us: f64,
-    /// Records examined since the start.
+    /// Number of records examined since the start.
     visited: Cell<u64>,
 }
 
 impl ServerIndex {
-    /// An empty table under these rules of slow start.
+    /// Returns an empty table in which `rules` determine the slow start factor.
     pub fn new(rules: ProtocolRules) -> ServerIndex {
         ServerIndex { rules, ..ServerIndex::default() }
     }
 
-    /// Records examined since the start. Steps of a search, logarithmic in the servers, are not counted.
+    /// Returns the number of records examined since the start. The steps of a search, logarithmic in the
+    /// number of servers, are not counted.
     pub fn visited(&self) -> u64 {
         self.visited.get()
     }
 
-    /// Servers in the table, removed ones with attempts in flight included.
+    /// Returns the number of servers in the table, including removed ones with attempts in flight.
     pub fn len(&self) -> usize {
         self.records.len() - self.free.len()
     }
 
-    /// Servers in the list.
+    /// Returns the number of servers in the endpoint list.
     pub fn listed(&self) -> usize {
         self.listed
     }
 
-    /// Members of a subset, as of the last [`Self::advance`].
+    /// Returns the number of members of a subset as of the last [`Self::advance`].
     pub fn count(&self, subset: Subset) -> usize {
         self.order.count(subset)
     }
 
-    /// The member at a position of a subset in the order of numbers.
+    /// Returns the member at a position of a subset in the order of ids.
     pub fn at(&self, subset: Subset, position: usize) -> Option<&Server> {
         self.order.at(subset, position).map(|slot| self.record(slot))
     }
 
-    /// How many members of a subset come before a server.
+    /// Returns the number of members of a subset whose id is below that of a server.
     pub fn rank(&self, subset: Subset, id: ServerId) -> usize {
         self.order.rank(subset, id.0)
     }
 
-    /// The record of a server.
+    /// Returns the record of a server, if it is in the table.
     pub fn get(&self, id: ServerId) -> Option<&Server> {
         self.order.find(id.0).map(|slot| self.record(slot))
     }
 
-    /// All records in the order of numbers; a walk.
+    /// Returns all records in the order of ids, in time linear in the size of the table.
     pub fn iter(&self) -> impl Iterator<Item = &Server> {
         self.order.slots().into_iter().map(|slot| self.record(slot))
     }
 
-    /// The ready servers of a site, each once, beginning at a fraction (0 to 1) of the table.
+    /// Returns each ready server of a site once, starting at a fraction (0 to 1) of the table.
     pub fn at_site(&self, site: Site, from: f64) -> impl Iterator<Item = &Server> {
         let (set, key) = match site {
             Site::Zone(zone) => (&self.zones, zone),
@@ -167,18 +168,18 @@
         after.chain(set.range((key, 0)..(key, start))).map(|(_, slot)| self.record(*slot))
     }
 
-    /// How many ready servers are ejected at a time; walks the ejected ones.
+    /// Returns the number of ready servers that are ejected at a time, in time linear in the ejected servers.
     pub fn ejected_at(&self, now: Micros) -> usize {
         let ejected = self.ejected.range((now.saturating_add(1), 0)..);
         ejected.filter(|(_, slot)| self.record(*slot).endpoint.state == EndpointState::Ready).count()
     }
 
-    /// Servers that warm up, ready or not, as of the last [`Self::advance`].
+    /// Returns the servers that warm up, ready or not, as of the last [`Self::advance`].
     pub fn warming_up(&self) -> impl Iterator<Item = &Server> {
         self.warming_up.iter().map(|(_, slot)| self.record(*slot))
     }
 
-    /// Changes what is not indexed of each server that warms up.
+    /// Applies a change to each server that warms up. The change must not touch indexed fields.
     pub fn update_warming_up(&mut self, mut change: impl FnMut(&mut Server)) {
         self.visited.set(self.visited.get() + self.warming_up.len() as u64);
         for (_, slot) in &self.warming_up {
@@ -186,9 +187,9 @@
         }
     }
 
-    /// Sum of the ready servers' slow start factors.
+    /// Returns the sum of the slow start factors of all ready servers.
     pub fn slow_start_factor_sum(&self, now: Micros) -> f64 {
-        if !self.warming_up.is_empty() && self.len() <= MAX_SUMMED {
+        if !self.warming_up.is_empty() && self.len() <= MAX_EXACT_SUM_SERVERS {
             return self
                 .iter()
                 .filter(|server| is_ready(server))
@@ -202,41 +203,43 @@
         sum
     }
 
-    /// Mean service time of all servers in the table.
+    /// Returns the mean service time of all servers in the table, in microseconds; `None` if it is empty.
     pub fn mean_service_time_us(&self) -> Option<f64> {
         let sum = match self.len() {
             0 => return None,
-            1..=MAX_SUMMED => self.iter().map(|server| server.service_time_us).sum(),
+            1..=MAX_EXACT_SUM_SERVERS => self.iter().map(|server| server.service_time_us).sum(),
             _ => self.service_time_sum_us,
         };
         Some(sum / self.len() as f64)
     }
 
-    /// The servers that a complete list does not name; reserves memory for those that only it does.
+    /// Returns the servers of the table that are missing in a complete list; reserves memory for the servers
+    /// that only the list contains.
     pub fn unlisted(&mut self, list: &[Endpoint]) -> Vec<ServerId> {
-        let further = list.len().saturating_sub(self.len());
-        self.records.reserve(further);
-        self.order.reserve(further);
+        let additional = list.len().saturating_sub(self.len());
+        self.records.reserve(additional);
+        self.order.reserve(additional);
         let listed: BTreeSet<ServerId> = list.iter().map(|endpoint| endpoint.server).collect();
         self.iter().map(|server| server.endpoint.server).filter(|id| !listed.contains(id)).collect()
     }
 
-    /// Lets time pass: ejections end, and servers become warm.
+    /// Advances the indexes to a time: ends the ejections and warm-ups that are over by then.
     pub fn advance(&mut self, now: Micros) {
         while let Some((until, slot)) = self.ejected.first().copied().filter(|(until, _)| *until <= now) {
             self.ejected.remove(&(until, slot));
-            self.place_in_subsets(slot);
+            self.update_subsets(slot);
         }
         while let Some((started_at, slot)) = self.warming_up.first().copied() {
             if self.record(slot).slow_start_factor(now, &self.rules) < 1.0 {
                 return;
             }
             self.warming_up.remove(&(started_at, slot));
-            self.place_in_subsets(slot);
+            self.update_subsets(slot);
         }
     }
 
-    /// Changes a server's record, but never its number.
+    /// Applies a change to a server's record and reindexes it; `None` if the server is not in the table. The
+    /// change must not touch the server's id.
     pub fn update<R>(
         &mut self,
         now: Micros,
@@ -250,7 +253,7 @@
         Some(result)
     }
 
-    /// Adds a server, or replaces its record.
+    /// Inserts the record of a server, or replaces the existing one.
     pub fn insert(&mut self, now: Micros, server: Server) {
         let id = server.endpoint.server;
         if self.order.find(id.0).is_some() {
@@ -267,9 +270,9 @@
         self.reindex(now, slot, IndexedFields::ABSENT);
     }
 
-    /// Forgets the servers that are removed from the list and have no attempt in flight.
-    pub fn remove_vacated(&mut self) {
-        for slot in std::mem::take(&mut self.vacated) {
+    /// Deletes the records of servers that were removed from the list and have no attempt in flight.
+    pub fn purge_removed(&mut self) {
+        for slot in std::mem::take(&mut self.purgeable) {
             let server = std::mem::take(&mut self.records[slot as usize]);
             self.visited.set(self.visited.get() + 1);
             self.ejected.remove(&(server.health.ejected_until(), slot));
@@ -280,13 +283,13 @@
         }
     }
 
-    /// The record in a slot.
+    /// Returns the record in a slot and counts it as examined.
     fn record(&self, slot: Slot) -> &Server {
         self.visited.set(self.visited.get() + 1);
         &self.records[slot as usize]
     }
 
-    /// Brings the index up to date with a record that was as `before` said.
+    /// Updates the indexes after a change of the record in a slot, whose indexed fields were `before`.
     fn reindex(&mut self, now: Micros, slot: Slot, before: IndexedFields) {
         let after = IndexedFields::of(&self.records[slot as usize]);
         if after == before {
@@ -295,10 +298,10 @@
         self.service_time_sum_us += after.service_time_us - before.service_time_us;
         self.listed = self.listed + usize::from(after.is_listed()) - usize::from(before.is_listed());
         self.reindex_sites(slot, before, after);
-        if after.is_vacated() {
-            self.vacated.insert(slot);
+        if after.is_purgeable() {
+            self.purgeable.insert(slot);
         } else {
-            self.vacated.remove(&slot);
+            self.purgeable.remove(&slot);
         }
         if after.ejected_until != before.ejected_until {
             self.ejected.remove(&(before.ejected_until, slot));
@@ -312,10 +315,10 @@
                 self.warming_up.insert((after.started_at, slot));
             }
         }
-        self.place_in_subsets(slot);
+        self.update_subsets(slot);
     }
 
-    /// Brings the order by zone and by cell up to date.
+    /// Updates the indexes by zone and by cell.
     fn reindex_sites(&mut self, slot: Slot, before: IndexedFields, after: IndexedFields) {
         if before.is_ready() {
             self.zones.remove(&(before.zone, slot));
@@ -327,17 +330,17 @@
         }
     }
 
-    /// Brings the subsets that a server belongs to up to date.
-    fn place_in_subsets(&mut self, slot: Slot) {
+    /// Updates which subsets the server in a slot belongs to.
+    fn update_subsets(&mut self, slot: Slot) {
         let server = &self.records[slot as usize];
         let ready = server.endpoint.state == EndpointState::Ready;
-        let trusted = ready && !self.ejected.contains(&(server.health.ejected_until(), slot));
-        let available = trusted && !self.warming_up.contains(&(server.endpoint.started_at, slot));
-        self.order.set_membership(slot, [ready, trusted, available]);
+        let healthy = ready && !self.ejected.contains(&(server.health.ejected_until(), slot));
+        let warmed_up = healthy && !self.warming_up.contains(&(server.endpoint.started_at, slot));
+        self.order.set_membership(slot, [ready, healthy, warmed_up]);
     }
 }
 
-/// Whether a server takes new requests.
+/// Returns whether a server accepts new requests.
 fn is_ready(server: &Server) -> bool {
     server.endpoint.state == EndpointState::Ready
 }
--- a/crates/core/src/endpoints/start_times.rs
+++ b/crates/core/src/endpoints/start_times.rs
@@ -1,32 +1,35 @@
-//! When servers started, by this process's clock. Discovery gives starts by the fleet's wall clock, from
-//! which that of this machine may differ by any time if it was stepped before the process began.
+//! Conversion of servers' start times to this process's clock. Service discovery states start times by the
+//! fleet's wall clock, from which this machine's clock may differ by any amount if it was stepped before the
+//! process began.
 //!
-//! Two facts bound the difference without a look at the wall clock. No start lies in the future. And a start
-//! newer than any seen before has happened since discovery last answered, but for the time that a change
-//! takes to arrive. A clock that contradicts one of them is corrected such that the newest start was just
-//! now, which errs on the side of the slower slow start. What remains unseen is a clock ahead by less than
-//! [`CHANGE_DELAY`], and one that is ahead when the first list has a start that was recent then.
+//! Two facts bound the offset without reading the wall clock. No start lies in the future. And a start newer
+//! than all earlier ones happened after the last answer of discovery, apart from the delay with which a
+//! change arrives. If a start contradicts one of them, the offset is corrected so that the newest start is
+//! the present time, which errs towards a longer slow start. Two errors go undetected: a clock that is ahead
+//! by less than [`CHANGE_DELAY`], and a clock that is ahead when the first list contains a recent start.
 
 use crate::api::{Endpoint, Micros, NonZeroMicros, WatchEvent};
 
-/// Changes of the list arrive some seconds late; by a correct clock hardly any are older.
+/// Highest delay assumed of a change of the list. Changes arrive some seconds late; by a correct clock hardly
+/// any is older than this.
 const CHANGE_DELAY: Micros = 10_000_000;
-/// A start said to lie further ahead is not the fleet's time.
-const MAX_STEP: Micros = 24 * 3_600_000_000;
+/// Start times further ahead of this process's clock are ignored as invalid.
+const MAX_LEAD: Micros = 24 * 3_600_000_000;
 
-/// The difference between this process's clock and the fleet's, as far as the starts of servers show it.
+/// The offset between this process's clock and the fleet's, inferred from the start times of servers.
 #[derive(Default)]
 pub(crate) struct StartTimes {
-    /// Microseconds that this process's clock is ahead; negative where it is behind.
+    /// Microseconds by which this process's clock is ahead of the fleet's; negative if it is behind.
     clock_offset: i64,
-    /// The newest start listed, by the fleet's clock.
+    /// Newest start listed so far, by the fleet's clock.
     newest: Option<Micros>,
-    /// When discovery last answered, by this process's clock.
+    /// Time of discovery's last answer, by this process's clock.
     answered_at: Option<Micros>,
 }
 
 impl StartTimes {
-    /// Evaluates the starts of a list that came now. Returns whether the difference was corrected.
+    /// Checks the offset against the start times of an update received now. Returns whether the offset was
+    /// corrected.
     pub fn observe(&mut self, now: Micros, watch_event: WatchEvent, endpoints: &[Endpoint]) -> bool {
         let answered_before = self.answered_at;
         if watch_event != WatchEvent::CachedSnapshot {
@@ -36,27 +39,28 @@
         self.newest = Some(newest);
         let age = self.age(now, newest);
         let max_age = |answered: Micros| (now - answered + CHANGE_DELAY) as i64;
-        let is_wrong = age < 0 || answered_before.is_some_and(|answered| age > max_age(answered));
-        if is_wrong {
+        let contradicts_offset = age < 0 || answered_before.is_some_and(|answered| age > max_age(answered));
+        if contradicts_offset {
             self.clock_offset += age;
         }
-        is_wrong
+        contradicts_offset
     }
 
-    /// The newest start of a list, if it is newer than any listed before.
+    /// Returns the newest start of a list, if it is newer than all those listed before.
     fn newest_start(&self, now: Micros, endpoints: &[Endpoint]) -> Option<Micros> {
         let starts = endpoints.iter().filter_map(|endpoint| endpoint.started_at).map(NonZeroMicros::get);
-        let newest = starts.filter(|at| self.age(now, *at) > -(MAX_STEP as i64)).max();
+        let newest = starts.filter(|at| self.age(now, *at) > -(MAX_LEAD as i64)).max();
         newest.filter(|at| self.newest.is_none_or(|known| *at > known))
     }
 
-    /// A start by this process's clock, from the fleet's.
-    pub fn local(&self, started_at: NonZeroMicros) -> NonZeroMicros {
+    /// Converts a start time from the fleet's clock to this process's clock.
+    pub fn to_local(&self, started_at: NonZeroMicros) -> NonZeroMicros {
         let local = started_at.get().saturating_add_signed(self.clock_offset);
         NonZeroMicros::new(local).unwrap_or(NonZeroMicros::MIN)
     }
 
-    /// How long ago a start was; negative where it would lie in the future.
+    /// Returns the time since a start given by the fleet's clock, in microseconds; negative if the start lies
+    /// in the future.
     fn age(&self, now: Micros, started_at: Micros) -> i64 {
         now as i64 - self.clock_offset - started_at as i64
     }
--- a/crates/core/src/health/mod.rs
+++ b/crates/core/src/health/mod.rs
@@ -1,5 +1,4 @@
-//! The health of servers: which are ejected for their failures, how much those that warm up may get, and
-//! health checks.
+//! The health of servers: outlier detection, slow start with its budgets, and health checks.
 
 mod health_check;
 pub(crate) mod outlier;
--- a/crates/core/src/health/slow_start_budget.rs
+++ b/crates/core/src/health/slow_start_budget.rs
@@ -1,20 +1,22 @@
-//! The budgets of servers that warm up: each gets no more attempts than its part of what it can take.
+//! Slow start budgets: the attempts that this gateway may send to each server that warms up.
 
 use crate::api::Micros;
 use crate::decaying_rate::seconds;
 use crate::endpoints::ranked_tree::Subset;
 use crate::gateway::{Gateway, TICK_INTERVAL};
 
-/// Part used of what would overload a server that warms up: requests differ in size, rates in time.
+/// Share of the overloading rate that a server may get while it warms up. The rest is a margin for requests
+/// of different sizes and for varying rates.
 const SAFETY_FACTOR: f64 = 0.5;
 
 impl Gateway {
-    /// Refills the budgets of servers that warm up, by the rate that a server gets from this gateway.
+    /// Refills the budget of each server that warms up, in proportion to this gateway's mean rate of attempts
+    /// per server.
     pub(crate) fn refill_slow_start_budgets(&mut self, now: Micros) {
         let attempt_rate = self.load.attempt_rate(now);
         let ready = self.servers.count(Subset::Ready).max(1);
         let subset_size = self.subset_size(ready).max(1) as f64;
-        // Where many servers warm up at once, a warm one gets far more than the mean.
+        // While many servers warm up at once, each warm one receives far more than the mean rate.
         let warm_servers = self.servers.slow_start_factor_sum(now).max(1.0);
         let receiving_servers = subset_size * warm_servers / ready as f64;
         let rules = &self.settings.rules;
--- a/crates/core/tests/bounded_work.rs
+++ b/crates/core/tests/bounded_work.rs
@@ -102,7 +102,7 @@
                 let new_server = endpoint(server_count as u64 + 1 + k, 0);
                 let added = Endpoint { started_at: NonZeroMicros::new(self.now), ..new_server.clone() };
                 most.list_change = most.list_change.max(self.handle(endpoint_delta(vec![added])));
-                let removed = Endpoint { state: EndpointState::Gone, ..new_server };
+                let removed = Endpoint { state: EndpointState::Removed, ..new_server };
                 most.list_change = most.list_change.max(self.handle(endpoint_delta(vec![removed])));
             }
         }
--- a/crates/core/tests/endpoint_list.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -18,7 +18,7 @@
 
 #[test]
 fn draining_or_removed_server_gets_no_new_request() {
-    for state in [EndpointState::Draining, EndpointState::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut gateway = TestGateway::new(settings(), &[endpoint(1, 0), endpoint(2, 0)]);
         gateway.handle(endpoint_delta(vec![Endpoint { state, ..endpoint(1, 0) }]));
         assert_all_go_to_server_2(&mut gateway);
--- a/crates/core/tests/event_sequences.rs
+++ b/crates/core/tests/event_sequences.rs
@@ -51,7 +51,7 @@
         EndpointState::Ready,
         EndpointState::Ready,
         EndpointState::Draining,
-        EndpointState::Gone,
+        EndpointState::Removed,
     ]);
     let pick = || any::<prop::sample::Index>().prop_map(|index| index.index(1 << 16));
     prop_oneof![
--- a/crates/core/tests/fleet_slow_start.rs
+++ b/crates/core/tests/fleet_slow_start.rs
@@ -67,7 +67,7 @@
         if self.servers_change && tick > start_tick && tick.is_multiple_of(3) {
             let removed = endpoint(tick / 3 % (self.server_count / 2), 0);
             let replacement = endpoint(2_000 + tick, 0);
-            return vec![Endpoint { state: EndpointState::Gone, ..removed }, replacement];
+            return vec![Endpoint { state: EndpointState::Removed, ..removed }, replacement];
         }
         Vec::new()
     }
--- a/crates/core/tests/unit/ranked_tree.rs
+++ b/crates/core/tests/unit/ranked_tree.rs
@@ -2,27 +2,27 @@
 use proptest::prelude::{any, prop, prop_oneof, proptest, ProptestConfig, Strategy};
 use std::collections::BTreeMap;
 
-const SUBSETS: [Subset; 3] = [Subset::Ready, Subset::Trusted, Subset::Available];
+const SUBSETS: [Subset; 3] = [Subset::Ready, Subset::Healthy, Subset::WarmedUp];
 
 #[derive(Clone, Debug)]
 enum Step {
     Insert(u64),
     Remove(u64),
-    Belong(u64, [bool; 3]),
+    SetMembership(u64, [bool; 3]),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => (0u64..60).prop_map(Step::Insert),
         1 => (0u64..60).prop_map(Step::Remove),
-        3 => (0u64..60, any::<[bool; 3]>()).prop_map(|(key, member)| Step::Belong(key, member)),
+        3 => (0u64..60, any::<[bool; 3]>()).prop_map(|(key, member)| Step::SetMembership(key, member)),
     ]
 }
 
-/// A model: the slots and memberships by key.
+/// The reference model: slots and memberships by key.
 type Model = BTreeMap<u64, (Slot, [bool; 3])>;
 
-fn agree(tree: &RankedTree, model: &Model) {
+fn assert_matches_model(tree: &RankedTree, model: &Model) {
     assert_eq!(tree.slots(), model.values().map(|(slot, _)| *slot).collect::<Vec<_>>());
     for key in 0..61 {
         assert_eq!(tree.find(key), model.get(&key).map(|(slot, _)| *slot));
@@ -47,12 +47,12 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn positions_and_ranks_agree_with_a_sorted_map(steps in prop::collection::vec(step(), 1..150)) {
+    fn positions_and_ranks_match_a_sorted_map(steps in prop::collection::vec(step(), 1..150)) {
         let (mut tree, mut model) = (RankedTree::default(), Model::new());
         for step in steps {
             match step {
                 Step::Insert(key) if !model.contains_key(&key) => {
-                    // Slots in another order than keys.
+                    // The order of the slots differs from that of the keys.
                     let slot = (key * 37 % 61) as Slot;
                     tree.insert(slot, key);
                     model.insert(key, (slot, [false; 3]));
@@ -61,7 +61,7 @@
                     tree.remove(key);
                     model.remove(&key);
                 }
-                Step::Belong(key, member) => {
+                Step::SetMembership(key, member) => {
                     if let Some((slot, known)) = model.get_mut(&key) {
                         tree.set_membership(*slot, member);
                         *known = member;
@@ -69,19 +69,23 @@
                 }
                 Step::Insert(_) => {}
             }
-            agree(&tree, &model);
+            assert_matches_model(&tree, &model);
         }
     }
 }
 
-/// Keys in ascending order would make a list of a plain search tree.
+/// Ascending keys degenerate an unbalanced search tree into a list.
 #[test]
-fn the_depth_stays_logarithmic() {
+fn depth_stays_logarithmic() {
     let mut tree = RankedTree::default();
-    for n in [1_000_u32, 10_000, 100_000] {
+    for key_count in [1_000_u32, 10_000, 100_000] {
         let start = tree.slots().len() as u32;
-        (start..n).for_each(|k| tree.insert(k, u64::from(k)));
-        let most = 5.0 * f64::from(n).log2();
-        assert!(tree.depth() as f64 <= most, "{} levels for {n}, {most:.0} at most", tree.depth());
+        (start..key_count).for_each(|k| tree.insert(k, u64::from(k)));
+        let max_depth = 5.0 * f64::from(key_count).log2();
+        assert!(
+            tree.depth() as f64 <= max_depth,
+            "{} levels for {key_count} keys, expected at most {max_depth:.0}",
+            tree.depth()
+        );
     }
 }
--- a/crates/core/tests/unit/server_index.rs
+++ b/crates/core/tests/unit/server_index.rs
@@ -12,7 +12,7 @@
 enum Step {
     List { server: u64, state: EndpointState, site: u32, age_s: Option<u64> },
     Change { server: u64, eject_s: Option<u64>, in_flight: u32, service_time_us: f64 },
-    Sweep,
+    PurgeRemoved,
     Wait { ms: u64 },
 }
 
@@ -21,14 +21,14 @@
         EndpointState::Ready,
         EndpointState::Ready,
         EndpointState::Draining,
-        EndpointState::Gone,
+        EndpointState::Removed,
     ]);
     prop_oneof![
         4 => (0u64..40, state, 0u32..6, prop::option::of(0u64..14))
             .prop_map(|(server, state, site, age_s)| Step::List { server, state, site, age_s }),
         4 => (0u64..40, prop::option::of(0u64..5), 0u32..3, 1.0..1e5)
             .prop_map(|(server, eject_s, in_flight, service_time_us)| Step::Change { server, eject_s, in_flight, service_time_us }),
-        1 => Just(Step::Sweep),
+        1 => Just(Step::PurgeRemoved),
         3 => (1u64..4_000).prop_map(|ms| Step::Wait { ms }),
     ]
 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// The servers in a plain map, searched from end to end.
+/// The reference model: the servers in a plain map, searched linearly.
 #[derive(Default)]
 struct Model(BTreeMap<ServerId, Server>);
 
@@ -55,8 +55,8 @@
     fn members(&self, subset: Subset, now: Micros) -> Vec<ServerId> {
         let is_member = |server: &&Server| match subset {
             Subset::Ready => true,
-            Subset::Trusted => server.health.ejected_until() <= now,
-            Subset::Available => {
+            Subset::Healthy => server.health.ejected_until() <= now,
+            Subset::WarmedUp => {
                 server.health.ejected_until() <= now && server.slow_start_factor(now, &rules()) >= 1.0
             }
         };
@@ -64,26 +64,26 @@
     }
 
     fn at_site(&self, site: Site) -> BTreeSet<ServerId> {
-        let is_there = |server: &&Server| match site {
+        let is_at_site = |server: &&Server| match site {
             Site::Zone(zone) => server.endpoint.zone == zone,
             Site::Cell(cell) => server.endpoint.cell == cell,
         };
-        self.ready().into_iter().filter(is_there).map(|server| server.endpoint.server).collect()
+        self.ready().into_iter().filter(is_at_site).map(|server| server.endpoint.server).collect()
     }
 }
 
-fn close_to(left: f64, right: f64) -> bool {
+fn is_close(left: f64, right: f64) -> bool {
     (left - right).abs() <= 1e-9 * left.abs().max(1.0)
 }
 
-fn agree(index: &ServerIndex, model: &Model, now: Micros) {
+fn assert_matches_model(index: &ServerIndex, model: &Model, now: Micros) {
     assert_eq!(index.len(), model.0.len());
     assert!(index.iter().map(|server| server.endpoint.server).eq(model.0.keys().copied()));
     assert_eq!(
         index.listed(),
-        model.0.values().filter(|server| server.endpoint.state != EndpointState::Gone).count()
+        model.0.values().filter(|server| server.endpoint.state != EndpointState::Removed).count()
     );
-    for subset in [Subset::Ready, Subset::Trusted, Subset::Available] {
+    for subset in [Subset::Ready, Subset::Healthy, Subset::WarmedUp] {
         let members = model.members(subset, now);
         assert_eq!(index.count(subset), members.len(), "{subset:?}");
         for (position, id) in members.iter().enumerate() {
@@ -91,9 +91,12 @@
             assert_eq!(index.rank(subset, *id), position);
         }
     }
-    let cold: BTreeSet<ServerId> = index.warming_up().map(|server| server.endpoint.server).collect();
-    let ramping = |server: &&Server| server.slow_start_factor(now, &rules()) < 1.0;
-    assert_eq!(cold, model.0.values().filter(ramping).map(|server| server.endpoint.server).collect());
+    let warming_up: BTreeSet<ServerId> = index.warming_up().map(|server| server.endpoint.server).collect();
+    let is_warming_up = |server: &&Server| server.slow_start_factor(now, &rules()) < 1.0;
+    assert_eq!(
+        warming_up,
+        model.0.values().filter(is_warming_up).map(|server| server.endpoint.server).collect()
+    );
     assert_eq!(
         index.ejected_at(now),
         model.ready().iter().filter(|server| server.health.ejected_until() > now).count()
@@ -103,15 +106,15 @@
             let found: Vec<ServerId> =
                 index.at_site(site, from).map(|server| server.endpoint.server).collect();
             let distinct: BTreeSet<ServerId> = found.iter().copied().collect();
-            assert_eq!(found.len(), distinct.len(), "{site:?}: one twice");
+            assert_eq!(found.len(), distinct.len(), "{site:?}: a server was returned twice");
             assert_eq!(distinct, model.at_site(site), "{site:?}");
         }
     }
-    let ramps: f64 = model.ready().iter().map(|server| server.slow_start_factor(now, &rules())).sum();
-    assert!(close_to(index.slow_start_factor_sum(now), ramps));
-    let items: f64 = model.0.values().map(|server| server.service_time_us).sum();
+    let factor_sum: f64 = model.ready().iter().map(|server| server.slow_start_factor(now, &rules())).sum();
+    assert!(is_close(index.slow_start_factor_sum(now), factor_sum));
+    let service_time_sum_us: f64 = model.0.values().map(|server| server.service_time_us).sum();
     match index.mean_service_time_us() {
-        Some(mean) => assert!(close_to(mean * model.0.len() as f64, items)),
+        Some(mean) => assert!(is_close(mean * model.0.len() as f64, service_time_sum_us)),
         None => assert!(model.0.is_empty()),
     }
 }
@@ -124,7 +127,7 @@
     server.service_time_us = service_time_us;
 }
 
-fn play(steps: Vec<Step>) {
+fn run_steps(steps: Vec<Step>) {
     let (mut index, mut model, mut now) = (ServerIndex::new(rules()), Model::default(), 20 * SECOND);
     for step in steps {
         match step {
@@ -132,14 +135,14 @@
                 let started_at = age_s.and_then(|age| NonZeroMicros::new(now - age * SECOND));
                 let (id, zone, cell) = (ServerId(server), site % 3, site);
                 let entry = Endpoint { server: id, state, started_at, relative_size: 1.0, zone, cell };
-                let fresh = || Server {
+                let new_server = || Server {
                     endpoint: entry.clone(),
                     health: OutlierState::healthy(now),
                     service_time_us: 40e3,
                     ..Server::default()
                 };
-                index.insert(now, fresh());
-                model.0.insert(id, fresh());
+                index.insert(now, new_server());
+                model.0.insert(id, new_server());
             }
             Step::Change { server, eject_s, in_flight, service_time_us } => {
                 let id = ServerId(server);
@@ -150,10 +153,10 @@
                 assert_eq!(index.update(now, id, change).is_some(), model.0.contains_key(&id));
                 model.0.get_mut(&id).into_iter().for_each(change);
             }
-            Step::Sweep => {
-                index.remove_vacated();
+            Step::PurgeRemoved => {
+                index.purge_removed();
                 model.0.retain(|_, server| {
-                    server.endpoint.state != EndpointState::Gone || server.attempts_in_flight > 0
+                    server.endpoint.state != EndpointState::Removed || server.attempts_in_flight > 0
                 });
             }
             Step::Wait { ms } => {
@@ -161,7 +164,7 @@
                 index.advance(now);
             }
         }
-        agree(&index, &model, now);
+        assert_matches_model(&index, &model, now);
     }
 }
 
@@ -169,14 +172,14 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_index_agrees_with_a_plain_map(steps in prop::collection::vec(step(), 1..150)) {
-        play(steps);
+    fn index_matches_a_plain_map(steps in prop::collection::vec(step(), 1..150)) {
+        run_steps(steps);
     }
 }
 
-/// Past the size that is summed one by one.
+/// Uses a table above the size up to which sums are computed afresh.
 #[test]
-fn sums_kept_by_changes_agree_with_sums_made_anew() {
+fn incremental_sums_match_sums_computed_afresh() {
     let (mut index, now) = (ServerIndex::new(rules()), 20 * SECOND);
     for k in 0..2_000_u64 {
         let started_at = NonZeroMicros::new(now - k * 5_000).filter(|_| k % 3 == 0);
@@ -189,14 +192,15 @@
         index.update(now, ServerId(k / 2), |server| server.service_time_us *= 1.01);
     }
     for k in (0..2_000).step_by(4) {
-        index.update(now, ServerId(k), |server| server.endpoint.state = EndpointState::Gone);
+        index.update(now, ServerId(k), |server| server.endpoint.state = EndpointState::Removed);
     }
-    index.remove_vacated();
+    index.purge_removed();
     assert_eq!(index.len(), 1_500);
-    let (ramps, items): (f64, f64) = index.iter().fold((0.0, 0.0), |sum, server| {
+    let (factor_sum, service_time_sum_us): (f64, f64) = index.iter().fold((0.0, 0.0), |sum, server| {
         (sum.0 + server.slow_start_factor(now, &rules()), sum.1 + server.service_time_us)
     });
-    assert!(index.warming_up().count() > 100, "both kinds of ramp are summed");
-    assert!(close_to(index.slow_start_factor_sum(now), ramps));
-    assert!(close_to(index.mean_service_time_us().expect("not empty"), items / 1_500.0));
+    assert!(index.warming_up().count() > 100, "the sum should cover servers that warm up and warm ones");
+    assert!(is_close(index.slow_start_factor_sum(now), factor_sum));
+    let mean_us = index.mean_service_time_us().expect("a table with servers has a mean service time");
+    assert!(is_close(mean_us, service_time_sum_us / 1_500.0));
 }
--- a/crates/gateway/src/control/endpoint_list.rs
+++ b/crates/gateway/src/control/endpoint_list.rs
@@ -119,7 +119,7 @@
         match state {
             EndpointStateMessage::Ready => EndpointState::Ready,
             EndpointStateMessage::Draining => EndpointState::Draining,
-            EndpointStateMessage::Gone => EndpointState::Gone,
+            EndpointStateMessage::Gone => EndpointState::Removed,
         }
     }
 }
--- a/crates/gateway/src/servers/pool.rs
+++ b/crates/gateway/src/servers/pool.rs
@@ -128,7 +128,7 @@
         }
         for listed in endpoints {
             let id = listed.endpoint.server;
-            if listed.endpoint.state == EndpointState::Gone {
+            if listed.endpoint.state == EndpointState::Removed {
                 servers.remove(&id);
                 continue;
             }
--- a/crates/scale-laboratory/src/hollow/discovery.rs
+++ b/crates/scale-laboratory/src/hollow/discovery.rs
@@ -23,7 +23,7 @@
     /// What discovery says of a server now.
     fn server_record(&self, server: usize) -> ServerRecord {
         let present = self.servers.get(server);
-        let state = if present.running { EndpointState::Ready } else { EndpointState::Gone };
+        let state = if present.running { EndpointState::Ready } else { EndpointState::Removed };
         ServerRecord { server, state, started_at: present.started_at }
     }
 
--- a/crates/scale-laboratory/src/hollow/endpoint_history.rs
+++ b/crates/scale-laboratory/src/hollow/endpoint_history.rs
@@ -108,7 +108,7 @@
 
     /// The complete list.
     pub fn snapshot(&mut self) -> EndpointUpdate {
-        let listed = self.records.iter().filter(|record| record.state != EndpointState::Gone);
+        let listed = self.records.iter().filter(|record| record.state != EndpointState::Removed);
         let listed: Vec<usize> = listed.map(|record| record.server).collect();
         let endpoints = listed.iter().map(|server| self.endpoint(*server)).collect();
         let version = self.version();
@@ -147,7 +147,7 @@
             status: match record.state {
                 EndpointState::Ready => "ready",
                 EndpointState::Draining => "draining",
-                EndpointState::Gone => "gone",
+                EndpointState::Removed => "gone",
             },
             weight: 1.0,
             started_at_ms: record.started_at / 1_000,
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -81,7 +81,7 @@
     Ok(Endpoint {
         cell: row.unsigned_or_zero("pod")? as u32,
         state: match row.unsigned_or_zero("readiness")? {
-            0 => EndpointState::Gone,
+            0 => EndpointState::Removed,
             1 => EndpointState::Ready,
             2 => EndpointState::Draining,
             _ => return Err(ColumnError { column: "readiness" }),
