--- a/crates/core/src/gossip/mod.rs
+++ b/crates/core/src/gossip/mod.rs
@@ -1,5 +1,5 @@
-//! Gossip between gateways: what is published of customers' use, to whom and how often, and what follows from
-//! what others tell.
+//! Gossip between gateways: which customers' usage is published to which peers and how often, and how usage
+//! received from peers is applied.
 
 pub(crate) mod message;
 pub(crate) mod queue;
@@ -12,19 +12,20 @@
 use message::{decode, encode, CustomerUsage, MAX_ENTRIES};
 
 impl Gateway {
-    /// Queues a customer's use for the gateways that serve it, if the budget allows it.
+    /// Queues a customer's usage for the gateways that serve the customer, if the gossip budget allows it.
     pub(crate) fn publish(&mut self, id: CustomerId) {
         let Some(customer) = self.customers.get(id) else { return };
-        if !self.settings.capabilities.gossip || !self.gossip.pay_for(customer.gateway_count) {
+        if !self.settings.capabilities.gossip || !self.gossip.try_spend(customer.gateway_count) {
             return;
         }
         for offset in 0..customer.gateway_count {
             let gateway = (customer.first_gateway + offset) % self.settings.gateway_count;
-            self.gossip.queue(gateway, id);
+            self.gossip.enqueue(gateway, id);
         }
     }
 
-    /// Sends what is queued. Use is sent as running totals, so that a lost message only delays it.
+    /// Sends a message to each peer to which one is due. Usage is sent as running totals, so that a lost
+    /// message only delays it.
     pub(crate) fn send_gossip(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for to in self.gossip.due_gateways(now, self.settings.gateway_count) {
             if to == self.settings.gateway_index {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// What this gateway publishes of a customer.
+    /// Returns the entry that this gateway publishes for a customer.
     fn usage_of(&self, id: CustomerId) -> Option<CustomerUsage> {
         let customer = self.customers.get(id)?;
         Some(CustomerUsage {
@@ -51,7 +52,7 @@
         })
     }
 
-    /// Handles a message of another gateway.
+    /// Handles a message from another gateway; ignores malformed messages and unknown senders.
     pub(crate) fn receive_gossip(&mut self, now: Micros, from: usize, message: &[u8]) {
         let is_peer = from < self.settings.gateway_count && from != self.settings.gateway_index;
         let phase = self.random_source.next_fraction();
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Applies what another gateway publishes of one customer.
+    /// Applies an entry that another gateway published for a customer.
     fn apply_peer_usage(
         &mut self,
         now: Micros,
@@ -84,7 +85,7 @@
             return;
         }
         let units = customer.peer_usage.record(from, incarnation, entry.total_eighths);
-        // More than a burst at once is a total whose start was missed.
+        // A difference above the burst means that the total's beginning was missed.
         let units = if units <= customer.plan.burst { units } else { 0.0 };
         customer.bucket.take_use_of_peers(units, &customer.plan);
     }
--- a/crates/core/src/gossip/queue.rs
+++ b/crates/core/src/gossip/queue.rs
@@ -1,27 +1,27 @@
-//! What is queued for other gateways; only those with something queued take memory.
+//! The queue of gossip entries; only gateways with queued entries take memory.
 
 use crate::api::CustomerId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Customers whose use is to be published, by gateway.
+/// Customers whose usage is to be published, by receiving gateway.
 #[derive(Default)]
 pub(crate) struct GossipQueue {
-    /// The customers queued for each gateway.
+    /// Customers queued for each gateway; no set is empty.
     queued: BTreeMap<usize, BTreeSet<CustomerId>>,
 }
 
 impl GossipQueue {
-    /// Queues a customer for a gateway.
+    /// Queues a customer for a gateway, unless it is queued there already.
     pub fn insert(&mut self, to: usize, id: CustomerId) {
         self.queued.entry(to).or_default().insert(id);
     }
 
-    /// The gateways with something queued, in order.
+    /// Returns the gateways with queued customers, in ascending order.
     pub fn gateways(&self) -> Vec<usize> {
         self.queued.keys().copied().collect()
     }
 
-    /// Removes at most this many customers queued for a gateway, the lowest numbers first.
+    /// Removes and returns at most `max` customers queued for a gateway, in ascending order of ids.
     pub fn take(&mut self, to: usize, max: usize) -> Vec<CustomerId> {
         let Some(ids) = self.queued.get_mut(&to) else { return Vec::new() };
         let taken = std::iter::from_fn(|| ids.pop_first()).take(max).collect();
--- a/crates/core/src/handover/mod.rs
+++ b/crates/core/src/handover/mod.rs
@@ -1,9 +1,9 @@
-//! The state of a gateway as text, for its successor process: use, deficits and ejections outlive the
-//! process.
+//! Hand-over of a gateway's state to its successor process as text, so that usage, deficits and ejections
+//! outlive the process.
 //!
-//! The first line is the version of the text. The second is the time at which it was written, by the clock of
-//! the process that wrote it, to which all times in it refer. A line each for the gateway, its servers and
-//! its customers follows.
+//! The first line is the version of the format. The second line is the time of writing by the writer's clock,
+//! to which all times in the text refer. The remaining lines hold one record each: of the gateway, of a
+//! server or of a customer.
 
 pub(crate) mod text;
 
@@ -15,13 +15,13 @@
 use crate::gateway::Gateway;
 use text::{handover_record, ClockShift, HandoverRecord, Words};
 
-/// The version of the text.
+/// Version of the text format, its first line.
 const VERSION: &str = "grebehook-2";
 
-/// Why a text was not taken over.
+/// The reason why a hand-over text was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HandoverError {
-    /// The line at fault, from 1.
+    /// Number of the malformed line, counted from 1.
     pub line: usize,
 }
 
@@ -33,16 +33,16 @@
 
 impl std::error::Error for HandoverError {}
 
-/// The gateway's own line.
+/// The record of the gateway itself.
 #[derive(Default)]
 struct GatewayRecord {
-    /// Mean latency, as a part of the latency objective.
+    /// Mean latency as a share of the latency objective.
     relative_latency: f64,
-    /// Counter calls for each request.
+    /// Counter calls per request.
     calls_per_request: f64,
-    /// When a response last reported use.
+    /// Time at which a response last reported usage.
     usage_reported_at: Micros,
-    /// Attempts a second.
+    /// Attempts per second.
     attempt_rate: DecayingRate,
     /// Requests in flight at the target latency.
     goodput: DecayingRate,
@@ -52,19 +52,19 @@
     relative_latency, calls_per_request, usage_reported_at, attempt_rate, goodput
 } times { usage_reported_at });
 
-/// All records of a text.
+/// The records of a text.
 #[derive(Default)]
 struct Records {
-    /// The gateway's own; there should be one.
+    /// Records of the gateway itself, normally one.
     gateways: Vec<GatewayRecord>,
-    /// Servers, by number.
+    /// Servers with their ids.
     servers: Vec<(ServerId, Server)>,
-    /// Customers, by number.
+    /// Customers with their ids.
     customers: Vec<(CustomerId, Customer)>,
 }
 
-/// A line of the text.
-fn line(kind: &str, id: Option<u64>, record: &impl HandoverRecord) -> String {
+/// Formats one record as a line of the text.
+fn format_line(kind: &str, id: Option<u64>, record: &impl HandoverRecord) -> String {
     let mut words = vec![kind.to_owned()];
     words.extend(id.map(|id| id.to_string()));
     record.write(&mut words);
@@ -72,23 +72,23 @@
 }
 
 impl Gateway {
-    /// The state for the successor process. What is not reported to the counter yet is left to it; this one
-    /// keeps what its open requests still settle for.
+    /// Returns the state for the successor process, which also reports the usage that the shared counter does
+    /// not hold yet. This process keeps only what its open requests still settle.
     pub fn hand_over(&mut self, now: Micros) -> String {
         let mut text = format!("{VERSION}\nclock {now}\n");
-        text += &line("gateway", None, &self.gateway_record());
+        text += &format_line("gateway", None, &self.gateway_record());
         for server in self.servers.iter() {
-            text += &line("server", Some(server.endpoint.server.0), server);
+            text += &format_line("server", Some(server.endpoint.server.0), server);
         }
         for (id, customer) in self.customers.iter_mut() {
             let possibly_counted = customer.counter.prepare_handover();
-            text += &line("customer", Some(id.0), customer);
+            text += &format_line("customer", Some(id.0), customer);
             customer.counter.complete_handover(possibly_counted);
         }
         text
     }
 
-    /// The gateway's own line.
+    /// Returns the record of the gateway itself.
     fn gateway_record(&self) -> GatewayRecord {
         let load = self.load.snapshot();
         GatewayRecord {
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Restores the state that the predecessor process handed over; all of it, or nothing. Servers that are
-    /// not listed are skipped.
+    /// Restores the state that the predecessor process handed over. A malformed text changes nothing. Servers
+    /// that are not in the endpoint list are skipped.
     pub fn take_over(&mut self, now: Micros, text: &str) -> Result<(), HandoverError> {
         let mut lines = text.lines().zip(1..);
         if lines.next().is_none_or(|(version, _)| version != VERSION) {
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// Reads one line; `None` if it is malformed or names a plan or gateway that there is not.
+    /// Reads one line; `None` if it is malformed or refers to an unknown plan or gateway.
     fn read_line(&self, text: &str, records: &mut Records) -> Option<()> {
         let mut words = text.split_ascii_whitespace();
         match words.next()? {
@@ -132,18 +132,18 @@
         Some(())
     }
 
-    /// Reads a customer, whose plan and gateways must exist.
+    /// Reads the record of a customer; `None` if its plan or gateways do not exist in the settings.
     fn read_customer(&self, words: &mut Words<'_>) -> Option<(CustomerId, Customer)> {
         let id = CustomerId(u64::read(words)?);
         let customer = Customer::read(words)?;
         let plan = self.settings.plans.get(customer.plan_index)?.clone();
         let gateway_count = self.settings.gateway_count;
-        let is_served = (1..=gateway_count).contains(&customer.gateway_count);
-        let is_known = is_served && customer.first_gateway < gateway_count;
-        is_known.then_some((id, Customer { plan, ..customer }))
+        let is_count_valid = (1..=gateway_count).contains(&customer.gateway_count);
+        let are_gateways_valid = is_count_valid && customer.first_gateway < gateway_count;
+        are_gateways_valid.then_some((id, Customer { plan, ..customer }))
     }
 
-    /// Restores the records of a text.
+    /// Restores the records of a text, with their times converted to this process's clock.
     fn restore(&mut self, now: Micros, records: Records, shift: ClockShift) {
         for mut gateway in records.gateways {
             gateway.shift(shift);
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Restores the gateway's own line.
+    /// Restores the record of the gateway itself.
     fn restore_gateway(&mut self, record: GatewayRecord) {
         self.counter_calls.set_per_request(record.calls_per_request);
         self.usage_reported_at = record.usage_reported_at;
@@ -172,12 +172,12 @@
     }
 }
 
-/// Restores what the predecessor process knew of a server.
+/// Restores what the predecessor process knew about a server.
 fn restore_server(known: &mut Server, now: Micros, record: &Server) {
     known.health = record.health.clone();
     known.service_time_us = record.service_time_us;
     known.slow_start_budget = record.slow_start_budget;
-    // What the predecessor still has in flight there counts as others' requests.
+    // The predecessor's attempts still in flight count as requests of another gateway.
     known.peers_in_flight = f64::from(record.attempts_in_flight);
     known.load_reported_at = now;
 }
--- a/crates/core/src/handover/text.rs
+++ b/crates/core/src/handover/text.rs
@@ -1,27 +1,28 @@
-//! The numbers of a record as words of the hand-over text. Each state type writes and reads its own fields,
-//! through [`handover_record`], so that they can stay private to it.
+//! The encoding of records in the hand-over text: numbers as words separated by spaces. Each state type
+//! encodes its own fields by means of [`handover_record`], so that they can stay private.
 
 use crate::api::Micros;
 use std::str::SplitAsciiWhitespace;
 
-/// The words of a line that are still to be read.
+/// The words of a line that have not been read yet.
 pub(crate) type Words<'a> = SplitAsciiWhitespace<'a>;
 
-/// Longest word that can be a number.
+/// Words of this length or longer, in bytes, are not read as numbers.
 const MAX_WORD_LENGTH: usize = 300;
 
-/// From the clock of the process that wrote a text to that of the one which reads it: each counts from the
-/// wall clock as it stood when the process began, and that may have been stepped between the two.
+/// The shift from the clock of the process that wrote a text to the clock of the process that reads it. Each
+/// clock starts from the wall clock at the start of its process, and the wall clock may have been stepped
+/// between the two starts.
 #[derive(Clone, Copy)]
 pub(crate) struct ClockShift {
-    /// When the text was written, by the writer's clock.
+    /// Time at which the text was written, by the writer's clock.
     pub from: Micros,
     /// The same moment by the reader's clock.
     pub to: Micros,
 }
 
 impl ClockShift {
-    /// Brings a time to the reader's clock; 0 stays what it is, long past.
+    /// Converts a time to the reader's clock. 0 stands for a time long past and stays unchanged.
     pub fn apply(self, time: &mut Micros) {
         if *time > 0 {
             *time = (self.to + *time).saturating_sub(self.from);
@@ -29,24 +30,25 @@
     }
 }
 
-/// A part of the state that is handed over to the next process.
+/// State that is handed over to the successor process.
 pub(crate) trait HandoverRecord: Sized {
-    /// Appends its numbers.
+    /// Appends the record's numbers to the words of a line.
     fn write(&self, words: &mut Vec<String>);
 
-    /// Reads its numbers; `None` if one is missing or malformed.
+    /// Reads the record from the next words of a line; `None` if one is missing or malformed.
     fn read(words: &mut Words<'_>) -> Option<Self>;
 
-    /// Brings its times to the reader's clock.
+    /// Converts the times in the record to the reader's clock.
     fn shift(&mut self, _shift: ClockShift) {}
 }
 
-/// Whether a word can be a number; none that is not finite has only these bytes and so few of them.
+/// Returns whether a word can be a finite number. The text forms of infinity and NaN contain other bytes, and
+/// a number below [`MAX_WORD_LENGTH`] is too short to overflow to infinity.
 fn is_number(word: &str) -> bool {
     word.len() < MAX_WORD_LENGTH && word.bytes().all(|byte| byte.is_ascii_digit() || b".-".contains(&byte))
 }
 
-/// Implements [`HandoverRecord`] for types of numbers.
+/// Implements [`HandoverRecord`] for numeric types.
 macro_rules! number_record {
     ($($number:ty),+) => {
         $(impl HandoverRecord for $number {
@@ -63,7 +65,7 @@
 
 number_record!(f64, u32, u64, usize);
 
-/// A time that may be unknown, which is written as 0.
+/// An unknown time is written as 0.
 impl HandoverRecord for Option<Micros> {
     fn write(&self, words: &mut Vec<String>) {
         words.push(self.unwrap_or(0).to_string());
@@ -74,7 +76,7 @@
     }
 }
 
-/// A figure that may be unknown, which is written as a dash.
+/// An unknown figure is written as a dash.
 impl HandoverRecord for Option<f64> {
     fn write(&self, words: &mut Vec<String>) {
         words.push(self.map_or("-".to_owned(), |figure| figure.to_string()));
@@ -91,9 +93,9 @@
     }
 }
 
-/// A field that holds a time, so that [`handover_record`] can shift it.
+/// A time field of a record, which [`handover_record`] converts to the reader's clock.
 pub(crate) trait HandoverTime {
-    /// Brings the time to the reader's clock.
+    /// Converts the time to the reader's clock.
     fn shift_by(&mut self, shift: ClockShift);
 }
 
@@ -111,8 +113,8 @@
     }
 }
 
-/// Implements [`HandoverRecord`] for a type: the fields in the order of the text, and those of them that are
-/// times.
+/// Implements [`HandoverRecord`] for a struct. Takes the fields to hand over, in the order of the text, and
+/// then those of them that hold times.
 macro_rules! handover_record {
     ($record:ident { $($field:ident),+ $(,)? } times { $($time:ident),* $(,)? }) => {
         impl $crate::handover::text::HandoverRecord for $record {
--- a/crates/core/tests/unit/gossip_queue.rs
+++ b/crates/core/tests/unit/gossip_queue.rs
@@ -2,7 +2,7 @@
 use crate::gossip::queue::GossipQueue;
 
 #[test]
-fn only_gateways_with_something_queued_are_named() {
+fn only_gateways_with_queued_customers_are_listed() {
     let mut queue = GossipQueue::default();
     for (to, id) in [(7, 3), (2, 9), (7, 1), (7, 3), (7, 2)] {
         queue.insert(to, CustomerId(id));
--- a/crates/core/tests/unit/mod.rs
+++ b/crates/core/tests/unit/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the data structures inside the crate, against straightforward models.
+//! Unit tests of the crate's private data structures, most of them against simple reference models.
 
 mod customer_table;
 mod gossip_queue;
