--- a/crates/gateway/src/bodies/buffering.rs
+++ b/crates/gateway/src/bodies/buffering.rs
@@ -1,4 +1,4 @@
-//! Reads the beginning of a body into memory.
+//! Buffering of the beginning of a body.
 
 use crate::bodies::size::MAX_BUFFERED_BODY_BYTES;
 use bytes::{Bytes, BytesMut};
@@ -7,9 +7,9 @@
 
 /// A body whose beginning has been read.
 pub struct PartlyReadBody {
-    /// What has been read.
+    /// The part that has been read.
     pub buffered: Bytes,
-    /// What is still to be read of a body that is longer than the buffer's limit.
+    /// The unread part, if the body exceeds the buffer limit.
     pub remainder: Option<Incoming>,
 }
 
--- a/crates/gateway/src/bodies/download.rs
+++ b/crates/gateway/src/bodies/download.rs
@@ -1,4 +1,4 @@
-//! The body of a response on its way to the client.
+//! The body of a response as it is sent to the client.
 
 use crate::bodies::error::BodyError;
 use crate::bodies::stall::StallLimitedBody;
@@ -9,20 +9,19 @@
 use std::task::{ready, Context, Poll};
 use tokio::sync::OwnedSemaphorePermit;
 
-/// Largest part of a buffered body that hyper gets at a time: it would copy all of a longer one and keep its
+/// Largest chunk of a buffered body passed to hyper, which would copy the whole of a longer one and keep the
 /// buffer.
 const MAX_CHUNK_BYTES: usize = 16 << 10;
 
 /// The body of a response.
 pub enum ResponseContent {
-    /// Read completely.
     Buffered(Bytes),
     /// Forwarded as it arrives.
     Forwarded(Box<Download>),
 }
 
 impl ResponseContent {
-    /// The next part of the body; `None` at its end.
+    /// Polls for the next chunk of the body; `None` marks the end.
     pub fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         match self {
             ResponseContent::Buffered(data) if data.is_empty() => Poll::Ready(None),
@@ -31,7 +30,7 @@
         }
     }
 
-    /// Whether nothing of the body is left.
+    /// Returns whether no part of the body is left.
     pub fn is_complete(&self) -> bool {
         match self {
             ResponseContent::Buffered(data) => data.is_empty(),
@@ -39,7 +38,7 @@
         }
     }
 
-    /// The length of what is left of the body, where it is known.
+    /// Returns the length of the rest of the body, where it is known.
     pub fn size_hint(&self) -> SizeHint {
         match self {
             ResponseContent::Buffered(data) => SizeHint::with_exact(data.len() as u64),
@@ -48,24 +47,24 @@
     }
 }
 
-/// A response's body that is forwarded while its server sends it. Dropped before its end, it closes the server's
-/// connection.
+/// A response body that is forwarded while the server sends it. If it is dropped before its end, the
+/// connection to the server is closed.
 pub struct Download {
-    /// What was read before forwarding began.
+    /// The part read before forwarding began.
     buffered: Bytes,
-    /// What the server is still sending.
+    /// The part that the server is still sending.
     remainder: StallLimitedBody,
-    /// The connection on which it arrives.
+    /// The connection to the server.
     connection: Rc<ServerConnection>,
     /// Returns the connection to its pool once the body is complete; `None` from then on.
     on_complete: Option<Box<dyn FnOnce()>>,
-    /// The body's part of the memory for forwarding.
+    /// Reserved memory for forwarding.
     _body_memory: OwnedSemaphorePermit,
 }
 
 impl Download {
-    /// Forwards the buffered beginning of a body and what follows it on its connection. `on_complete` is called
-    /// once all of it has arrived.
+    /// Creates a body from its buffered beginning and the remainder on the connection. `on_complete` is
+    /// called once all of the body has arrived.
     pub fn new(
         buffered: Bytes,
         remainder: Incoming,
@@ -82,7 +81,7 @@
         })
     }
 
-    /// The next part of the body; `None` at its end.
+    /// Polls for the next chunk of the body; `None` marks the end.
     fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         if !self.buffered.is_empty() {
             return Poll::Ready(Some(Ok(split_chunk(&mut self.buffered))));
@@ -92,7 +91,8 @@
                 Ok(frame) => frame,
                 Err(error) => return Poll::Ready(Some(Err(error))),
             };
-            // hyper stops reading at the announced length, so the end is noticed with the last data.
+            // hyper stops reading at the announced length, so the last data frame must be recognized as the
+            // end.
             if frame.is_none() || self.remainder.is_end_stream() {
                 self.complete();
             }
@@ -105,14 +105,14 @@
         }
     }
 
-    /// Reports that all of the body has arrived, the first time it is called.
+    /// Calls `on_complete` when the whole body has arrived; further calls have no effect.
     fn complete(&mut self) {
         if let Some(on_complete) = self.on_complete.take() {
             on_complete();
         }
     }
 
-    /// The length of what is left of the body, where it is known.
+    /// Returns the length of the rest of the body, where it is known.
     fn size_hint(&self) -> SizeHint {
         match self.remainder.size_hint().exact() {
             Some(remaining) => SizeHint::with_exact(remaining + self.buffered.len() as u64),
@@ -129,7 +129,7 @@
     }
 }
 
-/// Takes the next part off buffered data.
+/// Splits the next chunk off buffered data.
 fn split_chunk(data: &mut Bytes) -> Bytes {
     data.split_to(data.len().min(MAX_CHUNK_BYTES))
 }
--- a/crates/gateway/src/bodies/error.rs
+++ b/crates/gateway/src/bodies/error.rs
@@ -1,17 +1,17 @@
-//! Why a body could not be forwarded to its end.
+//! Errors that end the forwarding of a body.
 
 use thiserror::Error;
 
-/// Why a body could not be forwarded to its end.
+/// The reason why a body could not be forwarded completely.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The sender broke it off, or sent what is no body.
+    /// The sender ended the body early, or sent a malformed one.
     #[error("body could not be read")]
     Read(#[source] hyper::Error),
-    /// Its sender sent nothing more for too long.
+    /// The sender sent no data within the stall timeout.
     #[error("body stalled")]
     Stalled,
-    /// An earlier attempt has forwarded part of it, which is not kept.
+    /// An earlier attempt has forwarded part of the body, which is not retained.
     #[error("body was already forwarded to an earlier attempt")]
     AlreadyForwarded,
 }
--- a/crates/gateway/src/bodies/mod.rs
+++ b/crates/gateway/src/bodies/mod.rs
@@ -1,5 +1,5 @@
-//! Bodies of requests and responses: short ones are buffered, longer ones are forwarded as they arrive, at the pace
-//! of the slower side. The memory that forwarding takes is bounded over all bodies together.
+//! Bodies of requests and responses. Short ones are buffered; longer ones are forwarded as they arrive, at
+//! the pace of the slower side. The total memory for forwarding is limited.
 
 pub mod buffering;
 pub mod download;
--- a/crates/gateway/src/bodies/size.rs
+++ b/crates/gateway/src/bodies/size.rs
@@ -1,6 +1,6 @@
-//! Limits on the memory that one body takes.
+//! Memory limits of a single body.
 
-/// Longest body that is buffered: it can be sent again, or discarded if it breaks off.
+/// Largest body that is buffered completely, so that it can be sent again, or discarded if it ends early.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
-/// Memory that a forwarded body may take at a time: what is buffered of it, and hyper's buffers on both sides.
+/// Memory that a forwarded body may use at a time: its buffered part, and hyper's buffers on both sides.
 pub const FORWARDING_BUFFER_BYTES: usize = 128 << 10;
--- a/crates/gateway/src/bodies/upload.rs
+++ b/crates/gateway/src/bodies/upload.rs
@@ -1,4 +1,4 @@
-//! The body of a client's request on its way to servers.
+//! The body of a client's request as it is sent to servers.
 
 use crate::bodies::buffering::PartlyReadBody;
 use crate::bodies::error::BodyError;
@@ -12,39 +12,40 @@
 use std::task::{ready, Context, Poll};
 use tokio::sync::OwnedSemaphorePermit;
 
-/// The body of a client's request. A buffered one can be sent any number of times, a longer one only once.
+/// The body of a client's request. A completely buffered body can be sent any number of times, a streamed one
+/// only once.
 pub struct Upload {
-    /// What was read before the first attempt.
+    /// The part read before the first attempt.
     buffered: Bytes,
-    /// Whether the client had more to send when the beginning was read.
+    /// Whether the body exceeds the buffer limit, so that the rest of it is forwarded as it arrives.
     is_long: bool,
-    /// What the client is still sending; an attempt takes it, and returns it if it has forwarded none of it.
+    /// The part that the client is still sending. An attempt takes it, and returns it if it has forwarded
+    /// none of it.
     remainder: RefCell<Option<Incoming>>,
     /// The length of the body, where it is known.
     length: Option<u64>,
-    /// How far the body has been forwarded.
     state: Cell<UploadState>,
-    /// Called once all of a long body has been forwarded.
+    /// Called once all of a streamed body has been forwarded.
     on_forwarded: RefCell<Option<Box<dyn FnOnce()>>>,
-    /// The body's part of the memory for clients' bodies.
+    /// Reserved memory for request bodies.
     _body_memory: Option<OwnedSemaphorePermit>,
 }
 
-/// How far a body has been forwarded.
+/// How much of a body has been forwarded.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum UploadState {
-    /// All that has arrived is still available.
+    /// All data received so far is still available.
     Available,
-    /// Part of it has been forwarded and is no longer available.
+    /// Part of the body has been forwarded and is no longer available.
     Forwarding,
-    /// All of it has been forwarded.
+    /// The whole body has been forwarded.
     Forwarded,
-    /// The client broke it off, or stalled.
+    /// The client ended the body early, or stalled.
     Failed,
 }
 
 impl Upload {
-    /// A body whose beginning has been read, and the memory reserved for it.
+    /// Creates a body from its buffered beginning and the memory reserved for it.
     pub fn new(
         body: PartlyReadBody,
         length: Option<u64>,
@@ -63,27 +64,28 @@
         }
     }
 
-    /// The body of a request without one.
+    /// Creates the body of a request that has none.
     pub fn empty() -> Upload {
         Upload::new(PartlyReadBody { buffered: Bytes::new(), remainder: None }, None, None)
     }
 
-    /// The length of the body, where it is known.
+    /// Returns the length of the body, where it is known.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// Whether another attempt could no longer send all of it.
+    /// Returns whether a further attempt could no longer send the whole body.
     pub fn is_consumed(&self) -> bool {
         self.state.get() != UploadState::Available
     }
 
-    /// Whether the client broke it off, or stalled.
+    /// Returns whether the client ended the body early, or stalled.
     pub fn has_failed(&self) -> bool {
         self.state.get() == UploadState::Failed
     }
 
-    /// Calls back once all of a long body has been forwarded. False, without a call, where the body is buffered.
+    /// Registers a callback for when all of a streamed body has been forwarded. Returns false, and never
+    /// calls it, if the body is completely buffered.
     pub fn on_forwarded(&self, callback: impl FnOnce() + 'static) -> bool {
         if self.is_long {
             self.on_forwarded.replace(Some(Box::new(callback)));
@@ -91,12 +93,12 @@
         self.is_long
     }
 
-    /// Whether part of it has yet to be forwarded, and may be.
+    /// Returns whether part of the body has yet to be forwarded and still can be.
     pub fn is_incomplete(&self) -> bool {
         self.on_forwarded.borrow().is_some() && !self.has_failed()
     }
 
-    /// Whether the client's connection has been read to the end of the body.
+    /// Returns whether the client's connection has been read to the end of the body.
     pub fn is_read_to_end(&self) -> bool {
         match self.state.get() {
             UploadState::Available => !self.is_long,
@@ -108,20 +110,21 @@
 
 /// The body of one attempt, as hyper writes it to a server's connection.
 pub struct RequestBody {
-    /// The request's body, of which this sends all.
+    /// The body that this attempt sends.
     upload: Rc<Upload>,
-    /// What is left of the buffered beginning.
+    /// The unsent part of the buffered beginning.
     buffered: Bytes,
-    /// What the client is still sending, as long as this attempt has it.
+    /// The part that the client is still sending, while this attempt holds it.
     remainder: Option<StallLimitedBody>,
-    /// The connection to which it is written.
+    /// The connection to the server.
     connection: Rc<ServerConnection>,
 }
 
 impl RequestBody {
-    /// The body of an attempt over a connection.
+    /// Creates the body of an attempt over a connection.
     pub fn new(upload: &Rc<Upload>, connection: Rc<ServerConnection>) -> RequestBody {
-        // A request has one attempt at a time, so the remainder is here unless part of it has been forwarded.
+        // A request has one attempt at a time, so the remainder is present unless part of it has been
+        // forwarded.
         let remainder = upload.remainder.borrow_mut().take();
         RequestBody {
             upload: upload.clone(),
@@ -131,7 +134,7 @@
         }
     }
 
-    /// The next data of the part that was not buffered.
+    /// Polls for the next data of the part that was not buffered.
     fn poll_remainder(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             let Some(remainder) = &mut self.remainder else {
@@ -145,7 +148,8 @@
                     // Trailers are not forwarded.
                     let Ok(data) = frame.into_data() else { continue };
                     self.upload.state.set(UploadState::Forwarding);
-                    // hyper stops reading at the announced length, so the end is noticed with the last data.
+                    // hyper stops reading at the announced length, so the last data frame must be recognized
+                    // as the end.
                     if is_last {
                         self.complete();
                     }
@@ -163,7 +167,7 @@
         }
     }
 
-    /// Records that all of the remainder has been handed to hyper.
+    /// Records that the whole remainder has been passed to hyper.
     fn complete(&mut self) {
         self.remainder = None;
         self.connection.body_ended();
--- a/crates/gateway/src/clients/accept_error.rs
+++ b/crates/gateway/src/clients/accept_error.rs
@@ -1,4 +1,4 @@
-//! How to go on after `accept` failed.
+//! Recovery from errors of `accept`.
 
 use crate::network::repeat_limiter::RepeatLimiter;
 use crate::network::system_error::{is_descriptor_limit, is_exhaustion};
@@ -6,36 +6,38 @@
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// The pause after a repeated error.
+/// Backoff after each error in a row but the first.
 pub const REPEATED_ERROR_PAUSE: Duration = Duration::from_millis(20);
-/// The pause after a first error, whose cause may be momentary.
+/// Backoff after the first error in a row, whose cause may be momentary.
 const FIRST_ERROR_PAUSE: Duration = Duration::from_millis(1);
-/// Consecutive errors before a connection is closed, where the whole system lacks a resource.
+/// Consecutive errors tolerated before a connection is evicted, where a resource of the whole system is
+/// exhausted.
 const MAX_WAITS_FOR_SYSTEM: u32 = 5;
-/// The same where this process has reached its limit of descriptors.
+/// Consecutive errors tolerated before a connection is evicted, where this process is at its descriptor
+/// limit.
 const MAX_WAITS_FOR_DESCRIPTOR: u32 = 1;
-/// Consecutive errors of single connections that are ignored without a pause.
+/// Number of consecutive errors of single connections after which one is followed by a backoff.
 const MAX_CONNECTION_ERRORS_AT_ONCE: u32 = 32;
 
-/// What to do before `accept` is called again.
+/// Steps to take before the next call of `accept`.
 pub struct Recovery {
     /// Whether to close a connection to free its descriptor and memory.
     pub evict_connection: bool,
-    /// How long to wait.
+    /// Delay before the next call.
     pub pause: Duration,
 }
 
-/// Evaluates errors of `accept`, and logs them.
+/// Logs errors of `accept` and decides how to recover from them.
 #[derive(Default)]
 pub struct AcceptErrors {
-    /// Limits the log lines.
     log_limiter: RepeatLimiter,
 }
 
 impl AcceptErrors {
-    /// What to do after an error, the last of this many in a row; `None` to accept again at once. An error of one
-    /// connection or of the network says nothing of the connections behind it. Where descriptors or memory are
-    /// exhausted, those wait in the backlog until a connection ends, or is closed if the error lasts.
+    /// Returns how to recover from the last of `consecutive_errors` errors, or `None` to call `accept` again
+    /// at once. An error of a single connection or of the network does not concern the connections queued
+    /// behind it. While descriptors or memory are exhausted, queued connections wait in the backlog until an
+    /// open one ends; if the error lasts, one is evicted.
     pub fn recovery(&self, error: &io::Error, consecutive_errors: u32) -> Option<Recovery> {
         let exhausted = is_exhaustion(error);
         if !exhausted && !consecutive_errors.is_multiple_of(MAX_CONNECTION_ERRORS_AT_ONCE) {
--- a/crates/gateway/src/clients/connection.rs
+++ b/crates/gateway/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: its state between requests, and when it may be closed.
+//! State of one client connection between requests, and the conditions under which it may be closed.
 
 use crate::clients::eviction::Candidate;
 use crate::clients::stream::ClientStream;
@@ -9,40 +9,43 @@
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// Longest time from the accepting of a connection, or from a later request's first byte, to a complete request.
-/// A client may need 2 s; a connection that never brings a request must be closed within 3 s.
+/// Time limit for receiving a complete request, from the acceptance of the connection or, for later requests,
+/// from the first byte of the request. A client may need 2 s; a connection that never sends a request must be
+/// closed within 3 s.
 const MAX_REQUEST_TIME: Duration = Duration::from_millis(2_500);
-/// Longest idle time of a connection that has brought a request.
+/// Longest idle time of a connection that has sent a request, and longest time without progress in writing a
+/// response.
 const MAX_IDLE: Duration = Duration::from_secs(15);
 
-/// A client's connection and its state between requests.
+/// A client connection and its state between requests.
 pub struct ClientConnection {
-    /// Identifies the connection among those that are open.
+    /// Identifies the connection among the open ones.
     pub key: u64,
-    /// Its socket, under hyper.
+    /// The socket, as hyper reads and writes it.
     pub stream: Rc<ClientStream>,
-    /// Whether the decision core has a request of it.
+    /// Whether the decision core is handling a request of this connection.
     request_in_progress: Cell<bool>,
-    /// Whether a response is being forwarded to it as it arrives.
+    /// Whether a response is being forwarded as it arrives from the server.
     response_streaming: Cell<bool>,
-    /// Whether any request of it was accepted.
+    /// Whether any request of this connection has been accepted.
     has_sent_request: Cell<bool>,
-    /// Since when no request has been in progress.
+    /// Time since which no request has been in progress.
     idle_since: Cell<Instant>,
-    /// Whether it was asked to close.
+    /// Whether the connection has been asked to close.
     closing: Cell<bool>,
-    /// Whether it is to close though part of a request had arrived.
+    /// Whether part of a request had been read when the connection was asked to close.
     closing_mid_request: Cell<bool>,
-    /// Whether what it still sends cannot be read as a request. It is to receive its response before it closes.
+    /// Whether the remaining input cannot be parsed as a request. It is then discarded, so that the client
+    /// receives its response before the connection closes.
     input_unreadable: Cell<bool>,
-    /// Asks its task to end it with the current request.
+    /// Asks the connection's task to close it after the current request.
     drain: Notify,
-    /// Asks its task to end it now, if it is idle.
+    /// Asks the connection's task to close it now if it is idle.
     close: Notify,
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted.
+    /// Creates the state of a newly accepted connection.
     pub fn new(key: u64, stream: TcpStream) -> Rc<ClientConnection> {
         Rc::new(ClientConnection {
             key,
@@ -59,126 +62,127 @@
         })
     }
 
-    /// Records that it has sent a request.
+    /// Records that the client has sent a request.
     pub fn record_request(&self) {
         self.has_sent_request.set(true);
     }
 
-    /// Records that the decision core has a request of it.
+    /// Records that the decision core is handling a request of this connection.
     pub fn begin_request(&self) {
         self.request_in_progress.set(true);
         self.record_request();
     }
 
-    /// Records that its request, with a body of this length, gets its response now.
+    /// Records that the response to a request with a body of `body_length` bytes begins.
     pub fn end_request(&self, body_length: usize) {
         self.request_in_progress.set(false);
         self.idle_since.set(Instant::now());
         self.stream.response_begins(body_length);
     }
 
-    /// Records that a response is forwarded to it as it arrives.
+    /// Records that forwarding of a response begins.
     pub fn begin_streaming(&self) {
         self.response_streaming.set(true);
     }
 
-    /// Records that the response that was forwarded has ended.
+    /// Records that forwarding of a response has ended.
     pub fn end_streaming(&self) {
         self.response_streaming.set(false);
         self.idle_since.set(Instant::now());
     }
 
-    /// Records whether what it still sends cannot be read as a request.
+    /// Sets whether the remaining input must be discarded, because it cannot be parsed as a request.
     pub fn set_input_unreadable(&self, input_unreadable: bool) {
         self.input_unreadable.set(input_unreadable);
     }
 
-    /// Whether what it still sends cannot be read as a request.
+    /// Returns whether the remaining input must be discarded, because it cannot be parsed as a request.
     pub fn is_input_unreadable(&self) -> bool {
         self.input_unreadable.get()
     }
 
-    /// Whether no request is in progress and no response being written.
+    /// Returns whether no request is in progress and no response is being written.
     pub fn is_idle(&self) -> bool {
         !self.request_in_progress.get() && !self.response_streaming.get() && !self.stream.is_responding()
     }
 
-    /// Whether the client has stopped reading its response.
+    /// Returns whether the client has stopped reading its response.
     fn is_stalled(&self, now: Instant) -> bool {
         !self.request_in_progress.get()
             && self.stream.is_responding()
             && now.duration_since(self.stream.last_written_at()) > MAX_IDLE
     }
 
-    /// Whether it has been idle, or its request incomplete, for too long.
+    /// Returns whether the connection has been idle, or its request incomplete, for longer than allowed.
     pub fn is_expired(&self, now: Instant) -> bool {
         let is_idle_client = self.has_sent_request.get() && self.stream.request_began_at().is_none();
         let limit = if is_idle_client { MAX_IDLE } else { MAX_REQUEST_TIME };
         self.is_stalled(now) || self.is_idle() && now.duration_since(self.waiting_since()) > limit
     }
 
-    /// By when the request that is being read has to be complete.
+    /// Returns the time by which the request being read has to be complete.
     pub fn request_deadline(&self) -> Instant {
         self.waiting_since() + MAX_REQUEST_TIME
     }
 
-    /// Since when the next request has been awaited: since its first byte, but the first request of a connection
-    /// since that was accepted.
+    /// Returns when waiting for the next request began: at its first byte if that has arrived, otherwise when
+    /// the connection became idle. For the first request it began when the connection was accepted.
     fn waiting_since(&self) -> Instant {
         let began_at = self.stream.request_began_at().filter(|_| self.has_sent_request.get());
         began_at.unwrap_or(self.idle_since.get())
     }
 
-    /// Whether it was asked to close.
+    /// Returns whether the connection has been asked to close.
     pub fn is_closing(&self) -> bool {
         self.closing.get()
     }
 
-    /// Asks its task to close it, unless a request arrives before that.
+    /// Asks the connection's task to close it unless a request arrives first.
     pub fn request_close(&self) {
         self.closing.set(true);
         self.closing_mid_request.set(self.stream.request_began_at().is_some());
         self.close.notify_one();
     }
 
-    /// Records that it stays open though it was asked to close.
+    /// Withdraws the request to close the connection.
     pub fn stay_open(&self) {
         self.closing.set(false);
     }
 
-    /// Waits until it is asked to close.
+    /// Waits for a request to close the connection.
     pub fn close_requested(&self) -> Notified<'_> {
         self.close.notified()
     }
 
-    /// Asks its task to end it with the current request, at once if there is none.
+    /// Asks the connection's task to close it after the current request, or at once if there is none.
     pub fn request_drain(&self) {
         self.drain.notify_one();
     }
 
-    /// Waits until it is asked to end with the current request.
+    /// Waits for a request to close the connection after the current request.
     pub fn drain_requested(&self) -> Notified<'_> {
         self.drain.notified()
     }
 
-    /// Whether a request is arriving: part of it was read, or waits to be read.
+    /// Returns whether a request is arriving: part of it has been read or is waiting in the socket.
     pub fn has_incoming_request(&self) -> bool {
         self.stream.request_began_at().is_some() || self.stream.has_unread_input()
     }
 
-    /// Whether to close it now that it was asked to. A request that has arrived since is not interrupted.
+    /// Returns whether the connection may be closed as requested. A request that has arrived since then is
+    /// not interrupted.
     pub fn may_close(&self) -> bool {
         self.is_stalled(Instant::now())
             || self.is_idle() && (self.closing_mid_request.get() || !self.has_incoming_request())
     }
 
-    /// Whether hyper is to end it with the current request. A client that has sent nothing yet may still send its
-    /// request, and its connection ends with the response to that.
+    /// Returns whether hyper may shut the connection down after the current request. A client that has not
+    /// sent a request yet may still send one; the connection then closes after the response to that request.
     pub fn may_drain(&self) -> bool {
         !self.is_idle() || self.has_sent_request.get() && !self.has_incoming_request()
     }
 
-    /// What eviction considers of it.
+    /// Returns the attributes of the connection by which eviction selects.
     pub fn eviction_candidate(&self) -> Candidate {
         Candidate {
             key: self.key,
--- a/crates/gateway/src/clients/connection/tests.rs
+++ b/crates/gateway/src/clients/connection/tests.rs
@@ -1,8 +1,11 @@
+//! Tests of when a client connection may be closed.
+
 use super::ClientConnection;
 use std::io::Write;
 use tokio::net::TcpListener;
 
-/// Only a request that was already incomplete when its connection was asked to close is interrupted.
+/// Guards against closing a connection whose request arrived after the decision to close it. Only a request
+/// that was already incomplete at that time may be interrupted.
 #[test]
 fn connection_stays_open_when_a_request_arrives_after_the_decision_to_close_it() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().unwrap();
--- a/crates/gateway/src/clients/connection_table.rs
+++ b/crates/gateway/src/clients/connection_table.rs
@@ -1,4 +1,4 @@
-//! All open connections of clients: which are closed, and when.
+//! The table of open client connections, which decides when to close which of them.
 
 use crate::clients::connection::ClientConnection;
 use crate::clients::eviction::{self, Candidate};
@@ -10,22 +10,20 @@
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// The open connections of clients.
+/// The open client connections.
 pub struct ConnectionTable {
-    /// The connections by their keys.
+    /// Connections by key.
     connections: RefCell<HashMap<u64, Rc<ClientConnection>>>,
-    /// The key of the next connection.
     next_key: Cell<u64>,
-    /// How many may be open.
+    /// Number of connections that may be open.
     max_connections: usize,
-    /// When the last connection was accepted.
     last_accepted_at: Cell<Instant>,
-    /// Notified when a connection has closed.
+    /// Notified when a connection has been closed.
     connection_closed: Notify,
 }
 
 impl ConnectionTable {
-    /// An empty table, for at most this many connections.
+    /// Creates an empty table for at most `max_connections` connections.
     pub fn new(max_connections: usize) -> ConnectionTable {
         ConnectionTable {
             connections: RefCell::default(),
@@ -36,7 +34,7 @@
         }
     }
 
-    /// Adds a connection that was just accepted.
+    /// Adds a newly accepted connection.
     pub fn insert(&self, stream: TcpStream) -> Rc<ClientConnection> {
         self.last_accepted_at.set(Instant::now());
         let key = self.next_key.get();
@@ -46,28 +44,28 @@
         connection
     }
 
-    /// Removes a connection that has closed.
+    /// Removes a closed connection.
     pub fn remove(&self, connection: &ClientConnection) {
         self.connections.borrow_mut().remove(&connection.key);
         self.connection_closed.notify_one();
     }
 
-    /// When the last connection was accepted.
+    /// Returns when the last connection was accepted.
     pub fn last_accepted_at(&self) -> Instant {
         self.last_accepted_at.get()
     }
 
-    /// Whether more connections are open than may be.
+    /// Returns whether more connections are open than allowed.
     pub fn is_over_limit(&self) -> bool {
         self.connections.borrow().len() > self.max_connections
     }
 
-    /// Whether any connection was asked to close and has not done so.
+    /// Returns whether a connection that was asked to close is still open.
     pub fn has_closing(&self) -> bool {
         self.connections.borrow().values().any(|connection| connection.is_closing())
     }
 
-    /// Waits until a connection closes, or one has closed since the last wait.
+    /// Waits until a connection closes; returns at once if one has closed since the last wait.
     pub fn connection_closed(&self) -> Notified<'_> {
         self.connection_closed.notified()
     }
@@ -79,7 +77,7 @@
         }
     }
 
-    /// Closes one connection without a request in progress, if [`eviction`] selects one.
+    /// Asks the idle connection that [`eviction`] selects, if any, to close.
     pub fn evict_one(&self) {
         let connections = self.connections.borrow();
         let idle = connections.values().filter(|connection| connection.is_idle() && !connection.is_closing());
@@ -94,8 +92,8 @@
         }
     }
 
-    /// Closes connections that have been idle, or their request incomplete, for too long. A request that has just
-    /// begun to arrive is not interrupted for the silence before it.
+    /// Closes connections that have been idle, or their request incomplete, for longer than allowed. A
+    /// connection on which a request is just beginning to arrive is kept, however long it was idle before.
     pub fn close_expired(&self) {
         let now = Instant::now();
         for connection in self.connections.borrow().values().filter(|connection| connection.is_expired(now)) {
@@ -115,7 +113,7 @@
         }
     }
 
-    /// Ends all connections with their current request, idle ones at once.
+    /// Closes all connections after their current request, and idle ones at once.
     pub fn drain(&self) {
         for connection in self.connections.borrow().values() {
             connection.request_drain();
--- a/crates/gateway/src/clients/disconnect.rs
+++ b/crates/gateway/src/clients/disconnect.rs
@@ -1,4 +1,4 @@
-//! Notices that a client disconnects while its request is in progress.
+//! Detection of clients that disconnect while their request is in progress.
 
 use crate::bodies::upload::Upload;
 use crate::clients::stream::ClientStream;
@@ -10,25 +10,24 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The interval of checks while the rest of a body is not read.
+/// Interval of the checks for a disconnect while the rest of a body is not being read.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Reports to the decision core that a client disconnected when it is dropped, unless the request has its answer by
-/// then.
+/// Reports to the decision core, when dropped, that the client has disconnected. The driver ignores the
+/// report if the request has received its final answer by then.
 pub struct DisconnectGuard<'a> {
-    /// The driver of the decision core.
     driver: &'a Rc<DecisionDriver>,
-    /// The client's request.
+    /// The request whose client is observed.
     id: RequestId,
 }
 
 impl<'a> DisconnectGuard<'a> {
-    /// Reports on the client of a request.
+    /// Creates a guard for a request.
     pub fn new(driver: &'a Rc<DecisionDriver>, id: RequestId) -> DisconnectGuard<'a> {
         DisconnectGuard { driver, id }
     }
 
-    /// Reports now that the client disconnected. Returns the final answer of its request.
+    /// Reports at once that the client has disconnected and returns the final answer to its request.
     pub fn report(&self) -> Answer {
         self.driver.client_disconnected(self.id)
     }
@@ -40,7 +39,7 @@
     }
 }
 
-/// Waits until the client of a request ends its sending side.
+/// Waits until the client of a request closes its sending side.
 pub async fn client_disconnected(stream: &ClientStream, body: &Upload) {
     if body.is_incomplete() {
         disconnected_before_upload(stream, body).await;
@@ -49,8 +48,8 @@
     }
 }
 
-/// Waits until the client of a long body ends its sending side. Once an attempt takes the body, hyper reads the
-/// connection and finds its end.
+/// Waits until the client of a partly read body closes its sending side. Once an attempt takes the body,
+/// hyper reads the connection and detects its end.
 async fn disconnected_before_upload(stream: &ClientStream, body: &Upload) {
     while !body.is_consumed() {
         if stream.is_end_announced() {
--- a/crates/gateway/src/clients/eviction.rs
+++ b/crates/gateway/src/clients/eviction.rs
@@ -1,53 +1,56 @@
-//! Selects the client connection to close when there are more than the descriptors of the process allow.
+//! Selection of the client connection to close when more are open than the descriptor limit of the process
+//! allows.
 //!
-//! This runs for every connection that is accepted beyond the limit, so it must stay cheap: it decides by what is
-//! known in memory, and asks the system only about the connections that it is about to close.
+//! The selection runs for every connection accepted beyond the limit, so it must stay cheap: it relies on
+//! state in memory and makes system calls only for the connections it is about to close.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-/// Within this time from connecting, a client that has a request to send has begun to.
+/// Time from connecting within which a client that has a request to send begins to send it.
 const FIRST_BYTE_TIME: Duration = Duration::from_millis(20);
-/// While more than one in this many of the allowed connections have sent no request yet, those that have are kept:
-/// a flood of new connections would otherwise displace the regular clients.
+/// A flood is assumed while connections without a request yet make up at least 1 / `FLOOD_DIVISOR` of the
+/// allowed number. Connections that have sent a request are then kept, since a flood of new connections would
+/// otherwise displace regular clients.
 const FLOOD_DIVISOR: usize = 4;
 
-/// An idle connection that could be closed.
+/// An idle connection that may be evicted.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// Identifies the connection.
     pub key: u64,
-    /// Whether it has sent a request before.
+    /// Whether a request of the connection has been accepted before.
     pub has_sent_request: bool,
-    /// Whether part of a request has arrived.
+    /// Whether part of a request has been read.
     pub has_begun: bool,
-    /// When bytes last arrived on it, or it was accepted.
+    /// When bytes were last received, or the connection was accepted.
     pub last_read_at: Instant,
-    /// Since when no request has been in progress.
+    /// Time since which no request has been in progress.
     pub idle_since: Instant,
 }
 
-/// A connection's key, ordered by the time by which it is selected.
+/// A connection's key, ordered so that a max-heap yields the earliest time first.
 type ByTime = Reverse<(Instant, u64)>;
 
 impl Candidate {
-    /// Orders new connections: the one silent for longest comes first.
+    /// Orders new connections by their last input, the longest inactive first.
     fn by_last_read(&self) -> ByTime {
         Reverse((self.last_read_at, self.key))
     }
 
-    /// Orders regular connections: the one idle for longest comes first.
+    /// Orders regular connections by idle time, the longest idle first.
     fn by_idle_since(&self) -> ByTime {
         Reverse((self.idle_since, self.key))
     }
 }
 
-/// The connection to close. First choice is, of those that have never sent a byte, the one silent for longest.
-/// Otherwise it is the one that has been idle longest, except in a flood of new connections. A client in the middle
-/// of its request is closed only in a flood, and only if the connection is new: the one silent for longest, since a
-/// slow client that is sending a request continues to write. A connection with unread input is kept;
-/// `has_unread_input` is asked, at the cost of a system call, only about the connection to be closed next.
+/// Returns the key of the connection to close, or `None` to close none. The first choice is the longest
+/// inactive of the new connections that have never sent a byte. Otherwise it is the connection that has been
+/// idle longest, except in a flood of new connections. A connection in the middle of a request is closed only
+/// in a flood, and only if it is new: the longest inactive one, since a slow client that is sending a request
+/// continues to write. A connection with unread input is kept; `has_unread_input`, which costs a system call,
+/// is called only for the connection to be closed next.
 pub fn select(
     candidates: &[Candidate],
     now: Instant,
@@ -73,7 +76,7 @@
     first_without_input(remaining, &mut has_unread_input)
 }
 
-/// The first connection without unread input.
+/// Returns the key of the first connection without unread input.
 fn first_without_input(
     mut ordered: BinaryHeap<ByTime>,
     has_unread_input: &mut impl FnMut(u64) -> bool,
--- a/crates/gateway/src/clients/eviction/tests.rs
+++ b/crates/gateway/src/clients/eviction/tests.rs
@@ -1,21 +1,23 @@
+//! Tests of the selection of connections to evict.
+
 use super::{select, Candidate, FIRST_BYTE_TIME};
 use std::time::{Duration, Instant};
 
-/// The limit of connections in these tests.
+/// Connection limit of the tests.
 const MAX_CONNECTIONS: usize = 300;
 
-/// A connection without a byte of a next request, last used at a time.
+/// Returns a connection without any input for a next request, last used at `at`.
 fn candidate(key: u64, has_sent_request: bool, at: Instant) -> Candidate {
     Candidate { key, has_sent_request, has_begun: false, last_read_at: at, idle_since: at }
 }
 
-/// Connections whose age falls with their key: the first is the oldest.
+/// Returns connections whose age decreases with their key: key 0 is the oldest.
 fn connections(count: u64, has_sent_request: bool, start: Instant) -> Vec<Candidate> {
     (0..count).map(|key| candidate(key, has_sent_request, start + Duration::from_millis(key))).collect()
 }
 
-/// A system call for every idle connection at every accepted one would use up the processor in a flood, and
-/// requests would wait in the listen queue for seconds.
+/// Guards against one system call per idle connection for every accepted connection: in a flood these would
+/// use up the processor, and requests would wait in the listen queue for seconds.
 #[test]
 fn system_is_asked_only_about_the_connections_to_be_closed_next() {
     let start = Instant::now();
@@ -56,7 +58,7 @@
     assert_eq!(select(&[], now, MAX_CONNECTIONS, |_| false), None);
 }
 
-/// Its client would never learn what became of the request.
+/// Guards against interrupting a request, since its client would never learn the outcome.
 #[test]
 fn connection_in_the_middle_of_a_request_is_closed_only_in_a_flood() {
     let start = Instant::now();
--- a/crates/gateway/src/clients/head_scanner.rs
+++ b/crates/gateway/src/clients/head_scanner.rs
@@ -1,54 +1,52 @@
-//! Finds the heads of requests in the bytes of a connection, and in them the two headers that define the length of
-//! the body. hyper drops one of these headers where both are present, so the parsed request does not show it.
+//! Scanner for request heads in the bytes of a connection. It detects the two headers that define the length
+//! of the body: where both are present, hyper drops one of them, so the parsed request does not show the
+//! ambiguity.
 
-/// Longest header name that is looked for, `transfer-encoding`.
+/// Length of the longest header name searched for, `transfer-encoding`.
 const MAX_NAME_LENGTH: usize = 17;
 
-/// Which headers define the length of a request's body.
+/// The headers that define the length of a request body.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 pub struct Framing {
-    /// `Content-Length` is present.
+    /// Whether `Content-Length` is present.
     pub content_length: bool,
-    /// `Transfer-Encoding` is present.
+    /// Whether `Transfer-Encoding` is present.
     pub transfer_encoding: bool,
 }
 
 impl Framing {
-    /// Whether the length is defined twice, so that a server could use the other definition.
+    /// Returns whether the length is defined twice, so that a server could apply the other definition.
     pub fn is_ambiguous(self) -> bool {
         self.content_length && self.transfer_encoding
     }
 }
 
-/// The position of a scanner in the bytes of its connection.
+/// The position of a scanner in the byte stream of its connection.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 enum Position {
-    /// Before a request.
     #[default]
     BeforeRequest,
-    /// In the head of a request.
     InHead,
-    /// This many bytes past the head of a request.
+    /// The given number of bytes past the head of a request.
     PastHead(usize),
-    /// Not known: the beginning of a request was read together with the one before it.
+    /// Position lost: the beginning of a request was read together with the previous request.
     Unknown,
 }
 
-/// Follows the bytes of a connection as they are read.
+/// Scans the bytes of a connection as they are read.
 #[derive(Default)]
 pub struct HeadScanner {
-    /// Where the scanner is.
     position: Position,
-    /// The headers found in the current head.
+    /// Headers found in the current head.
     framing: Framing,
-    /// The beginning of the current line, in lower case.
+    /// Beginning of the current line, in lower case.
     name: [u8; MAX_NAME_LENGTH],
     /// Length of the current line, without carriage returns.
     line_length: usize,
 }
 
 impl HeadScanner {
-    /// Scans the next bytes of the connection.
+    /// Scans the next bytes read from the connection.
     pub fn scan(&mut self, data: &[u8]) {
         for (index, byte) in data.iter().enumerate() {
             match (self.position, *byte) {
@@ -57,7 +55,7 @@
                     return;
                 }
                 (Position::Unknown, _) => return,
-                // Empty lines before a request are not part of it.
+                // Empty lines before a request are ignored.
                 (Position::BeforeRequest, b'\r' | b'\n') | (_, b'\r') => {}
                 (_, b'\n') if self.line_length == 0 => self.position = Position::PastHead(0),
                 (_, b'\n') => self.end_line(),
@@ -66,23 +64,24 @@
         }
     }
 
-    /// Whether the beginning of a request has been read.
+    /// Returns whether the beginning of a request has been read, or the position is lost.
     pub fn is_in_request(&self) -> bool {
         self.position != Position::BeforeRequest
     }
 
-    /// Whether the head of a request has been read.
+    /// Returns whether the head of a request has been read completely.
     pub fn is_past_head(&self) -> bool {
         matches!(self.position, Position::PastHead(_))
     }
 
-    /// The headers that define the length of the current request's body; `None` if its head was not found.
+    /// Returns the headers that define the length of the current request's body, or `None` if its head was
+    /// not found.
     pub fn framing(&self) -> Option<Framing> {
         self.is_past_head().then_some(self.framing)
     }
 
-    /// Expects the next request behind a body of this many bytes. False if part of it has been read already, so
-    /// that its head cannot be found.
+    /// Prepares for the next request, which follows a body of `body_length` bytes. Returns false if part of
+    /// that request has already been read, so that its head cannot be found.
     pub fn expect_next_request(&mut self, body_length: usize) -> bool {
         let is_at_end = self.position == Position::PastHead(body_length);
         let position = if is_at_end { Position::BeforeRequest } else { Position::Unknown };
@@ -90,7 +89,6 @@
         is_at_end
     }
 
-    /// Adds a byte to the current line.
     fn extend_line(&mut self, byte: u8) {
         self.position = Position::InHead;
         if let Some(place) = self.name.get_mut(self.line_length) {
@@ -99,7 +97,7 @@
         self.line_length += 1;
     }
 
-    /// Evaluates the current line, and begins the next.
+    /// Checks the current line for the headers searched for and starts a new line.
     fn end_line(&mut self) {
         let name = &self.name[..self.line_length.min(MAX_NAME_LENGTH)];
         self.framing.content_length |= name.starts_with(b"content-length");
--- a/crates/gateway/src/clients/head_scanner/tests.rs
+++ b/crates/gateway/src/clients/head_scanner/tests.rs
@@ -1,6 +1,9 @@
+//! Tests of the scanner for request heads.
+
 use super::{Framing, HeadScanner, Position};
 
-/// Both headers are found in any order, case and split; a header with a similar name is not taken for one of them.
+/// Both headers are found in any order, letter case and split of the input. A header with a similar name is
+/// not mistaken for one of them.
 #[test]
 fn framing_is_found_however_the_head_is_split() {
     let cases: [(&[u8], Framing); 4] = [
--- a/crates/gateway/src/clients/linger.rs
+++ b/crates/gateway/src/clients/linger.rs
@@ -1,5 +1,5 @@
-//! Closes a connection whose client may still be sending. Closing it with input unread would reset it, and the
-//! client could lose the response.
+//! Lingering close of a connection whose client may still be sending. Closing the socket with unread input
+//! would reset the connection, and the client could lose the response.
 
 use crate::network::socket::Socket;
 use std::io;
@@ -8,22 +8,23 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest silence of the client before its connection is closed.
+/// Longest time to wait for further input before the connection is closed.
 const MAX_SILENCE: Duration = Duration::from_secs(1);
-/// Longest time for which input is read.
+/// Longest time for which input is discarded.
 const MAX_LINGER: Duration = Duration::from_secs(6);
-/// Most input that is read.
+/// Largest amount of input that is discarded.
 const MAX_LINGER_BYTES: usize = 64 << 20;
-/// Bytes read at a time.
+/// Bytes read per call.
 const READ_BYTES: usize = 4096;
 
-/// Shuts down the sending side, discards what the client still sends for a while, and closes the connection.
+/// Shuts down the sending side, discards further input for a limited time and closes the connection.
 pub async fn close_after_input(socket: Socket<TcpStream>) {
-    // However that ends, the connection is closed now.
+    // The connection is closed whether or not the client ended it.
     let _ = timeout(MAX_LINGER, discard_input(socket)).await;
 }
 
-/// Shuts down the sending side and reads until the client has ended its own or is silent.
+/// Shuts down the sending side and discards input until the client closes its own sending side or a limit is
+/// reached.
 async fn discard_input(mut socket: Socket<TcpStream>) -> io::Result<()> {
     let mut data = [0; READ_BYTES];
     let mut remaining = MAX_LINGER_BYTES;
--- a/crates/gateway/src/clients/mod.rs
+++ b/crates/gateway/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Clients: their connections, requests and responses.
+//! Client side of the gateway: connections, requests and responses.
 
 mod accept_error;
 mod connection;
--- a/crates/gateway/src/clients/request_handler.rs
+++ b/crates/gateway/src/clients/request_handler.rs
@@ -1,4 +1,4 @@
-//! Handles one request of a client: reads it, submits it to the decision core and waits for its answer.
+//! Handling of one client request: reads it, submits it to the decision core and waits for its final answer.
 
 use crate::bodies::buffering::read_up_to_limit;
 use crate::bodies::size::MAX_BUFFERED_BODY_BYTES;
@@ -26,45 +26,41 @@
 use tokio::sync::{oneshot, Semaphore};
 use tokio::time::timeout_at;
 
-/// Longest body of a request.
+/// Largest request body accepted.
 const MAX_REQUEST_BODY_BYTES: u64 = 32 << 20;
-/// Longest body that needs no reserved memory: it fits into hyper's read buffer.
+/// Largest body that needs no reserved memory, since it fits into hyper's read buffer.
 const MAX_UNRESERVED_BODY_BYTES: u64 = 4 << 10;
-/// Bytes of memory for bodies that one permit stands for.
+/// Bytes of body memory that one semaphore permit represents.
 const BYTES_PER_PERMIT: usize = 1 << 10;
-/// Where the platform checks whether the gateway responds.
+/// Path of the platform's health check of the gateway.
 const HEALTH_PATH: &str = "/_health";
 
-/// Handles requests of clients.
+/// Handles client requests.
 pub struct RequestHandler {
-    /// The driver of the decision core.
     driver: Rc<DecisionDriver>,
-    /// Reads requests' heads.
+    /// Parses request heads.
     head_reader: RequestHeadReader,
-    /// Memory for what is buffered of clients' bodies, in permits of [`BYTES_PER_PERMIT`].
+    /// Memory for buffered parts of request bodies, in permits of [`BYTES_PER_PERMIT`].
     body_memory: Arc<Semaphore>,
 }
 
-/// A response, and what becomes of its connection.
+/// A response and the effect on its connection.
 struct HandledRequest {
-    /// The response.
     response: Response<ResponseBody>,
-    /// Whether the connection has to close: the beginning of a next request could not be found.
+    /// Whether the connection must close, because the beginning of a next request could not be located.
     must_close: bool,
 }
 
-/// A request that has its final answer.
+/// A request that has received its final answer.
 struct AnsweredRequest {
-    /// The answer.
     answer: Answer,
-    /// Counts the request.
     counter: RequestCounterGuard,
-    /// The request's body.
     body: Rc<Upload>,
 }
 
 impl RequestHandler {
-    /// A handler that buffers at most this much of clients' bodies.
+    /// Creates a handler that buffers request bodies in at most `body_memory_bytes` of memory, or enough for one
+    /// body if that is more.
     pub fn new(
         driver: Rc<DecisionDriver>,
         head_reader: RequestHeadReader,
@@ -74,7 +70,7 @@
         RequestHandler { driver, head_reader, body_memory: Arc::new(Semaphore::new(permits)) }
     }
 
-    /// The response to a request.
+    /// Returns the response to a request.
     pub async fn respond(
         &self,
         client: &Rc<ClientConnection>,
@@ -90,18 +86,18 @@
         response
     }
 
-    /// The response to a request, and whether its connection has to close.
+    /// Returns the response to a request, and whether its connection must close.
     async fn handle(&self, client: &Rc<ClientConnection>, request: Request<Incoming>) -> HandledRequest {
         let has_body = !request.body().is_end_stream();
         if request.uri().path() == HEALTH_PATH {
             client.record_request();
             return HandledRequest { response: text_response(StatusCode::OK, ""), must_close: has_body };
         }
-        // Only hyper knows where a chunked body ends in the bytes of the connection.
+        // Only hyper can tell where a chunked body ends in the bytes of the connection.
         let is_chunked = request.body().size_hint().exact().is_none();
         match self.answer(client, request).await {
             Ok(AnsweredRequest { answer, counter, body }) => {
-                // The rest of a body that is no longer needed is read, but not as a request.
+                // The rest of a body that is no longer needed is discarded rather than parsed as a request.
                 let input_unreadable = !body.is_read_to_end() || !client.stream.can_read_next_request();
                 client.set_input_unreadable(input_unreadable);
                 HandledRequest {
@@ -110,7 +106,7 @@
                 }
             }
             Err(error) => {
-                // The rest of the body is not read, so that no further request can be found behind it.
+                // The rest of the body is not read, so no further request can be located after it.
                 let is_out_of_step =
                     matches!(error, RequestError::AmbiguousBodyLength | RequestError::ClientDisconnected);
                 let must_close = has_body || is_out_of_step;
@@ -120,7 +116,7 @@
         }
     }
 
-    /// Reads a request, submits it to the decision core and waits for its answer.
+    /// Reads a request, submits it to the decision core and waits for its final answer.
     async fn answer(
         &self,
         client: &Rc<ClientConnection>,
@@ -147,8 +143,8 @@
         Ok(AnsweredRequest { answer, counter, body })
     }
 
-    /// Waits for the answer to a request, or until its client disconnects. hyper drops this future when it finds
-    /// the connection closed.
+    /// Waits until a request has its final answer or its client disconnects. hyper drops this future when it
+    /// finds the connection closed.
     async fn wait_for_answer(
         &self,
         client: &ClientConnection,
@@ -160,12 +156,12 @@
         tokio::select! {
             biased;
             answer = answer => answer.unwrap_or(Answer::Failed),
-            // It may have ended its sending side only, and still read.
+            // The client may have closed only its sending side and still be reading.
             () = client_disconnected(&client.stream, body) => disconnect_guard.report(),
         }
     }
 
-    /// Reads a short body, or the beginning of a longer one, within the time that the client has for its request.
+    /// Reads a short body, or the beginning of a longer one, by the deadline for receiving the request.
     async fn read_body(&self, client: &ClientConnection, body: Incoming) -> Result<Upload, RequestError> {
         if body.size_hint().exact().is_some_and(|length| length > MAX_REQUEST_BODY_BYTES) {
             return Err(RequestError::BodyTooLarge);
@@ -177,7 +173,8 @@
         read.ok().flatten().ok_or(RequestError::BodyIncomplete)
     }
 
-    /// Reads a body as far as it is buffered, once there is memory for that. `None` if it breaks off.
+    /// Buffers a body up to the limit once memory for that is available. Returns `None` if the body ends
+    /// early.
     async fn buffer_body(&self, body: Incoming) -> Option<Upload> {
         let length = body.size_hint().exact();
         let max_buffered = MAX_BUFFERED_BODY_BYTES as u64;
@@ -193,8 +190,8 @@
     }
 }
 
-/// Checks that the length of a body is defined only once. hyper drops one of the two headers, but the stream has
-/// scanned the bytes.
+/// Checks that the length of the body is defined only once. hyper drops one of the two headers, but the
+/// stream scans the raw bytes.
 fn check_body_length(stream: &ClientStream, headers: &HeaderMap) -> Result<(), RequestError> {
     let is_ambiguous = match stream.framing() {
         Some(framing) => framing.is_ambiguous(),
@@ -206,7 +203,7 @@
     Ok(())
 }
 
-/// A client's request as it is forwarded to servers.
+/// Returns a client's request as it is forwarded to servers.
 fn outgoing_request(head: request::Parts, body: Rc<Upload>, stream: Rc<ClientStream>) -> OutgoingRequest {
     let mut end_to_end_headers = head.headers;
     headers::remove_hop_by_hop(&mut end_to_end_headers);
@@ -216,7 +213,7 @@
         None => head.uri,
     };
     let incoming_body = body.clone();
-    // While a long body is not read to its end, the end of the connection cannot be read either.
+    // Until a long body has been read completely, the end of the connection cannot be read either.
     let client_has_disconnected = move || {
         if incoming_body.is_read_to_end() {
             stream.has_disconnected()
--- a/crates/gateway/src/clients/request_head.rs
+++ b/crates/gateway/src/clients/request_head.rs
@@ -1,4 +1,5 @@
-//! Reads from a request's headers what the decision core needs: class, plan, customer, units and time limit.
+//! Parsing of request headers into the input of the decision core: class, plan, customer, units and client
+//! timeout.
 
 use crate::clients::request_error::RequestError;
 use crate::config::names::WireNames;
@@ -8,21 +9,21 @@
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::Method;
 
-/// Longest id of a request, in bytes.
+/// Largest length of a request ID, in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 64;
 
-/// Reads request heads by the settings and the names of their classes and plans.
+/// Parses request heads according to the settings and the configured names of classes and plans.
 pub struct RequestHeadReader {
-    /// The settings.
+    /// Settings of the decision core.
     pub settings: Settings,
-    /// The names of classes and plans.
+    /// Configured names of the classes and plans.
     pub names: WireNames,
-    /// The most units that a request may take.
+    /// Largest number of units that a request may take.
     pub max_units: f64,
 }
 
 impl RequestHeadReader {
-    /// What a request asks for, or what is wrong with its head.
+    /// Parses a request head, or returns the reason why the request is not accepted.
     pub fn read(&self, method: &Method, headers: &HeaderMap) -> Result<RequestHead, RequestError> {
         let id_length = headers::single_text(headers, headers::REQUEST_ID)?.len();
         if !(1..=MAX_REQUEST_ID_LENGTH).contains(&id_length) {
@@ -53,7 +54,8 @@
         })
     }
 
-    /// Whether the terms are possible by the settings, and this gateway is one of those that share the quota.
+    /// Returns whether the quota parameters are possible under the settings, and this gateway is one of those
+    /// that share the quota.
     fn accepts(&self, terms: &QuotaTerms) -> bool {
         let all_gateways = self.settings.gateway_count;
         let is_possible = terms.units > 0.0
@@ -68,8 +70,8 @@
     }
 }
 
-/// Checks that the method and the idempotency key are those of the class. Without a key a server could not
-/// recognize a repeat; a request that is never repeated has none.
+/// Checks that the method and the idempotency key match the class. Servers need the key to recognize a
+/// repeated request; a request that is never repeated has none.
 fn check_idempotency(class: &Class, method: &Method, headers: &HeaderMap) -> Result<(), RequestError> {
     let expected_method = match class.idempotency {
         Idempotency::Idempotent => Method::GET,
@@ -85,8 +87,9 @@
     Ok(())
 }
 
-/// How long the client waits: no longer for one attempt than its class allows for all of them. A client
-/// with no time left is rejected by the decision core, like any request that arrives too late.
+/// Returns the client timeout, in microseconds. For one attempt it must not exceed the deadline that its
+/// class sets for all of them. A request with no time left is rejected by the decision core, like any request
+/// that arrives too late.
 fn parse_client_timeout(time_budget: &str, class: &Class) -> Result<Micros, InvalidHeader> {
     let max_ms = class.deadline.div_ceil(1_000);
     let budget_ms = time_budget.parse().ok().filter(|budget_ms| *budget_ms <= max_ms);
@@ -94,7 +97,7 @@
     Ok(budget_ms * 1_000)
 }
 
-/// The index of the name in a header.
+/// Returns the index of the name that a header contains.
 fn index_of_name(names: &[String], headers: &HeaderMap, header: HeaderName) -> Result<usize, InvalidHeader> {
     let value = headers::single_text(headers, header.clone())?;
     names.iter().position(|name| name == value).ok_or(InvalidHeader(header))
--- a/crates/gateway/src/clients/server.rs
+++ b/crates/gateway/src/clients/server.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections and serves the requests on them.
+//! Server for client connections: accepts them and serves their requests.
 
 use crate::clients::accept_error::{AcceptErrors, REPEATED_ERROR_PAUSE};
 use crate::clients::connection::ClientConnection;
@@ -24,25 +24,23 @@
 
 /// Largest read buffer that hyper keeps for a connection.
 const MAX_READ_BUFFER_BYTES: usize = 32 << 10;
-/// How often connections are checked for their time limits.
+/// Interval between checks of the connections for expired time limits.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Serves all connections of clients.
+/// Accepts and serves all client connections.
 pub struct ClientServer {
-    /// The open connections.
     connections: ConnectionTable,
-    /// Handles the requests on them.
     handler: RequestHandler,
-    /// Evaluates errors of `accept`.
     accept_errors: AcceptErrors,
-    /// Whether connections end with their current request.
+    /// Whether connections close after their current request.
     stopping: Cell<bool>,
-    /// Whether another process accepts the connections.
+    /// Whether another process accepts new connections.
     handed_over: Cell<bool>,
 }
 
 impl ClientServer {
-    /// A server of at most `max_connections`, which buffers at most `body_memory_bytes` of their bodies.
+    /// Creates a server of at most `max_connections` connections, which buffers request bodies in at most
+    /// `body_memory_bytes` of memory.
     pub fn new(
         driver: Rc<DecisionDriver>,
         head_reader: RequestHeadReader,
@@ -58,12 +56,13 @@
         })
     }
 
-    /// Accepts connections until this is dropped.
+    /// Accepts connections until the future is dropped.
     pub async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         let mut consecutive_errors = 0;
         loop {
             match listener.accept().await {
-                // Served before another connection is evicted: a request on it may count as accepted already.
+                // The connection is served before another one is evicted, since a request on it may already
+                // count as accepted.
                 Ok((stream, _)) => {
                     consecutive_errors = 0;
                     self.serve_in_background(stream);
@@ -77,9 +76,9 @@
         }
     }
 
-    /// Accepts what waits in the listener's backlog, as a request there may count as accepted. The system is asked
-    /// directly, since what the runtime knows is as old as its last poll for events. Errors are retried until the
-    /// deadline.
+    /// Accepts the connections waiting in the listener's backlog, since a request there may count as
+    /// accepted. This calls the operating system directly, because the runtime's readiness is only as recent
+    /// as its last poll for events. Errors are retried until the deadline.
     pub async fn accept_backlog(self: &Rc<Self>, listener: &std::net::TcpListener, deadline: Instant) {
         let mut consecutive_errors = 0;
         loop {
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Closes connections past their time limits, until this is dropped.
+    /// Closes connections whose time limits have expired, until the future is dropped.
     pub async fn close_expired_connections(self: Rc<Self>) {
         loop {
             sleep(EXPIRY_CHECK_INTERVAL).await;
@@ -109,17 +108,17 @@
         }
     }
 
-    /// Whether new clients are accepted.
+    /// Returns whether new client connections are accepted.
     pub fn accepting(&self) -> bool {
         !self.stopping.get() && !self.handed_over.get()
     }
 
-    /// Sets whether another process accepts clients from now on.
+    /// Sets whether another process accepts client connections from now on.
     pub fn hand_over(&self, handed_over: bool) {
         self.handed_over.set(handed_over);
     }
 
-    /// From now on connections end with their current request, and idle ones end at once.
+    /// Makes connections close after their current request from now on, and idle ones close at once.
     pub fn stop(&self) {
         self.stopping.set(true);
         self.connections.drain();
@@ -130,7 +129,7 @@
         self.connections.close_idle();
     }
 
-    /// When the last connection was accepted.
+    /// Returns when the last connection was accepted.
     pub fn last_accepted_at(&self) -> Instant {
         self.connections.last_accepted_at()
     }
@@ -140,7 +139,8 @@
         self.connections.wait_until_empty().await;
     }
 
-    /// Waits, and closes a connection if necessary, after an error of `accept`, the last of this many in a row.
+    /// Recovers from the last of `consecutive_errors` errors of `accept`: backs off and evicts a connection
+    /// if necessary.
     async fn recover_from_accept_error(&self, error: &io::Error, consecutive_errors: u32) {
         let Some(recovery) = self.accept_errors.recovery(error, consecutive_errors) else { return };
         if recovery.evict_connection {
@@ -149,20 +149,20 @@
         sleep(recovery.pause).await;
     }
 
-    /// Closes connections, one at a time, until there are no more than allowed.
+    /// Evicts connections, one at a time, until no more than allowed are open.
     async fn evict_to_limit(&self) {
         while self.connections.is_over_limit() {
             if !self.connections.has_closing() {
                 self.connections.evict_one();
             }
-            // The notification may be of a connection that closed earlier.
+            // The notification may stem from a connection that closed earlier.
             let _ = timeout(REPEATED_ERROR_PAUSE, self.connections.connection_closed()).await;
         }
     }
 
     /// Serves an accepted connection in a task of its own.
     fn serve_in_background(self: &Rc<Self>, stream: TcpStream) {
-        // This fails only on a broken connection, and the first read reports that.
+        // This fails only on a broken connection, which the first read reports.
         let _ = stream.set_nodelay(true);
         let client = self.connections.insert(stream);
         let server = self.clone();
@@ -172,7 +172,7 @@
         });
     }
 
-    /// Serves the requests on a connection until it ends.
+    /// Serves the requests on a connection until it closes.
     async fn serve(self: &Rc<Self>, client: &Rc<ClientConnection>) {
         let service = service_fn(|request| {
             let server = self.clone();
@@ -186,7 +186,8 @@
             .serve_connection(TokioIo::new(ClientStreamIo(client.stream.clone())), service));
         let may_have_input = loop {
             tokio::select! {
-                // A broken connection affects no other client. hyper itself responds to what it cannot parse.
+                // A broken connection affects no other client. hyper itself responds to requests that it
+                // cannot parse.
                 result = connection.as_mut() => break result.is_err() || client.is_input_unreadable(),
                 () = client.drain_requested() => if client.may_drain() {
                     connection.as_mut().graceful_shutdown();
@@ -207,7 +208,8 @@
         }
     }
 
-    /// The response to a request; the last one of its connection if the server is stopping by then.
+    /// Returns the response to a request, which announces the close of the connection if the server is
+    /// stopping.
     async fn respond(
         &self,
         client: &Rc<ClientConnection>,
--- a/crates/gateway/src/clients/stream.rs
+++ b/crates/gateway/src/clients/stream.rs
@@ -1,5 +1,5 @@
-//! One client's TCP connection, under hyper. It knows what hyper does not report: how far the current request has
-//! been read, how far its response has been written, and whether the client has disconnected.
+//! A client's TCP connection, below hyper. It tracks what hyper does not report: how much of the current
+//! request has been read, whether its response is being written, and whether the client has disconnected.
 
 use crate::clients::head_scanner::{Framing, HeadScanner};
 use crate::clients::linger;
@@ -19,27 +19,26 @@
 
 pub mod transport;
 
-/// Most that is kept of what a client sends while its request is in progress; clients send one request at a time.
+/// Limit of the input stored while a request is in progress; clients send one request at a time.
 const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
-/// Bytes read at a time while a request is in progress.
+/// Bytes read per call while a request is in progress.
 const READ_AHEAD_CHUNK_BYTES: usize = 1024;
 
-/// What is read from a connection.
+/// The input side of a connection.
 struct Input {
-    /// The socket, until the connection is closed.
+    /// The socket; `None` once the connection is closed.
     socket: Option<Socket<TcpStream>>,
-    /// Finds the heads of requests.
     scanner: HeadScanner,
-    /// Whether the client has ended its sending side.
+    /// Whether the client has closed its sending side.
     ended: bool,
-    /// What was read while a request was in progress, for hyper to read next.
+    /// Input read while a request was in progress, which hyper reads next.
     read_ahead: BytesMut,
-    /// Whether some of what was read is missing there, as it was too much.
+    /// Whether input was discarded because it exceeded the limit of `read_ahead`.
     read_ahead_overflowed: bool,
 }
 
 impl Input {
-    /// Keeps bytes that arrived while a request is in progress, up to a limit.
+    /// Stores input that arrived while a request is in progress, up to [`MAX_READ_AHEAD_BYTES`].
     fn extend_read_ahead(&mut self, data: &[u8]) {
         self.read_ahead_overflowed |= self.read_ahead.len() + data.len() > MAX_READ_AHEAD_BYTES;
         if !self.read_ahead_overflowed {
@@ -48,27 +47,27 @@
     }
 }
 
-/// A client's connection; its holders share the one socket.
+/// A client connection, whose holders share one socket.
 pub struct ClientStream {
-    /// The socket and what is read from it.
     input: RefCell<Input>,
-    /// When the first byte of the request that is being read arrived.
+    /// When the first byte of the request being read arrived.
     request_began_at: Cell<Option<Instant>>,
-    /// Whether a response is being written.
     is_responding: Cell<bool>,
-    /// Whether a request is in progress. Meanwhile only [`ClientStream::disconnected`] reads.
+    /// Whether a request is in progress. Meanwhile only [`ClientStream::disconnected`] reads the
+    /// socket.
     request_in_progress: Cell<bool>,
-    /// Whether the next read of hyper waits for one poll. What was read last may end a request, and its service is
-    /// to see it before hyper reads on, finds the client's end, and drops the request for that.
+    /// Whether hyper's next read is postponed by one poll. The last read may have completed a request; the
+    /// request's service must run before hyper reads on, finds that the client closed its sending side and
+    /// drops the request.
     defers_next_read: Cell<bool>,
     /// When the client last accepted part of a response, or a response began.
     last_written_at: Cell<Instant>,
-    /// When bytes last arrived, or the connection was accepted.
+    /// When bytes were last received, or the connection was accepted.
     last_read_at: Cell<Instant>,
 }
 
 impl ClientStream {
-    /// An accepted connection.
+    /// Wraps an accepted connection.
     pub fn new(stream: TcpStream) -> Rc<ClientStream> {
         let input = Input {
             socket: Some(Socket::new(stream)),
@@ -88,32 +87,34 @@
         })
     }
 
-    /// When the request that is being read began to arrive.
+    /// Returns when the first byte of the request being read arrived.
     pub fn request_began_at(&self) -> Option<Instant> {
         self.request_began_at.get()
     }
 
-    /// Whether a response is being written.
+    /// Returns whether a response is being written.
     pub fn is_responding(&self) -> bool {
         self.is_responding.get()
     }
 
-    /// When the client last accepted part of a response, or a response began.
+    /// Returns when the client last accepted part of a response, or a response began.
     pub fn last_written_at(&self) -> Instant {
         self.last_written_at.get()
     }
 
-    /// When bytes last arrived, or the connection was accepted.
+    /// Returns when bytes were last received, or the connection was accepted.
     pub fn last_read_at(&self) -> Instant {
         self.last_read_at.get()
     }
 
-    /// The headers that define the length of the current request's body; `None` if its head was not found.
+    /// Returns the headers that define the length of the current request's body, or `None` if its head was
+    /// not found.
     pub fn framing(&self) -> Option<Framing> {
         self.input.borrow().scanner.framing()
     }
 
-    /// Announces the response to a request with a body of this length: what follows it is the next request.
+    /// Records that the response to a request with a body of `body_length` bytes begins. The input after that
+    /// body is the next request.
     pub fn response_begins(&self, body_length: usize) {
         self.is_responding.set(true);
         self.last_written_at.set(Instant::now());
@@ -121,16 +122,17 @@
         self.request_began_at.set(if is_between_requests { None } else { Some(Instant::now()) });
     }
 
-    /// How long ago at least the newest byte of the client reached this machine: the age of a request once it is
-    /// complete, wherever it waited. A pipelined request may lie before that byte and be older. 0 where the system
-    /// does not tell.
+    /// Returns a lower bound of the time since the client's newest byte reached this machine. For a complete
+    /// request this is its age, including all queueing. The newest byte may belong to a later, pipelined
+    /// request; the request is then older. The result is 0 where the operating system does not provide the
+    /// time.
     pub fn newest_byte_age(&self) -> Duration {
         let input = self.input.borrow();
         let age = input.socket.as_ref().map(|socket| time_since_last_data(socket.get_ref()));
         age.and_then(Result::ok).unwrap_or_default()
     }
 
-    /// Whether bytes have arrived that hyper has not read.
+    /// Returns whether bytes have arrived that hyper has not read.
     pub fn has_unread_input(&self) -> bool {
         let input = self.input.borrow();
         let Some(socket) = &input.socket else { return false };
@@ -141,8 +143,9 @@
         matches!(socket2::SockRef::from(socket.get_ref()).peek(&mut byte), Ok(read) if read > 0)
     }
 
-    /// Whether the client has ended its sending side or the connection broke. This asks the system: what the
-    /// runtime knows is as old as its last poll for events. What the client sent before its end is kept.
+    /// Returns whether the client has closed its sending side or the connection is broken. This queries the
+    /// operating system, because the runtime's readiness is only as recent as its last poll for events. Input
+    /// that precedes the end is stored.
     pub fn has_disconnected(&self) -> bool {
         let mut data = [0; READ_AHEAD_CHUNK_BYTES];
         let mut input = self.input.borrow_mut();
@@ -160,9 +163,9 @@
         }
     }
 
-    /// Whether the client has ended its sending side behind input that is still unread, as of the runtime's last
-    /// poll for events. The rest of a long body is not read before an attempt takes it, so its end cannot be read
-    /// either.
+    /// Returns whether the client has closed its sending side, possibly behind unread input, as of the
+    /// runtime's last poll for events. The rest of a long body is not read before an attempt takes it, so
+    /// reading cannot detect the end.
     pub fn is_end_announced(&self) -> bool {
         let input = self.input.borrow();
         let Some(socket) = &input.socket else { return true };
@@ -171,20 +174,20 @@
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Waits until the client ends its sending side or the connection breaks, while its request is in progress.
-    /// hyper does not notice that behind further input, which is read here and kept.
+    /// Waits, while a request is in progress, until the client closes its sending side or the connection
+    /// breaks. hyper does not detect this behind further input, so that input is read here and stored.
     pub async fn disconnected(&self) {
         let _guard = RequestInProgressGuard::new(&self.request_in_progress);
         poll_fn(|cx| self.poll_disconnected(cx)).await;
     }
 
-    /// Whether another request can be read completely.
+    /// Returns whether another request can be read completely.
     pub fn can_read_next_request(&self) -> bool {
         let input = self.input.borrow();
         !input.ended && !input.read_ahead_overflowed
     }
 
-    /// Closes the connection, once the client stops sending or after a while.
+    /// Closes the connection after discarding remaining input for a limited time.
     pub async fn close_after_input(&self) {
         let socket = self.input.borrow_mut().socket.take();
         let ended = self.input.borrow().ended;
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Reads ahead until the client disconnects.
+    /// Reads and stores input until the client disconnects.
     fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut data = [0; READ_AHEAD_CHUNK_BYTES];
         loop {
@@ -213,22 +216,22 @@
         }
     }
 
-    /// Keeps bytes that arrived while a request is in progress.
+    /// Stores input that arrived while a request is in progress.
     fn keep_read_ahead(&self, input: &mut Input, data: &[u8]) {
         input.extend_read_ahead(data);
         self.last_read_at.set(Instant::now());
     }
 
-    /// Moves what was read ahead to a buffer. False if there was nothing and the socket is to be read.
+    /// Moves stored input to a buffer. Returns false if there was none and the socket must be read.
     fn take_read_ahead(&self, buf: &mut ReadBuf<'_>) -> bool {
         let mut input = self.input.borrow_mut();
         let length = input.read_ahead.len().min(buf.remaining());
         buf.put_slice(&input.read_ahead.split_to(length));
-        // Not every system reports an end again that was read before.
+        // Some operating systems do not report an end of the stream again that has been read before.
         length > 0 || input.ended
     }
 
-    /// Records what hyper has read. `is_buffer_full` if there may be more of it.
+    /// Records the input that hyper has read. `is_buffer_full` indicates that more of it may be available.
     fn record_read(&self, data: &[u8], is_buffer_full: bool) {
         let mut input = self.input.borrow_mut();
         input.ended |= data.is_empty();
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Polls the socket; an error where the connection has been closed.
+    /// Polls the socket. Fails if the connection has been closed.
     fn poll_socket<T>(
         &self,
         poll: impl FnOnce(Pin<&mut Socket<TcpStream>>) -> Poll<io::Result<T>>,
@@ -253,9 +256,8 @@
     }
 }
 
-/// Marks a request as in progress until it is dropped.
+/// Marks a request as in progress until the guard is dropped.
 struct RequestInProgressGuard<'a> {
-    /// The mark.
     request_in_progress: &'a Cell<bool>,
 }
 
--- a/crates/gateway/src/clients/stream/transport.rs
+++ b/crates/gateway/src/clients/stream/transport.rs
@@ -1,4 +1,4 @@
-//! A client's connection as hyper reads and writes it.
+//! I/O traits through which hyper reads and writes a client connection.
 
 use super::ClientStream;
 use std::io;
@@ -8,13 +8,13 @@
 use std::time::Instant;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A connection as hyper reads and writes it.
+/// The I/O object that hyper uses for a client connection.
 pub struct ClientStreamIo(pub Rc<ClientStream>);
 
 impl AsyncRead for ClientStreamIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let stream = &self.0;
-        // hyper polls again by itself once the request has its response.
+        // No waker is needed: hyper polls again once the request has its response.
         if stream.request_in_progress.get() {
             return Poll::Pending;
         }
@@ -41,7 +41,7 @@
         result
     }
 
-    // hyper flushes once it has written all that it had.
+    // hyper flushes once it has written all available data.
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let result = self.0.poll_socket(|socket| socket.poll_flush(cx));
         if result.is_ready() {
--- a/crates/gateway/src/network/handshake_filter.rs
+++ b/crates/gateway/src/network/handshake_filter.rs
@@ -1,10 +1,10 @@
-//! Refuses new connections at a listener that is about to close.
+//! Packet filter that refuses new connections at a listener about to close.
 //!
-//! A connection whose handshake ends between the last `accept` and the listener's close is reset after its client
-//! has sent a request. No order of `accept` and `close` prevents that, but a packet filter does: it drops the first
-//! segment of every new handshake, so that the queue of the listener only gets shorter. A client whose segment was
-//! dropped has no connection yet; its system sends the segment again and finds the address refused, or another
-//! listener there.
+//! A connection whose handshake completes between the last `accept` and the close of the listener is reset
+//! after its client has sent a request. No order of `accept` and `close` prevents that, but a packet filter
+//! does: it drops the first segment of every new handshake, so that the accept queue can only shrink. A
+//! client whose segment was dropped has no connection yet; its operating system retransmits the segment and
+//! finds the address refused, or another listener there.
 
 use socket2::{SockFilter, SockRef};
 use std::io;
@@ -16,13 +16,14 @@
 const AND: u16 = 0x54;
 /// Jumps if the accumulator equals a value: `BPF_JMP | BPF_JEQ | BPF_K`.
 const JUMP_IF_EQUAL: u16 = 0x15;
-/// Returns how many bytes of the segment are kept: `BPF_RET | BPF_K`.
+/// Returns the number of bytes of the segment to keep: `BPF_RET | BPF_K`.
 const RETURN: u16 = 0x06;
-/// The offset of the flags in a TCP header, which is what the filter of a TCP socket sees first under IPv4 and IPv6.
+/// Offset of the flags in a TCP header, with which the input of a TCP socket's filter starts under IPv4 and
+/// IPv6.
 const FLAGS_OFFSET: u32 = 13;
-/// The flag of the two segments that open a connection.
+/// Flag of the two segments that open a connection.
 const SYN: u32 = 0x02;
-/// The flag of every segment but the first of a connection.
+/// Flag of every segment of a connection but the first.
 const ACK: u32 = 0x10;
 
 /// Drops segments with `SYN` and without `ACK`, and keeps all others.
@@ -34,8 +35,9 @@
     SockFilter::new(RETURN, 0, 0, u32::MAX),
 ];
 
-/// Refuses new handshakes for as long as the listener is open, also in other processes that share its socket. Those
-/// that have begun end, and connections accepted from them inherit the filter, which lets all their segments pass.
+/// Refuses new handshakes while the listener is open, also in other processes that share its socket.
+/// Handshakes in progress complete; the connections accepted from them inherit the filter, which passes all
+/// their segments.
 pub fn refuse_new_handshakes(listener: &TcpListener) -> io::Result<()> {
     SockRef::from(listener).attach_filter(&REFUSE_NEW_HANDSHAKES)
 }
--- a/crates/gateway/src/network/handshake_filter/tests.rs
+++ b/crates/gateway/src/network/handshake_filter/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the filter that refuses new connections.
+
 use super::refuse_new_handshakes;
 use nix::sys::socket::setsockopt;
 use nix::{setsockopt_impl, sockopt_impl};
@@ -6,7 +8,7 @@
 use std::time::Duration;
 
 sockopt_impl!(
-    /// Ends handshakes only when the client's first data arrives, after at most this many seconds.
+    /// Completes handshakes only when the client's first data arrives, or after at most this many seconds.
     TcpDeferAccept,
     SetOnly,
     libc::IPPROTO_TCP,
@@ -14,12 +16,13 @@
     i32
 );
 
-/// Longer than the segments of a test travel.
+/// Upper bound of the time that segments of a test take to arrive.
 const MAX_WAIT: Duration = Duration::from_secs(5);
-/// A connect attempt that takes this long was not answered; the system repeats its first segment after 1 s.
+/// Duration after which a connection attempt counts as unanswered; the system retransmits its first segment
+/// after 1 s.
 const UNANSWERED: Duration = Duration::from_millis(200);
 
-/// The loopback addresses of both protocol versions that this machine has.
+/// Returns listeners on the loopback addresses of both IP versions that this machine supports.
 fn listeners() -> Vec<TcpListener> {
     let listeners: Vec<TcpListener> =
         ["127.0.0.1:0", "[::1]:0"].iter().filter_map(|address| TcpListener::bind(address).ok()).collect();
@@ -27,7 +30,6 @@
     listeners
 }
 
-/// The address of a listener.
 fn address(listener: &TcpListener) -> SocketAddr {
     listener.local_addr().unwrap()
 }
@@ -45,7 +47,7 @@
     }
 }
 
-/// Also data of a connection that inherits the filter passes, in both directions.
+/// Data of a connection that inherits the filter passes in both directions.
 #[test]
 fn handshake_that_has_begun_ends_and_its_connection_works() {
     for listener in listeners() {
--- a/crates/gateway/src/network/headers.rs
+++ b/crates/gateway/src/network/headers.rs
@@ -1,58 +1,59 @@
-//! The headers of the protocol between clients, gateway and servers: their names, and what their values mean in
-//! this program's terms. Also which headers belong to one connection, and not to the message.
+//! HTTP headers of the protocol between clients, gateway and servers: their names, the parsing of their
+//! values, and the removal of hop-by-hop headers.
 
 use grebehook_core::{CustomerId, LoadReport};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 use thiserror::Error;
 
-/// The client's id of a request.
+/// Request ID assigned by the client.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-call-id");
-/// The request's class.
+/// Name of the class to which a request belongs.
 pub const REQUEST_CLASS: HeaderName = HeaderName::from_static("x-call-class");
-/// The key by which servers recognize repeats of a request.
+/// Key by which servers recognize a repeated request.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// The customer's plan.
+/// Name of the customer's plan.
 pub const PLAN: HeaderName = HeaderName::from_static("api-plan");
-/// The customer.
+/// ID of the customer, in hexadecimal digits.
 pub const CUSTOMER: HeaderName = HeaderName::from_static("api-customer");
-/// What the request takes of the quota, and which gateways share that: see [`QuotaTerms`].
+/// Units that the request takes of the quota, and the gateways that share it: see [`QuotaTerms`].
 pub const QUOTA_TERMS: HeaderName = HeaderName::from_static("api-terms");
-/// How many milliseconds the sender still waits for the response.
+/// Remaining time for which the sender waits for the response, in milliseconds.
 pub const TIME_BUDGET: HeaderName = HeaderName::from_static("x-budget-ms");
-/// A server's load report.
+/// Load report of a server.
 pub const LOAD_REPORT: HeaderName = HeaderName::from_static("x-load-report");
-/// Set to 1 by a client that repeats a request.
+/// Set to 1 by a client that retries a request.
 const RETRY: HeaderName = HeaderName::from_static("x-again");
-/// Set to 1 by a server that rejected a request before it ran.
+/// Set to 1 by a server that rejected a request before executing it.
 const REJECTED: HeaderName = HeaderName::from_static("x-rejected");
 /// The customer's usage of its quota, in percent.
 const USAGE: HeaderName = HeaderName::from_static("api-usage");
-/// The units that a request really took.
+/// Units that the request actually took.
 const CHARGE: HeaderName = HeaderName::from_static("api-charge");
 
-/// Headers, besides `Connection` and the two of the body's length, that belong to one connection.
+/// Hop-by-hop headers besides `Connection` and the two that define the length of the body.
 const HOP_BY_HOP: [&str; 5] = ["keep-alive", "proxy-connection", "te", "trailer", "upgrade"];
-/// Digits of a customer's id, which is hexadecimal.
+/// Number of hexadecimal digits of a customer ID.
 const CUSTOMER_ID_DIGITS: usize = 16;
-/// Customers' ids are below this.
+/// Exclusive upper bound of customer IDs.
 const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
 
-/// A header of a request is missing, repeated, or malformed.
+/// A request header that is missing, repeated or malformed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0} is missing or malformed")]
 pub struct InvalidHeader(pub HeaderName);
 
-/// What a request takes of its customer's quota, and which gateways share that.
+/// Units that a request takes of its customer's quota, and the gateways that share the quota.
 pub struct QuotaTerms {
     /// Units that the request takes.
     pub units: f64,
-    /// Number of gateways that the customer uses.
+    /// Number of gateways that serve the customer.
     pub gateway_count: usize,
-    /// Index of the first of them.
+    /// Index of the first of these gateways.
     pub first_gateway: usize,
 }
 
-/// The value of a header that must occur exactly once: of two, a server might use the other.
+/// Returns the value of a header that must occur exactly once, since a server might use the other value of
+/// two.
 pub fn single(headers: &HeaderMap, name: HeaderName) -> Result<&HeaderValue, InvalidHeader> {
     let mut values = headers.get_all(&name).iter();
     match (values.next(), values.next()) {
@@ -61,17 +62,17 @@
     }
 }
 
-/// The text of a header that must occur exactly once.
+/// Returns the text of a header that must occur exactly once.
 pub fn single_text(headers: &HeaderMap, name: HeaderName) -> Result<&str, InvalidHeader> {
     single(headers, name.clone())?.to_str().map_err(|_| InvalidHeader(name))
 }
 
-/// The customer of a request.
+/// Returns the customer of a request.
 pub fn customer(headers: &HeaderMap) -> Result<CustomerId, InvalidHeader> {
     parse_customer(single_text(headers, CUSTOMER)?).ok_or(InvalidHeader(CUSTOMER))
 }
 
-/// A customer's id from its hexadecimal digits.
+/// Parses the hexadecimal digits of a customer ID.
 fn parse_customer(text: &str) -> Option<CustomerId> {
     if text.len() != CUSTOMER_ID_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
@@ -80,12 +81,12 @@
     (id < CUSTOMER_ID_LIMIT).then_some(CustomerId(id))
 }
 
-/// The quota terms of a request, like `units=2,spread=3,first=1`.
+/// Returns the quota parameters of a request, such as `units=2,spread=3,first=1`.
 pub fn quota_terms(headers: &HeaderMap) -> Result<QuotaTerms, InvalidHeader> {
     parse_quota_terms(single_text(headers, QUOTA_TERMS)?).ok_or(InvalidHeader(QUOTA_TERMS))
 }
 
-/// Quota terms from their text; names other than the three are ignored.
+/// Parses quota parameters; other names than these three are ignored.
 fn parse_quota_terms(text: &str) -> Option<QuotaTerms> {
     let mut units = None;
     let mut gateway_count = None;
@@ -103,29 +104,29 @@
     Some(QuotaTerms { units: units?, gateway_count: gateway_count?, first_gateway: first_gateway? })
 }
 
-/// Whether the client marked the request as a retry.
+/// Returns whether the client marked the request as a retry.
 pub fn is_retry(headers: &HeaderMap) -> bool {
     headers.get(RETRY).is_some_and(|value| value == "1")
 }
 
-/// Whether the server marked the response as a rejection before the request ran.
+/// Returns whether the server marked the response as a rejection that precedes the execution of the request.
 pub fn is_rejection(headers: &HeaderMap) -> bool {
     headers.get(REJECTED).is_some_and(|value| value == "1")
 }
 
-/// The usage of its customer's quota that a response reports, as a fraction of it.
+/// Returns the customer's usage of its quota that a response reports, as a fraction of the quota.
 pub fn usage(headers: &HeaderMap) -> Option<f64> {
     let percent: f64 = headers.get(USAGE)?.to_str().ok()?.trim().parse().ok()?;
     Some(percent / 100.0).filter(|usage| usage.is_finite() && *usage >= 0.0)
 }
 
-/// The units that a request really took. Values that no request can take are ignored.
+/// Returns the units that a request actually took. Values that no request can take are ignored.
 pub fn charged_units(headers: &HeaderMap, max_units: f64) -> Option<f64> {
     let units: f64 = headers.get(CHARGE)?.to_str().ok()?.trim().parse().ok()?;
     Some(units).filter(|units| *units > 0.0 && *units <= max_units)
 }
 
-/// A load report; its fields have the names of the protocol or those of the settings.
+/// Parses a load report, whose fields have the names of the protocol or those of the settings.
 pub fn load_report(value: Option<&HeaderValue>) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for (name, value) in value?.to_str().ok()?.split(',').filter_map(|pair| pair.split_once('=')) {
@@ -141,8 +142,8 @@
     Some(report).filter(|report| *report != LoadReport::default())
 }
 
-/// Whether the end of a response body is defined, in one way only: by its length, by its last chunk, or by the end
-/// of a connection that it announces to close. A server that dies resets its connections instead.
+/// Returns whether exactly one mechanism defines the end of a response body: its length, its last chunk, or
+/// the end of a connection that is announced to close. A server that crashes resets its connections instead.
 pub fn has_body_end(headers: &HeaderMap) -> bool {
     let has_length = headers.contains_key(CONTENT_LENGTH);
     let has_coding = headers.contains_key(TRANSFER_ENCODING);
@@ -153,13 +154,12 @@
     }
 }
 
-/// Whether a `Connection` header announces the end of the connection.
 fn announces_close(connection: &HeaderValue) -> bool {
     let options = connection.to_str().unwrap_or_default();
     options.split(',').any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
 
-/// Removes the headers that belong to one connection and not to the message.
+/// Removes the hop-by-hop headers, including those that `Connection` lists.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     if let Some(listed) = headers.remove(CONNECTION) {
         for name in listed.to_str().unwrap_or_default().split(',') {
--- a/crates/gateway/src/network/headers/tests.rs
+++ b/crates/gateway/src/network/headers/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the parsing and removal of headers.
+
 use super::{
     charged_units, customer, has_body_end, load_report, quota_terms, remove_hop_by_hop, single, usage,
     InvalidHeader, CUSTOMER, QUOTA_TERMS, REQUEST_ID,
@@ -5,7 +7,7 @@
 use grebehook_core::{CustomerId, LoadReport};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 
-/// Headers of these names and values, in this order.
+/// Returns headers with these names and values, in this order.
 fn header_map(headers: &[(&'static str, &'static str)]) -> HeaderMap {
     let mut map = HeaderMap::new();
     for (name, value) in headers {
--- a/crates/gateway/src/network/mod.rs
+++ b/crates/gateway/src/network/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets, headers and errors of system calls, as all other modules use them.
+//! Sockets, HTTP headers and system errors, shared by all modules of the gateway.
 
 pub mod handshake_filter;
 pub mod headers;
--- a/crates/gateway/src/network/repeat_limiter.rs
+++ b/crates/gateway/src/network/repeat_limiter.rs
@@ -1,22 +1,22 @@
-//! Limits how often a repeated log line is written.
+//! Rate limit for repeated log lines.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// The least time between two lines about the same fault.
+/// Minimum interval between two log lines about the same fault.
 pub const REPEAT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Admits a log line once per [`REPEAT_INTERVAL`], and counts those suppressed in between.
+/// Admits one log line per [`REPEAT_INTERVAL`] and counts the lines suppressed in between.
 #[derive(Debug, Default)]
 pub struct RepeatLimiter {
-    /// When the last line was admitted.
     last_admitted_at: Cell<Option<Instant>>,
-    /// Lines suppressed since then.
+    /// Number of lines suppressed since the last admitted one.
     suppressed: Cell<u64>,
 }
 
 impl RepeatLimiter {
-    /// Whether to write a line now: if so, how many were suppressed since the last one.
+    /// Returns `None` if a line must be suppressed at `now`, else the number suppressed since the last
+    /// admitted line.
     pub fn admit(&self, now: Instant) -> Option<u64> {
         let is_due = self
             .last_admitted_at
--- a/crates/gateway/src/network/socket.rs
+++ b/crates/gateway/src/network/socket.rs
@@ -1,10 +1,10 @@
-//! Stream sockets that do not take a short read or write for a sign of what follows. Every connection of the
-//! gateway is read and written through [`Socket`].
+//! Stream sockets that do not interpret short reads and writes as a change of readiness. Every connection of
+//! the gateway is read and written through [`Socket`].
 //!
-//! The streams of tokio take a read or write of fewer bytes than were asked for as a sign that the socket is empty
-//! or full, and wait for the next event of the system before they try again. A call may be short for other reasons,
-//! such as a signal; then no event follows, and the connection would hang. A [`Socket`] waits only once the system
-//! has reported that a call would block.
+//! tokio's streams interpret a read or write of fewer bytes than requested as a sign that the socket is empty
+//! or full, and wait for the next readiness event before they try again. A call may be short for other
+//! reasons, such as a signal; then no event follows, and the connection would hang. A [`Socket`] waits only
+//! once the operating system has reported that a call would block.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -14,22 +14,22 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpStream, UnixStream};
 
-/// A non-blocking stream that reports when it may be ready, and whose calls fail with [`io::ErrorKind::WouldBlock`]
-/// while it is not.
+/// A non-blocking stream with notification of possible readiness. Its calls fail with
+/// [`io::ErrorKind::WouldBlock`] while it is not ready.
 pub trait ReadyStream: Unpin {
     /// Waits until the stream may be readable.
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
     /// Waits until the stream may be writable.
     fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// Reads what has arrived.
+    /// Reads available data.
     fn try_read(&self, buf: &mut ReadBuf<'_>) -> io::Result<usize>;
-    /// Writes as much as the system accepts.
+    /// Writes as much as the operating system accepts.
     fn try_write(&self, data: &[u8]) -> io::Result<usize>;
     /// Shuts down the sending side.
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
 }
 
-/// Implements [`ReadyStream`] for a stream of tokio.
+/// Implements [`ReadyStream`] for a tokio stream.
 macro_rules! ready_stream {
     ($stream:ty) => {
         impl ReadyStream for $stream {
@@ -59,24 +59,24 @@
 ready_stream!(TcpStream);
 ready_stream!(UnixStream);
 
-/// A stream that waits only once the system has reported that a call would block.
+/// A stream that waits only once the operating system has reported that a call would block.
 pub struct Socket<S>(S);
 
 impl<S> Socket<S> {
-    /// A socket over a stream.
+    /// Wraps a stream.
     pub fn new(stream: S) -> Socket<S> {
         Socket(stream)
     }
 
-    /// The stream, for direct system calls.
+    /// Returns the stream, for direct system calls.
     pub fn get_ref(&self) -> &S {
         &self.0
     }
 }
 
 impl<S: AsFd> Socket<S> {
-    /// Whether the stream is open and has no unread input. This asks the system: what the runtime knows of a socket is
-    /// as old as its last poll for events.
+    /// Returns whether the stream is open and has no unread input. This queries the operating system, because
+    /// the runtime's readiness is only as recent as its last poll for events.
     pub fn has_no_unread_input(&self) -> bool {
         let peeked = socket2::SockRef::from(&self.0).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
@@ -113,7 +113,8 @@
     }
 }
 
-/// The result of a system call; `None` if it has to be made again, at once or when the stream may be ready.
+/// Returns the result of a system call, or `None` if the call must be repeated, at once or when the stream
+/// may be ready.
 fn unless_retried(result: io::Result<usize>) -> Option<io::Result<usize>> {
     match result {
         Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => None,
--- a/crates/gateway/src/network/system_error.rs
+++ b/crates/gateway/src/network/system_error.rs
@@ -1,31 +1,31 @@
-//! Classifies errors of system calls: those of one connection, of the network, or of exhausted resources.
+//! Classification of system call errors: errors of one connection, of the network, or of exhausted resources.
 
 use rustix::io::Errno;
 use std::io;
 
-/// Whether the system or this process has no descriptor, buffer or memory left at present.
+/// Returns whether the system or this process has temporarily run out of descriptors, buffers or memory.
 pub fn is_exhaustion(error: &io::Error) -> bool {
     let errno = Errno::from_io_error(error);
     matches!(errno, Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Whether this process has reached its limit of open descriptors.
+/// Returns whether this process has reached its limit of open descriptors.
 pub fn is_descriptor_limit(error: &io::Error) -> bool {
     Errno::from_io_error(error) == Some(Errno::MFILE)
 }
 
-/// Whether an address or a port is not available at present.
+/// Returns whether an address or a port is temporarily unavailable.
 pub fn is_address_unavailable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::AddrInUse | io::ErrorKind::AddrNotAvailable)
 }
 
-/// Whether a connection could not be opened because this machine lacks a resource at present, which says nothing of
-/// the peer.
+/// Returns whether a connection could not be opened because this machine temporarily lacks a resource, which
+/// does not indicate a fault of the peer.
 pub fn is_local_shortage(error: &io::Error) -> bool {
     is_exhaustion(error) || is_address_unavailable(error) || error.kind() == io::ErrorKind::NetworkUnreachable
 }
 
-/// Whether the error may be transient, so that the same call may succeed a moment later.
+/// Returns whether the error may be transient, so that the same call may succeed a moment later.
 pub fn is_transient(error: &io::Error) -> bool {
     let errno = Errno::from_io_error(error);
     let is_transient = matches!(errno, Some(Errno::INTR | Errno::AGAIN | Errno::IO | Errno::NETDOWN));
--- a/crates/gateway/src/network/system_error/tests.rs
+++ b/crates/gateway/src/network/system_error/tests.rs
@@ -1,8 +1,10 @@
+//! Tests of the classification of system call errors.
+
 use super::{is_exhaustion, is_transient};
 use rustix::io::Errno;
 use std::io;
 
-/// The error of a system call that failed with a number.
+/// Returns the error of a system call that failed with `errno`.
 fn error(errno: Errno) -> io::Error {
     io::Error::from_raw_os_error(errno.raw_os_error())
 }
--- a/crates/gateway/src/network/tcp_info/tests.rs
+++ b/crates/gateway/src/network/tcp_info/tests.rs
@@ -1,10 +1,12 @@
+//! Tests of the time since the last received data.
+
 use super::{time_since_last_data, MAX_TICK};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long the data of the test lies unread.
+/// Time for which the test data lies unread.
 const WAIT: Duration = Duration::from_millis(200);
 
 #[test]
