--- a/crates/gateway/src/bodies/buffering.rs
+++ b/crates/gateway/src/bodies/buffering.rs
@@ -6,7 +6,7 @@
 use hyper::body::{Body, Incoming};
 
 /// A body whose beginning has been read.
-pub struct PartlyReadBody {
+pub struct PartiallyReadBody {
     /// The part that has been read.
     pub buffered: Bytes,
     /// The unread part, if the body exceeds the buffer limit.
@@ -14,7 +14,7 @@
 }
 
 /// Reads a body until it ends or exceeds [`MAX_BUFFERED_BODY_BYTES`].
-pub async fn read_up_to_limit(mut body: Incoming) -> Result<PartlyReadBody, hyper::Error> {
+pub async fn read_up_to_limit(mut body: Incoming) -> Result<PartiallyReadBody, hyper::Error> {
     let expected = body.size_hint().lower().min(MAX_BUFFERED_BODY_BYTES as u64);
     let mut buffered = BytesMut::with_capacity(expected as usize);
     while let Some(frame) = body.frame().await {
@@ -22,8 +22,8 @@
             buffered.extend_from_slice(&data);
         }
         if buffered.len() > MAX_BUFFERED_BODY_BYTES {
-            return Ok(PartlyReadBody { buffered: buffered.freeze(), remainder: Some(body) });
+            return Ok(PartiallyReadBody { buffered: buffered.freeze(), remainder: Some(body) });
         }
     }
-    Ok(PartlyReadBody { buffered: buffered.freeze(), remainder: None })
+    Ok(PartiallyReadBody { buffered: buffered.freeze(), remainder: None })
 }
--- a/crates/gateway/src/bodies/download.rs
+++ b/crates/gateway/src/bodies/download.rs
@@ -1,7 +1,7 @@
 //! The body of a response as it is sent to the client.
 
 use crate::bodies::error::BodyError;
-use crate::bodies::stall::StallLimitedBody;
+use crate::bodies::stall::StallTimeoutBody;
 use crate::servers::connection::ServerConnection;
 use bytes::Bytes;
 use hyper::body::{Frame, Incoming, SizeHint};
@@ -53,7 +53,7 @@
     /// The part read before forwarding began.
     buffered: Bytes,
     /// The part that the server is still sending.
-    remainder: StallLimitedBody,
+    remainder: StallTimeoutBody,
     /// The connection to the server.
     connection: Rc<ServerConnection>,
     /// Returns the connection to its pool once the body is complete; `None` from then on.
@@ -74,7 +74,7 @@
     ) -> Box<Download> {
         Box::new(Download {
             buffered,
-            remainder: StallLimitedBody::new(remainder),
+            remainder: StallTimeoutBody::new(remainder),
             connection,
             on_complete: Some(on_complete),
             _body_memory: body_memory,
--- a/crates/gateway/src/bodies/error.rs
+++ b/crates/gateway/src/bodies/error.rs
@@ -9,9 +9,9 @@
     #[error("body could not be read")]
     Read(#[source] hyper::Error),
     /// The sender sent no data within the stall timeout.
-    #[error("body stalled")]
+    #[error("body stalled: no data from its sender within the stall timeout")]
     Stalled,
     /// An earlier attempt has forwarded part of the body, which is not retained.
-    #[error("body was already forwarded to an earlier attempt")]
+    #[error("body has already been forwarded by an earlier attempt")]
     AlreadyForwarded,
 }
--- a/crates/gateway/src/bodies/stall.rs
+++ b/crates/gateway/src/bodies/stall.rs
@@ -10,19 +10,19 @@
 use tokio::time::{sleep, Instant, Sleep};
 
 /// Longest time without data from the sender before its body fails.
-const MAX_STALL: Duration = Duration::from_secs(15);
+const STALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A body that fails if its sender sends no data for [`MAX_STALL`].
-pub struct StallLimitedBody {
+/// A body that fails if its sender sends no data for [`STALL_TIMEOUT`].
+pub struct StallTimeoutBody {
     body: Incoming,
-    /// Expires [`MAX_STALL`] after the last frame.
+    /// Expires [`STALL_TIMEOUT`] after the last frame.
     stall_timer: Pin<Box<Sleep>>,
 }
 
-impl StallLimitedBody {
+impl StallTimeoutBody {
     /// Wraps a body and starts the timeout.
-    pub fn new(body: Incoming) -> StallLimitedBody {
-        StallLimitedBody { body, stall_timer: Box::pin(sleep(MAX_STALL)) }
+    pub fn new(body: Incoming) -> StallTimeoutBody {
+        StallTimeoutBody { body, stall_timer: Box::pin(sleep(STALL_TIMEOUT)) }
     }
 
     /// Returns the body without the timeout.
@@ -36,7 +36,7 @@
             ready!(self.stall_timer.as_mut().poll(cx));
             return Poll::Ready(Err(BodyError::Stalled));
         };
-        self.stall_timer.as_mut().reset(Instant::now() + MAX_STALL);
+        self.stall_timer.as_mut().reset(Instant::now() + STALL_TIMEOUT);
         Poll::Ready(frame.transpose().map_err(BodyError::Read))
     }
 
--- a/crates/gateway/src/bodies/upload.rs
+++ b/crates/gateway/src/bodies/upload.rs
@@ -1,8 +1,8 @@
 //! The body of a client's request as it is sent to servers.
 
-use crate::bodies::buffering::PartlyReadBody;
+use crate::bodies::buffering::PartiallyReadBody;
 use crate::bodies::error::BodyError;
-use crate::bodies::stall::StallLimitedBody;
+use crate::bodies::stall::StallTimeoutBody;
 use crate::servers::connection::ServerConnection;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -18,7 +18,7 @@
     /// The part read before the first attempt.
     buffered: Bytes,
     /// Whether the body exceeds the buffer limit, so that the rest of it is forwarded as it arrives.
-    is_long: bool,
+    is_streamed: bool,
     /// The part that the client is still sending. An attempt takes it, and returns it if it has forwarded
     /// none of it.
     remainder: RefCell<Option<Incoming>>,
@@ -47,15 +47,15 @@
 impl Upload {
     /// Creates a body from its buffered beginning and the memory reserved for it.
     pub fn new(
-        body: PartlyReadBody,
+        body: PartiallyReadBody,
         length: Option<u64>,
         body_memory: Option<OwnedSemaphorePermit>,
     ) -> Upload {
-        let is_long = body.remainder.is_some();
-        let length = if is_long { length } else { Some(body.buffered.len() as u64) };
+        let is_streamed = body.remainder.is_some();
+        let length = if is_streamed { length } else { Some(body.buffered.len() as u64) };
         Upload {
             buffered: body.buffered,
-            is_long,
+            is_streamed,
             remainder: RefCell::new(body.remainder),
             length,
             state: Cell::new(UploadState::Available),
@@ -66,7 +66,7 @@
 
     /// Creates the body of a request that has none.
     pub fn empty() -> Upload {
-        Upload::new(PartlyReadBody { buffered: Bytes::new(), remainder: None }, None, None)
+        Upload::new(PartiallyReadBody { buffered: Bytes::new(), remainder: None }, None, None)
     }
 
     /// Returns the length of the body, where it is known.
@@ -87,10 +87,10 @@
     /// Registers a callback for when all of a streamed body has been forwarded. Returns false, and never
     /// calls it, if the body is completely buffered.
     pub fn on_forwarded(&self, callback: impl FnOnce() + 'static) -> bool {
-        if self.is_long {
+        if self.is_streamed {
             self.on_forwarded.replace(Some(Box::new(callback)));
         }
-        self.is_long
+        self.is_streamed
     }
 
     /// Returns whether part of the body has yet to be forwarded and still can be.
@@ -101,7 +101,7 @@
     /// Returns whether the client's connection has been read to the end of the body.
     pub fn is_read_to_end(&self) -> bool {
         match self.state.get() {
-            UploadState::Available => !self.is_long,
+            UploadState::Available => !self.is_streamed,
             UploadState::Forwarded => true,
             UploadState::Forwarding | UploadState::Failed => false,
         }
@@ -115,7 +115,7 @@
     /// The unsent part of the buffered beginning.
     buffered: Bytes,
     /// The part that the client is still sending, while this attempt holds it.
-    remainder: Option<StallLimitedBody>,
+    remainder: Option<StallTimeoutBody>,
     /// The connection to the server.
     connection: Rc<ServerConnection>,
 }
@@ -129,7 +129,7 @@
         RequestBody {
             upload: upload.clone(),
             buffered: upload.buffered.clone(),
-            remainder: remainder.map(StallLimitedBody::new),
+            remainder: remainder.map(StallTimeoutBody::new),
             connection,
         }
     }
@@ -209,7 +209,7 @@
 impl Drop for RequestBody {
     fn drop(&mut self) {
         if !self.upload.is_consumed() {
-            let remainder = self.remainder.take().map(StallLimitedBody::into_inner);
+            let remainder = self.remainder.take().map(StallTimeoutBody::into_inner);
             self.upload.remainder.replace(remainder);
         }
     }
--- a/crates/gateway/src/clients/accept_error.rs
+++ b/crates/gateway/src/clients/accept_error.rs
@@ -1,54 +1,57 @@
 //! Recovery from errors of `accept`.
 
 use crate::network::repeat_limiter::RepeatLimiter;
-use crate::network::system_error::{is_descriptor_limit, is_exhaustion};
+use crate::network::system_error::{is_descriptor_limit, is_resource_exhaustion};
 use std::io;
 use std::time::{Duration, Instant};
 use tracing::warn;
 
 /// Backoff after each error in a row but the first.
-pub const REPEATED_ERROR_PAUSE: Duration = Duration::from_millis(20);
+pub const REPEATED_ERROR_BACKOFF: Duration = Duration::from_millis(20);
 /// Backoff after the first error in a row, whose cause may be momentary.
-const FIRST_ERROR_PAUSE: Duration = Duration::from_millis(1);
+const FIRST_ERROR_BACKOFF: Duration = Duration::from_millis(1);
 /// Consecutive errors tolerated before a connection is evicted, where a resource of the whole system is
 /// exhausted.
-const MAX_WAITS_FOR_SYSTEM: u32 = 5;
+const MAX_SYSTEM_EXHAUSTION_ERRORS: u32 = 5;
 /// Consecutive errors tolerated before a connection is evicted, where this process is at its descriptor
 /// limit.
-const MAX_WAITS_FOR_DESCRIPTOR: u32 = 1;
-/// Number of consecutive errors of single connections after which one is followed by a backoff.
-const MAX_CONNECTION_ERRORS_AT_ONCE: u32 = 32;
+const MAX_DESCRIPTOR_LIMIT_ERRORS: u32 = 1;
+/// Consecutive errors of single connections per backoff; after the others `accept` is called again at once.
+const CONNECTION_ERRORS_PER_BACKOFF: u32 = 32;
 
 /// Steps to take before the next call of `accept`.
-pub struct Recovery {
+pub struct AcceptRecovery {
     /// Whether to close a connection to free its descriptor and memory.
     pub evict_connection: bool,
     /// Delay before the next call.
-    pub pause: Duration,
+    pub backoff: Duration,
 }
 
 /// Logs errors of `accept` and decides how to recover from them.
 #[derive(Default)]
-pub struct AcceptErrors {
+pub struct AcceptErrorHandler {
     log_limiter: RepeatLimiter,
 }
 
-impl AcceptErrors {
+impl AcceptErrorHandler {
     /// Returns how to recover from the last of `consecutive_errors` errors, or `None` to call `accept` again
     /// at once. An error of a single connection or of the network does not concern the connections queued
     /// behind it. While descriptors or memory are exhausted, queued connections wait in the backlog until an
     /// open one ends; if the error lasts, one is evicted.
-    pub fn recovery(&self, error: &io::Error, consecutive_errors: u32) -> Option<Recovery> {
-        let exhausted = is_exhaustion(error);
-        if !exhausted && !consecutive_errors.is_multiple_of(MAX_CONNECTION_ERRORS_AT_ONCE) {
+    pub fn recovery(&self, error: &io::Error, consecutive_errors: u32) -> Option<AcceptRecovery> {
+        let exhausted = is_resource_exhaustion(error);
+        if !exhausted && !consecutive_errors.is_multiple_of(CONNECTION_ERRORS_PER_BACKOFF) {
             return None;
         }
         if let Some(suppressed) = self.log_limiter.admit(Instant::now()) {
-            warn!(%error, suppressed, "could not accept a client's connection; trying again");
+            warn!(%error, suppressed, "could not accept a client connection; retrying");
         }
-        let max_waits =
-            if is_descriptor_limit(error) { MAX_WAITS_FOR_DESCRIPTOR } else { MAX_WAITS_FOR_SYSTEM };
-        let pause = if consecutive_errors > 1 { REPEATED_ERROR_PAUSE } else { FIRST_ERROR_PAUSE };
-        Some(Recovery { evict_connection: exhausted && consecutive_errors > max_waits, pause })
+        let max_errors = if is_descriptor_limit(error) {
+            MAX_DESCRIPTOR_LIMIT_ERRORS
+        } else {
+            MAX_SYSTEM_EXHAUSTION_ERRORS
+        };
+        let backoff = if consecutive_errors > 1 { REPEATED_ERROR_BACKOFF } else { FIRST_ERROR_BACKOFF };
+        Some(AcceptRecovery { evict_connection: exhausted && consecutive_errors > max_errors, backoff })
     }
 }
--- a/crates/gateway/src/clients/connection.rs
+++ b/crates/gateway/src/clients/connection.rs
@@ -12,10 +12,10 @@
 /// Time limit for receiving a complete request, from the acceptance of the connection or, for later requests,
 /// from the first byte of the request. A client may need 2 s; a connection that never sends a request must be
 /// closed within 3 s.
-const MAX_REQUEST_TIME: Duration = Duration::from_millis(2_500);
+const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Longest idle time of a connection that has sent a request, and longest time without progress in writing a
 /// response.
-const MAX_IDLE: Duration = Duration::from_secs(15);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A client connection and its state between requests.
 pub struct ClientConnection {
@@ -37,7 +37,7 @@
     closing_mid_request: Cell<bool>,
     /// Whether the remaining input cannot be parsed as a request. It is then discarded, so that the client
     /// receives its response before the connection closes.
-    input_unreadable: Cell<bool>,
+    must_discard_input: Cell<bool>,
     /// Asks the connection's task to close it after the current request.
     drain: Notify,
     /// Asks the connection's task to close it now if it is idle.
@@ -56,7 +56,7 @@
             idle_since: Cell::new(Instant::now()),
             closing: Cell::new(false),
             closing_mid_request: Cell::new(false),
-            input_unreadable: Cell::new(false),
+            must_discard_input: Cell::new(false),
             drain: Notify::new(),
             close: Notify::new(),
         })
@@ -77,7 +77,7 @@
     pub fn end_request(&self, body_length: usize) {
         self.request_in_progress.set(false);
         self.idle_since.set(Instant::now());
-        self.stream.response_begins(body_length);
+        self.stream.begin_response(body_length);
     }
 
     /// Records that forwarding of a response begins.
@@ -92,13 +92,13 @@
     }
 
     /// Sets whether the remaining input must be discarded, because it cannot be parsed as a request.
-    pub fn set_input_unreadable(&self, input_unreadable: bool) {
-        self.input_unreadable.set(input_unreadable);
+    pub fn set_must_discard_input(&self, must_discard_input: bool) {
+        self.must_discard_input.set(must_discard_input);
     }
 
     /// Returns whether the remaining input must be discarded, because it cannot be parsed as a request.
-    pub fn is_input_unreadable(&self) -> bool {
-        self.input_unreadable.get()
+    pub fn must_discard_input(&self) -> bool {
+        self.must_discard_input.get()
     }
 
     /// Returns whether no request is in progress and no response is being written.
@@ -110,19 +110,19 @@
     fn is_stalled(&self, now: Instant) -> bool {
         !self.request_in_progress.get()
             && self.stream.is_responding()
-            && now.duration_since(self.stream.last_written_at()) > MAX_IDLE
+            && now.duration_since(self.stream.last_written_at()) > IDLE_TIMEOUT
     }
 
     /// Returns whether the connection has been idle, or its request incomplete, for longer than allowed.
     pub fn is_expired(&self, now: Instant) -> bool {
         let is_idle_client = self.has_sent_request.get() && self.stream.request_began_at().is_none();
-        let limit = if is_idle_client { MAX_IDLE } else { MAX_REQUEST_TIME };
+        let limit = if is_idle_client { IDLE_TIMEOUT } else { REQUEST_READ_TIMEOUT };
         self.is_stalled(now) || self.is_idle() && now.duration_since(self.waiting_since()) > limit
     }
 
     /// Returns the time by which the request being read has to be complete.
     pub fn request_deadline(&self) -> Instant {
-        self.waiting_since() + MAX_REQUEST_TIME
+        self.waiting_since() + REQUEST_READ_TIMEOUT
     }
 
     /// Returns when waiting for the next request began: at its first byte if that has arrived, otherwise when
@@ -145,7 +145,7 @@
     }
 
     /// Withdraws the request to close the connection.
-    pub fn stay_open(&self) {
+    pub fn cancel_close(&self) {
         self.closing.set(false);
     }
 
@@ -187,7 +187,7 @@
         Candidate {
             key: self.key,
             has_sent_request: self.has_sent_request.get(),
-            has_begun: self.stream.request_began_at().is_some(),
+            has_partial_request: self.stream.request_began_at().is_some(),
             last_read_at: self.stream.last_read_at(),
             idle_since: self.idle_since.get(),
         }
--- a/crates/gateway/src/clients/disconnect.rs
+++ b/crates/gateway/src/clients/disconnect.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 /// Interval of the checks for a disconnect while the rest of a body is not being read.
-const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Reports to the decision core, when dropped, that the client has disconnected. The driver ignores the
 /// report if the request has received its final answer by then.
@@ -40,22 +40,22 @@
 }
 
 /// Waits until the client of a request closes its sending side.
-pub async fn client_disconnected(stream: &ClientStream, body: &Upload) {
+pub async fn wait_for_disconnect(stream: &ClientStream, body: &Upload) {
     if body.is_incomplete() {
-        disconnected_before_upload(stream, body).await;
+        wait_for_disconnect_before_upload(stream, body).await;
     } else {
-        stream.disconnected().await;
+        stream.wait_for_disconnect().await;
     }
 }
 
 /// Waits until the client of a partly read body closes its sending side. Once an attempt takes the body,
 /// hyper reads the connection and detects its end.
-async fn disconnected_before_upload(stream: &ClientStream, body: &Upload) {
+async fn wait_for_disconnect_before_upload(stream: &ClientStream, body: &Upload) {
     while !body.is_consumed() {
-        if stream.is_end_announced() {
+        if stream.is_read_closed() {
             return;
         }
-        sleep(CHECK_INTERVAL).await;
+        sleep(DISCONNECT_CHECK_INTERVAL).await;
     }
     pending::<()>().await;
 }
--- a/crates/gateway/src/clients/eviction.rs
+++ b/crates/gateway/src/clients/eviction.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Time from connecting within which a client that has a request to send begins to send it.
-const FIRST_BYTE_TIME: Duration = Duration::from_millis(20);
+const FIRST_BYTE_GRACE_PERIOD: Duration = Duration::from_millis(20);
 /// A flood is assumed while connections without a request yet make up at least 1 / `FLOOD_DIVISOR` of the
 /// allowed number. Connections that have sent a request are then kept, since a flood of new connections would
 /// otherwise displace regular clients.
@@ -23,7 +23,7 @@
     /// Whether a request of the connection has been accepted before.
     pub has_sent_request: bool,
     /// Whether part of a request has been read.
-    pub has_begun: bool,
+    pub has_partial_request: bool,
     /// When bytes were last received, or the connection was accepted.
     pub last_read_at: Instant,
     /// Time since which no request has been in progress.
@@ -31,16 +31,16 @@
 }
 
 /// A connection's key, ordered so that a max-heap yields the earliest time first.
-type ByTime = Reverse<(Instant, u64)>;
+type EvictionOrder = Reverse<(Instant, u64)>;
 
 impl Candidate {
     /// Orders new connections by their last input, the longest inactive first.
-    fn by_last_read(&self) -> ByTime {
+    fn by_last_read(&self) -> EvictionOrder {
         Reverse((self.last_read_at, self.key))
     }
 
     /// Orders regular connections by idle time, the longest idle first.
-    fn by_idle_since(&self) -> ByTime {
+    fn by_idle_since(&self) -> EvictionOrder {
         Reverse((self.idle_since, self.key))
     }
 }
@@ -57,20 +57,22 @@
     max_connections: usize,
     mut has_unread_input: impl FnMut(u64) -> bool,
 ) -> Option<u64> {
-    let new = candidates.iter().filter(|candidate| !candidate.has_sent_request);
-    let silent = new
+    let new_connections = candidates.iter().filter(|candidate| !candidate.has_sent_request);
+    let inactive = new_connections
         .clone()
-        .filter(|candidate| now.saturating_duration_since(candidate.last_read_at) > FIRST_BYTE_TIME);
-    let never_read = silent.clone().filter(|candidate| !candidate.has_begun).map(Candidate::by_last_read);
+        .filter(|candidate| now.saturating_duration_since(candidate.last_read_at) > FIRST_BYTE_GRACE_PERIOD);
+    let never_read =
+        inactive.clone().filter(|candidate| !candidate.has_partial_request).map(Candidate::by_last_read);
     if let Some(key) = first_without_input(never_read.collect(), &mut has_unread_input) {
         return Some(key);
     }
-    let is_flood = new.count() * FLOOD_DIVISOR >= max_connections;
+    let is_flood = new_connections.count() * FLOOD_DIVISOR >= max_connections;
     let remaining = if is_flood {
-        silent.filter(|candidate| candidate.has_begun).map(Candidate::by_last_read).collect()
+        inactive.filter(|candidate| candidate.has_partial_request).map(Candidate::by_last_read).collect()
     } else {
-        let regular =
-            candidates.iter().filter(|candidate| candidate.has_sent_request && !candidate.has_begun);
+        let regular = candidates
+            .iter()
+            .filter(|candidate| candidate.has_sent_request && !candidate.has_partial_request);
         regular.map(Candidate::by_idle_since).collect()
     };
     first_without_input(remaining, &mut has_unread_input)
@@ -78,7 +80,7 @@
 
 /// Returns the key of the first connection without unread input.
 fn first_without_input(
-    mut ordered: BinaryHeap<ByTime>,
+    mut ordered: BinaryHeap<EvictionOrder>,
     has_unread_input: &mut impl FnMut(u64) -> bool,
 ) -> Option<u64> {
     while let Some(Reverse((_, key))) = ordered.pop() {
--- a/crates/gateway/src/clients/eviction/tests.rs
+++ b/crates/gateway/src/clients/eviction/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the selection of connections to evict.
 
-use super::{select, Candidate, FIRST_BYTE_TIME};
+use super::{select, Candidate, FIRST_BYTE_GRACE_PERIOD};
 use std::time::{Duration, Instant};
 
 /// Connection limit of the tests.
@@ -8,7 +8,7 @@
 
 /// Returns a connection without any input for a next request, last used at `at`.
 fn candidate(key: u64, has_sent_request: bool, at: Instant) -> Candidate {
-    Candidate { key, has_sent_request, has_begun: false, last_read_at: at, idle_since: at }
+    Candidate { key, has_sent_request, has_partial_request: false, last_read_at: at, idle_since: at }
 }
 
 /// Returns connections whose age decreases with their key: key 0 is the oldest.
@@ -37,19 +37,19 @@
 }
 
 #[test]
-fn silent_new_connection_is_closed_before_a_regular_one() {
+fn inactive_new_connection_is_closed_before_a_regular_one() {
     let start = Instant::now();
     let regular = candidate(1, true, start);
-    let silent = candidate(2, false, start + Duration::from_millis(1));
-    let now = start + FIRST_BYTE_TIME * 2;
-    assert_eq!(select(&[regular, silent], now, MAX_CONNECTIONS, |_| false), Some(2));
-    assert_eq!(select(&[regular, silent], now, MAX_CONNECTIONS, |key| key == 2), Some(1));
+    let inactive = candidate(2, false, start + Duration::from_millis(1));
+    let now = start + FIRST_BYTE_GRACE_PERIOD * 2;
+    assert_eq!(select(&[regular, inactive], now, MAX_CONNECTIONS, |_| false), Some(2));
+    assert_eq!(select(&[regular, inactive], now, MAX_CONNECTIONS, |key| key == 2), Some(1));
 }
 
 #[test]
 fn regular_connections_are_kept_in_a_flood_of_new_ones_that_could_not_yet_send() {
     let start = Instant::now();
-    let now = start + FIRST_BYTE_TIME;
+    let now = start + FIRST_BYTE_GRACE_PERIOD;
     let mut candidates: Vec<Candidate> = (1..=75).map(|key| candidate(key, false, now)).collect();
     candidates.push(candidate(0, true, start));
     assert_eq!(select(&candidates, now, MAX_CONNECTIONS, |_| false), None);
@@ -62,9 +62,11 @@
 #[test]
 fn connection_in_the_middle_of_a_request_is_closed_only_in_a_flood() {
     let start = Instant::now();
-    let now = start + FIRST_BYTE_TIME * 2;
-    let writing =
-        |key, has_sent_request| Candidate { has_begun: true, ..candidate(key, has_sent_request, start) };
+    let now = start + FIRST_BYTE_GRACE_PERIOD * 2;
+    let writing = |key, has_sent_request| Candidate {
+        has_partial_request: true,
+        ..candidate(key, has_sent_request, start)
+    };
     let idle = candidate(3, true, now);
     assert_eq!(
         select(&[writing(1, false), writing(2, true), idle], now, MAX_CONNECTIONS, |_| false),
--- a/crates/gateway/src/clients/head_scanner.rs
+++ b/crates/gateway/src/clients/head_scanner.rs
@@ -40,7 +40,7 @@
     /// Headers found in the current head.
     framing: Framing,
     /// Beginning of the current line, in lower case.
-    name: [u8; MAX_NAME_LENGTH],
+    line_prefix: [u8; MAX_NAME_LENGTH],
     /// Length of the current line, without carriage returns.
     line_length: usize,
 }
@@ -91,15 +91,15 @@
 
     fn extend_line(&mut self, byte: u8) {
         self.position = Position::InHead;
-        if let Some(place) = self.name.get_mut(self.line_length) {
-            *place = byte.to_ascii_lowercase();
+        if let Some(slot) = self.line_prefix.get_mut(self.line_length) {
+            *slot = byte.to_ascii_lowercase();
         }
         self.line_length += 1;
     }
 
     /// Checks the current line for the headers searched for and starts a new line.
     fn end_line(&mut self) {
-        let name = &self.name[..self.line_length.min(MAX_NAME_LENGTH)];
+        let name = &self.line_prefix[..self.line_length.min(MAX_NAME_LENGTH)];
         self.framing.content_length |= name.starts_with(b"content-length");
         self.framing.transfer_encoding |= name.starts_with(b"transfer-encoding");
         self.line_length = 0;
--- a/crates/gateway/src/clients/linger.rs
+++ b/crates/gateway/src/clients/linger.rs
@@ -9,28 +9,28 @@
 use tokio::time::timeout;
 
 /// Longest time to wait for further input before the connection is closed.
-const MAX_SILENCE: Duration = Duration::from_secs(1);
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest time for which input is discarded.
-const MAX_LINGER: Duration = Duration::from_secs(6);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(6);
 /// Largest amount of input that is discarded.
-const MAX_LINGER_BYTES: usize = 64 << 20;
+const MAX_DISCARDED_BYTES: usize = 64 << 20;
 /// Bytes read per call.
-const READ_BYTES: usize = 4096;
+const READ_CHUNK_BYTES: usize = 4096;
 
 /// Shuts down the sending side, discards further input for a limited time and closes the connection.
-pub async fn close_after_input(socket: Socket<TcpStream>) {
+pub async fn lingering_close(socket: Socket<TcpStream>) {
     // The connection is closed whether or not the client ended it.
-    let _ = timeout(MAX_LINGER, discard_input(socket)).await;
+    let _ = timeout(LINGER_TIMEOUT, discard_input(socket)).await;
 }
 
 /// Shuts down the sending side and discards input until the client closes its own sending side or a limit is
 /// reached.
 async fn discard_input(mut socket: Socket<TcpStream>) -> io::Result<()> {
-    let mut data = [0; READ_BYTES];
-    let mut remaining = MAX_LINGER_BYTES;
+    let mut data = [0; READ_CHUNK_BYTES];
+    let mut remaining = MAX_DISCARDED_BYTES;
     socket.shutdown().await?;
     while remaining > 0 {
-        match timeout(MAX_SILENCE, socket.read(&mut data)).await?? {
+        match timeout(READ_TIMEOUT, socket.read(&mut data)).await?? {
             0 => break,
             read => remaining = remaining.saturating_sub(read),
         }
--- a/crates/gateway/src/clients/request_error.rs
+++ b/crates/gateway/src/clients/request_error.rs
@@ -13,7 +13,7 @@
     Header(#[from] InvalidHeader),
     /// The method does not match the class of the request.
     #[error("not this class's method")]
-    Method,
+    WrongMethod,
     #[error("the body is too large")]
     BodyTooLarge,
     /// The body ended early or took too long to arrive.
@@ -35,7 +35,7 @@
     pub fn status(&self) -> StatusCode {
         match self {
             RequestError::Header(_) | RequestError::AmbiguousBodyLength => StatusCode::BAD_REQUEST,
-            RequestError::Method => StatusCode::METHOD_NOT_ALLOWED,
+            RequestError::WrongMethod => StatusCode::METHOD_NOT_ALLOWED,
             RequestError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             RequestError::BodyIncomplete => StatusCode::REQUEST_TIMEOUT,
             RequestError::DuplicateId => StatusCode::CONFLICT,
--- a/crates/gateway/src/clients/request_handler.rs
+++ b/crates/gateway/src/clients/request_handler.rs
@@ -4,7 +4,7 @@
 use crate::bodies::size::MAX_BUFFERED_BODY_BYTES;
 use crate::bodies::upload::Upload;
 use crate::clients::connection::ClientConnection;
-use crate::clients::disconnect::{client_disconnected, DisconnectGuard};
+use crate::clients::disconnect::{wait_for_disconnect, DisconnectGuard};
 use crate::clients::request_error::RequestError;
 use crate::clients::request_head::RequestHeadReader;
 use crate::clients::response::{
@@ -78,7 +78,7 @@
     ) -> Response<ResponseBody> {
         let body_length = request.body().size_hint().exact();
         let HandledRequest { mut response, must_close } = self.handle(client, request).await;
-        response.body_mut().attach(client);
+        response.body_mut().mark_streaming(client);
         client.end_request(body_length.unwrap_or(0) as usize);
         if must_close {
             announce_close(&mut response);
@@ -98,19 +98,19 @@
         match self.answer(client, request).await {
             Ok(AnsweredRequest { answer, counter, body }) => {
                 // The rest of a body that is no longer needed is discarded rather than parsed as a request.
-                let input_unreadable = !body.is_read_to_end() || !client.stream.can_read_next_request();
-                client.set_input_unreadable(input_unreadable);
+                let must_discard_input = !body.is_read_to_end() || !client.stream.can_read_next_request();
+                client.set_must_discard_input(must_discard_input);
                 HandledRequest {
                     response: answer_response(answer, counter),
-                    must_close: is_chunked || input_unreadable,
+                    must_close: is_chunked || must_discard_input,
                 }
             }
             Err(error) => {
                 // The rest of the body is not read, so no further request can be located after it.
-                let is_out_of_step =
+                let requires_close =
                     matches!(error, RequestError::AmbiguousBodyLength | RequestError::ClientDisconnected);
-                let must_close = has_body || is_out_of_step;
-                client.set_input_unreadable(must_close);
+                let must_close = has_body || requires_close;
+                client.set_must_discard_input(must_close);
                 HandledRequest { response: error_response(&error), must_close }
             }
         }
@@ -157,7 +157,7 @@
             biased;
             answer = answer => answer.unwrap_or(Answer::Failed),
             // The client may have closed only its sending side and still be reading.
-            () = client_disconnected(&client.stream, body) => disconnect_guard.report(),
+            () = wait_for_disconnect(&client.stream, body) => disconnect_guard.report(),
         }
     }
 
@@ -213,12 +213,12 @@
         None => head.uri,
     };
     let incoming_body = body.clone();
-    // Until a long body has been read completely, the end of the connection cannot be read either.
+    // Until a streamed body has been read completely, the end of the connection cannot be read either.
     let client_has_disconnected = move || {
         if incoming_body.is_read_to_end() {
             stream.has_disconnected()
         } else {
-            stream.is_end_announced()
+            stream.is_read_closed()
         }
     };
     OutgoingRequest {
--- a/crates/gateway/src/clients/request_head.rs
+++ b/crates/gateway/src/clients/request_head.rs
@@ -4,7 +4,7 @@
 use crate::clients::request_error::RequestError;
 use crate::config::names::WireNames;
 use crate::driver::request::RequestHead;
-use crate::network::headers::{self, InvalidHeader, QuotaTerms};
+use crate::network::headers::{self, InvalidHeader, QuotaParameters};
 use grebehook_core::{Class, Idempotency, Micros, Settings};
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::Method;
@@ -33,19 +33,19 @@
         let class_settings = self.settings.classes.get(class).ok_or(InvalidHeader(headers::REQUEST_CLASS))?;
         check_idempotency(class_settings, method, headers)?;
         let plan = index_of_name(&self.names.plans, headers, headers::PLAN)?;
-        let time_budget = headers::single_text(headers, headers::TIME_BUDGET)?;
-        let terms = headers::quota_terms(headers)?;
-        if !self.accepts(&terms) {
-            return Err(InvalidHeader(headers::QUOTA_TERMS).into());
+        let timeout_text = headers::single_text(headers, headers::TIMEOUT_MS)?;
+        let quota = headers::quota_parameters(headers)?;
+        if !self.accepts(&quota) {
+            return Err(InvalidHeader(headers::QUOTA_PARAMETERS).into());
         }
         Ok(RequestHead {
             class,
             plan,
             customer: headers::customer(headers)?,
-            client_timeout: parse_client_timeout(time_budget, class_settings)?,
-            units: terms.units,
-            customer_gateway_count: terms.gateway_count,
-            first_gateway: terms.first_gateway,
+            client_timeout: parse_client_timeout(timeout_text, class_settings)?,
+            units: quota.units,
+            customer_gateway_count: quota.gateway_count,
+            first_gateway: quota.first_gateway,
             deduplication_window: match class_settings.idempotency {
                 Idempotency::IdempotencyKey { window, .. } => Some(window),
                 Idempotency::Idempotent | Idempotency::NonIdempotent => None,
@@ -56,17 +56,17 @@
 
     /// Returns whether the quota parameters are possible under the settings, and this gateway is one of those
     /// that share the quota.
-    fn accepts(&self, terms: &QuotaTerms) -> bool {
-        let all_gateways = self.settings.gateway_count;
-        let is_possible = terms.units > 0.0
-            && terms.units <= self.max_units
-            && (1..=all_gateways).contains(&terms.gateway_count)
-            && terms.first_gateway < all_gateways;
+    fn accepts(&self, quota: &QuotaParameters) -> bool {
+        let fleet_size = self.settings.gateway_count;
+        let is_possible = quota.units > 0.0
+            && quota.units <= self.max_units
+            && (1..=fleet_size).contains(&quota.gateway_count)
+            && quota.first_gateway < fleet_size;
         if !is_possible {
             return false;
         }
-        let position = (self.settings.gateway_index + all_gateways - terms.first_gateway) % all_gateways;
-        position < terms.gateway_count
+        let position = (self.settings.gateway_index + fleet_size - quota.first_gateway) % fleet_size;
+        position < quota.gateway_count
     }
 }
 
@@ -78,7 +78,7 @@
         Idempotency::IdempotencyKey { .. } | Idempotency::NonIdempotent => Method::POST,
     };
     if *method != expected_method {
-        return Err(RequestError::Method);
+        return Err(RequestError::WrongMethod);
     }
     let needs_key = matches!(class.idempotency, Idempotency::IdempotencyKey { .. });
     if needs_key && headers::single_text(headers, headers::IDEMPOTENCY_KEY)?.is_empty() {
@@ -90,11 +90,11 @@
 /// Returns the client timeout, in microseconds. For one attempt it must not exceed the deadline that its
 /// class sets for all of them. A request with no time left is rejected by the decision core, like any request
 /// that arrives too late.
-fn parse_client_timeout(time_budget: &str, class: &Class) -> Result<Micros, InvalidHeader> {
-    let max_ms = class.deadline.div_ceil(1_000);
-    let budget_ms = time_budget.parse().ok().filter(|budget_ms| *budget_ms <= max_ms);
-    let budget_ms: Micros = budget_ms.ok_or(InvalidHeader(headers::TIME_BUDGET))?;
-    Ok(budget_ms * 1_000)
+fn parse_client_timeout(timeout_text: &str, class: &Class) -> Result<Micros, InvalidHeader> {
+    let max_timeout_ms = class.deadline.div_ceil(1_000);
+    let timeout_ms = timeout_text.parse().ok().filter(|timeout_ms| *timeout_ms <= max_timeout_ms);
+    let timeout_ms: Micros = timeout_ms.ok_or(InvalidHeader(headers::TIMEOUT_MS))?;
+    Ok(timeout_ms * 1_000)
 }
 
 /// Returns the index of the name that a header contains.
--- a/crates/gateway/src/clients/response.rs
+++ b/crates/gateway/src/clients/response.rs
@@ -43,7 +43,7 @@
 
     /// Marks the client connection as streaming until this body is dropped, if the body is forwarded as it
     /// arrives.
-    pub fn attach(&mut self, client: &Rc<ClientConnection>) {
+    pub fn mark_streaming(&mut self, client: &Rc<ClientConnection>) {
         if let ResponseContent::Forwarded(_) = self.content {
             client.begin_streaming();
             self.streaming_to = Some(client.clone());
--- a/crates/gateway/src/clients/server.rs
+++ b/crates/gateway/src/clients/server.rs
@@ -1,6 +1,6 @@
 //! Server for client connections: accepts them and serves their requests.
 
-use crate::clients::accept_error::{AcceptErrors, REPEATED_ERROR_PAUSE};
+use crate::clients::accept_error::{AcceptErrorHandler, REPEATED_ERROR_BACKOFF};
 use crate::clients::connection::ClientConnection;
 use crate::clients::connection_table::ConnectionTable;
 use crate::clients::request_handler::RequestHandler;
@@ -31,7 +31,7 @@
 pub struct ClientServer {
     connections: ConnectionTable,
     handler: RequestHandler,
-    accept_errors: AcceptErrors,
+    accept_error_handler: AcceptErrorHandler,
     /// Whether connections close after their current request.
     stopping: Cell<bool>,
     /// Whether another process accepts new connections.
@@ -50,7 +50,7 @@
         Rc::new(ClientServer {
             connections: ConnectionTable::new(max_connections),
             handler: RequestHandler::new(driver, head_reader, body_memory_bytes),
-            accept_errors: AcceptErrors::default(),
+            accept_error_handler: AcceptErrorHandler::default(),
             stopping: Cell::new(false),
             handed_over: Cell::new(false),
         })
@@ -109,12 +109,12 @@
     }
 
     /// Returns whether new client connections are accepted.
-    pub fn accepting(&self) -> bool {
+    pub fn is_accepting(&self) -> bool {
         !self.stopping.get() && !self.handed_over.get()
     }
 
     /// Sets whether another process accepts client connections from now on.
-    pub fn hand_over(&self, handed_over: bool) {
+    pub fn set_handed_over(&self, handed_over: bool) {
         self.handed_over.set(handed_over);
     }
 
@@ -142,11 +142,11 @@
     /// Recovers from the last of `consecutive_errors` errors of `accept`: backs off and evicts a connection
     /// if necessary.
     async fn recover_from_accept_error(&self, error: &io::Error, consecutive_errors: u32) {
-        let Some(recovery) = self.accept_errors.recovery(error, consecutive_errors) else { return };
+        let Some(recovery) = self.accept_error_handler.recovery(error, consecutive_errors) else { return };
         if recovery.evict_connection {
             self.connections.evict_one();
         }
-        sleep(recovery.pause).await;
+        sleep(recovery.backoff).await;
     }
 
     /// Evicts connections, one at a time, until no more than allowed are open.
@@ -156,7 +156,7 @@
                 self.connections.evict_one();
             }
             // The notification may stem from a connection that closed earlier.
-            let _ = timeout(REPEATED_ERROR_PAUSE, self.connections.connection_closed()).await;
+            let _ = timeout(REPEATED_ERROR_BACKOFF, self.connections.connection_closed()).await;
         }
     }
 
@@ -188,7 +188,7 @@
             tokio::select! {
                 // A broken connection affects no other client. hyper itself responds to requests that it
                 // cannot parse.
-                result = connection.as_mut() => break result.is_err() || client.is_input_unreadable(),
+                result = connection.as_mut() => break result.is_err() || client.must_discard_input(),
                 () = client.drain_requested() => if client.may_drain() {
                     connection.as_mut().graceful_shutdown();
                 },
@@ -196,13 +196,13 @@
                     if client.may_close() {
                         return;
                     }
-                    client.stay_open();
+                    client.cancel_close();
                 }
             }
         };
         if may_have_input {
             tokio::select! {
-                () = client.stream.close_after_input() => {}
+                () = client.stream.lingering_close() => {}
                 () = client.close_requested() => {}
             }
         }
--- a/crates/gateway/src/clients/stream.rs
+++ b/crates/gateway/src/clients/stream.rs
@@ -30,7 +30,7 @@
     socket: Option<Socket<TcpStream>>,
     scanner: HeadScanner,
     /// Whether the client has closed its sending side.
-    ended: bool,
+    read_closed: bool,
     /// Input read while a request was in progress, which hyper reads next.
     read_ahead: BytesMut,
     /// Whether input was discarded because it exceeded the limit of `read_ahead`.
@@ -53,7 +53,7 @@
     /// When the first byte of the request being read arrived.
     request_began_at: Cell<Option<Instant>>,
     is_responding: Cell<bool>,
-    /// Whether a request is in progress. Meanwhile only [`ClientStream::disconnected`] reads the
+    /// Whether a request is in progress. Meanwhile only [`ClientStream::wait_for_disconnect`] reads the
     /// socket.
     request_in_progress: Cell<bool>,
     /// Whether hyper's next read is postponed by one poll. The last read may have completed a request; the
@@ -72,7 +72,7 @@
         let input = Input {
             socket: Some(Socket::new(stream)),
             scanner: HeadScanner::default(),
-            ended: false,
+            read_closed: false,
             read_ahead: BytesMut::new(),
             read_ahead_overflowed: false,
         };
@@ -115,7 +115,7 @@
 
     /// Records that the response to a request with a body of `body_length` bytes begins. The input after that
     /// body is the next request.
-    pub fn response_begins(&self, body_length: usize) {
+    pub fn begin_response(&self, body_length: usize) {
         self.is_responding.set(true);
         self.last_written_at.set(Instant::now());
         let is_between_requests = self.input.borrow_mut().scanner.expect_next_request(body_length);
@@ -150,12 +150,12 @@
         let mut data = [0; READ_AHEAD_CHUNK_BYTES];
         let mut input = self.input.borrow_mut();
         loop {
-            if input.ended {
+            if input.read_closed {
                 return true;
             }
             let Some(socket) = &input.socket else { return true };
             match (&*socket2::SockRef::from(socket.get_ref())).read(&mut data) {
-                Ok(0) => input.ended = true,
+                Ok(0) => input.read_closed = true,
                 Ok(read) => self.keep_read_ahead(&mut input, &data[..read]),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return error.kind() != io::ErrorKind::WouldBlock,
@@ -164,9 +164,9 @@
     }
 
     /// Returns whether the client has closed its sending side, possibly behind unread input, as of the
-    /// runtime's last poll for events. The rest of a long body is not read before an attempt takes it, so
+    /// runtime's last poll for events. The rest of a streamed body is not read before an attempt takes it, so
     /// reading cannot detect the end.
-    pub fn is_end_announced(&self) -> bool {
+    pub fn is_read_closed(&self) -> bool {
         let input = self.input.borrow();
         let Some(socket) = &input.socket else { return true };
         let ready = pin!(socket.get_ref().ready(Interest::READABLE));
@@ -176,7 +176,7 @@
 
     /// Waits, while a request is in progress, until the client closes its sending side or the connection
     /// breaks. hyper does not detect this behind further input, so that input is read here and stored.
-    pub async fn disconnected(&self) {
+    pub async fn wait_for_disconnect(&self) {
         let _guard = RequestInProgressGuard::new(&self.request_in_progress);
         poll_fn(|cx| self.poll_disconnected(cx)).await;
     }
@@ -184,15 +184,15 @@
     /// Returns whether another request can be read completely.
     pub fn can_read_next_request(&self) -> bool {
         let input = self.input.borrow();
-        !input.ended && !input.read_ahead_overflowed
+        !input.read_closed && !input.read_ahead_overflowed
     }
 
     /// Closes the connection after discarding remaining input for a limited time.
-    pub async fn close_after_input(&self) {
+    pub async fn lingering_close(&self) {
         let socket = self.input.borrow_mut().socket.take();
-        let ended = self.input.borrow().ended;
-        if let Some(socket) = socket.filter(|_| !ended) {
-            linger::close_after_input(socket).await;
+        let read_closed = self.input.borrow().read_closed;
+        if let Some(socket) = socket.filter(|_| !read_closed) {
+            linger::lingering_close(socket).await;
         }
     }
 
@@ -200,7 +200,7 @@
     fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut data = [0; READ_AHEAD_CHUNK_BYTES];
         loop {
-            if self.input.borrow().ended {
+            if self.input.borrow().read_closed {
                 return Poll::Ready(());
             }
             let mut buf = ReadBuf::new(&mut data);
@@ -209,7 +209,7 @@
             }
             let mut input = self.input.borrow_mut();
             if buf.filled().is_empty() {
-                input.ended = true;
+                input.read_closed = true;
                 return Poll::Ready(());
             }
             self.keep_read_ahead(&mut input, buf.filled());
@@ -228,13 +228,13 @@
         let length = input.read_ahead.len().min(buf.remaining());
         buf.put_slice(&input.read_ahead.split_to(length));
         // Some operating systems do not report an end of the stream again that has been read before.
-        length > 0 || input.ended
+        length > 0 || input.read_closed
     }
 
     /// Records the input that hyper has read. `is_buffer_full` indicates that more of it may be available.
     fn record_read(&self, data: &[u8], is_buffer_full: bool) {
         let mut input = self.input.borrow_mut();
-        input.ended |= data.is_empty();
+        input.read_closed |= data.is_empty();
         self.last_read_at.set(Instant::now());
         input.scanner.scan(data);
         let may_end_request = input.scanner.is_past_head() && !data.is_empty() && !is_buffer_full;
--- a/crates/gateway/src/control/discovery/backoff.rs
+++ b/crates/gateway/src/control/discovery/backoff.rs
@@ -1,7 +1,7 @@
 //! The delays between failed calls of discovery.
 
 use crate::control::discovery::error::WatchError;
-use crate::network::system_error::is_local_shortage;
+use crate::network::system_error::is_local_resource_error;
 use std::time::Duration;
 
 /// The delay after a failed call of an agent, and after a call that returned at once without a change: a watch
@@ -59,7 +59,7 @@
             // Whoever sheds load serves many gateways, whatever the settings say.
             WatchError::Status(500..) => self.next_delay(),
             // The call never left this machine.
-            WatchError::Connect(source) if is_local_shortage(source) => RETRY_INTERVAL,
+            WatchError::Connect(source) if is_local_resource_error(source) => RETRY_INTERVAL,
             _ if is_shared_service => self.next_delay(),
             _ => RETRY_INTERVAL,
         }
--- a/crates/gateway/src/lifecycle/serving.rs
+++ b/crates/gateway/src/lifecycle/serving.rs
@@ -36,7 +36,7 @@
             }
             successor = takeover::successor(control_socket) => successor,
         };
-        clients.hand_over(true);
+        clients.set_handed_over(true);
         let error = tokio::select! {
             error = takeover::hand_over(&mut successor, listener, driver) => error,
             signalled_at = &mut *stop => {
@@ -44,6 +44,6 @@
             }
         };
         warn!(%error, "the successor process ended; continuing to accept clients");
-        clients.hand_over(false);
+        clients.set_handed_over(false);
     }
 }
--- a/crates/gateway/src/network/headers.rs
+++ b/crates/gateway/src/network/headers.rs
@@ -15,10 +15,10 @@
 pub const PLAN: HeaderName = HeaderName::from_static("api-plan");
 /// ID of the customer, in hexadecimal digits.
 pub const CUSTOMER: HeaderName = HeaderName::from_static("api-customer");
-/// Units that the request takes of the quota, and the gateways that share it: see [`QuotaTerms`].
-pub const QUOTA_TERMS: HeaderName = HeaderName::from_static("api-terms");
+/// Units that the request takes of the quota, and the gateways that share it: see [`QuotaParameters`].
+pub const QUOTA_PARAMETERS: HeaderName = HeaderName::from_static("api-terms");
 /// Remaining time for which the sender waits for the response, in milliseconds.
-pub const TIME_BUDGET: HeaderName = HeaderName::from_static("x-budget-ms");
+pub const TIMEOUT_MS: HeaderName = HeaderName::from_static("x-budget-ms");
 /// Load report of a server.
 pub const LOAD_REPORT: HeaderName = HeaderName::from_static("x-load-report");
 /// Set to 1 by a client that retries a request.
@@ -43,7 +43,7 @@
 pub struct InvalidHeader(pub HeaderName);
 
 /// Units that a request takes of its customer's quota, and the gateways that share the quota.
-pub struct QuotaTerms {
+pub struct QuotaParameters {
     /// Units that the request takes.
     pub units: f64,
     /// Number of gateways that serve the customer.
@@ -82,12 +82,12 @@
 }
 
 /// Returns the quota parameters of a request, such as `units=2,spread=3,first=1`.
-pub fn quota_terms(headers: &HeaderMap) -> Result<QuotaTerms, InvalidHeader> {
-    parse_quota_terms(single_text(headers, QUOTA_TERMS)?).ok_or(InvalidHeader(QUOTA_TERMS))
+pub fn quota_parameters(headers: &HeaderMap) -> Result<QuotaParameters, InvalidHeader> {
+    parse_quota_parameters(single_text(headers, QUOTA_PARAMETERS)?).ok_or(InvalidHeader(QUOTA_PARAMETERS))
 }
 
 /// Parses quota parameters; other names than these three are ignored.
-fn parse_quota_terms(text: &str) -> Option<QuotaTerms> {
+fn parse_quota_parameters(text: &str) -> Option<QuotaParameters> {
     let mut units = None;
     let mut gateway_count = None;
     let mut first_gateway = None;
@@ -101,7 +101,7 @@
             _ => {}
         }
     }
-    Some(QuotaTerms { units: units?, gateway_count: gateway_count?, first_gateway: first_gateway? })
+    Some(QuotaParameters { units: units?, gateway_count: gateway_count?, first_gateway: first_gateway? })
 }
 
 /// Returns whether the client marked the request as a retry.
@@ -144,10 +144,10 @@
 
 /// Returns whether exactly one mechanism defines the end of a response body: its length, its last chunk, or
 /// the end of a connection that is announced to close. A server that crashes resets its connections instead.
-pub fn has_body_end(headers: &HeaderMap) -> bool {
-    let has_length = headers.contains_key(CONTENT_LENGTH);
-    let has_coding = headers.contains_key(TRANSFER_ENCODING);
-    match (has_length, has_coding) {
+pub fn has_unambiguous_body_end(headers: &HeaderMap) -> bool {
+    let has_content_length = headers.contains_key(CONTENT_LENGTH);
+    let has_transfer_encoding = headers.contains_key(TRANSFER_ENCODING);
+    match (has_content_length, has_transfer_encoding) {
         (true, true) => false,
         (false, false) => headers.get_all(CONNECTION).iter().any(announces_close),
         (true, false) | (false, true) => true,
--- a/crates/gateway/src/network/headers/tests.rs
+++ b/crates/gateway/src/network/headers/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of the parsing and removal of headers.
 
 use super::{
-    charged_units, customer, has_body_end, load_report, quota_terms, remove_hop_by_hop, single, usage,
-    InvalidHeader, CUSTOMER, QUOTA_TERMS, REQUEST_ID,
+    charged_units, customer, has_unambiguous_body_end, load_report, quota_parameters, remove_hop_by_hop,
+    single, usage, InvalidHeader, CUSTOMER, QUOTA_PARAMETERS, REQUEST_ID,
 };
 use grebehook_core::{CustomerId, LoadReport};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -37,11 +37,11 @@
 }
 
 #[test]
-fn quota_terms_need_all_three_values_in_any_order() {
-    let read = |terms| quota_terms(&header_map(&[("api-terms", terms)]));
+fn quota_parameters_need_all_three_values_in_any_order() {
+    let read = |value| quota_parameters(&header_map(&[("api-terms", value)]));
     for text in ["units=2.5,spread=3,first=1", "first = 1, other=x, spread=3 ,units=2.5"] {
-        let terms = read(text).unwrap();
-        assert_eq!((terms.units, terms.gateway_count, terms.first_gateway), (2.5, 3, 1), "{text}");
+        let quota = read(text).unwrap();
+        assert_eq!((quota.units, quota.gateway_count, quota.first_gateway), (2.5, 3, 1), "{text}");
     }
     for text in [
         "units=2,spread=3",
@@ -49,7 +49,7 @@
         "units=x,spread=3,first=1",
         "units=2,spread=3,first=1,",
     ] {
-        assert_eq!(read(text).err(), Some(InvalidHeader(QUOTA_TERMS)), "{text}");
+        assert_eq!(read(text).err(), Some(InvalidHeader(QUOTA_PARAMETERS)), "{text}");
     }
 }
 
@@ -77,12 +77,12 @@
 fn body_end_is_defined_by_one_header_only() {
     let length = ("content-length", "1");
     let coding = ("transfer-encoding", "chunked");
-    assert!(has_body_end(&header_map(&[length])));
-    assert!(has_body_end(&header_map(&[coding])));
-    assert!(has_body_end(&header_map(&[("connection", "x, Close")])));
-    assert!(!has_body_end(&header_map(&[length, coding])));
-    assert!(!has_body_end(&header_map(&[("connection", "keep-alive")])));
-    assert!(!has_body_end(&header_map(&[])));
+    assert!(has_unambiguous_body_end(&header_map(&[length])));
+    assert!(has_unambiguous_body_end(&header_map(&[coding])));
+    assert!(has_unambiguous_body_end(&header_map(&[("connection", "x, Close")])));
+    assert!(!has_unambiguous_body_end(&header_map(&[length, coding])));
+    assert!(!has_unambiguous_body_end(&header_map(&[("connection", "keep-alive")])));
+    assert!(!has_unambiguous_body_end(&header_map(&[])));
 }
 
 #[test]
--- a/crates/gateway/src/network/socket.rs
+++ b/crates/gateway/src/network/socket.rs
@@ -30,7 +30,7 @@
 }
 
 /// Implements [`ReadyStream`] for a tokio stream.
-macro_rules! ready_stream {
+macro_rules! impl_ready_stream {
     ($stream:ty) => {
         impl ReadyStream for $stream {
             fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -56,8 +56,8 @@
     };
 }
 
-ready_stream!(TcpStream);
-ready_stream!(UnixStream);
+impl_ready_stream!(TcpStream);
+impl_ready_stream!(UnixStream);
 
 /// A stream that waits only once the operating system has reported that a call would block.
 pub struct Socket<S>(S);
@@ -87,7 +87,7 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
-            if let Some(read) = unless_retried(self.0.try_read(buf)) {
+            if let Some(read) = completed_result(self.0.try_read(buf)) {
                 return Poll::Ready(read.map(drop));
             }
         }
@@ -98,7 +98,7 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(cx))?;
-            if let Some(written) = unless_retried(self.0.try_write(data)) {
+            if let Some(written) = completed_result(self.0.try_write(data)) {
                 return Poll::Ready(written);
             }
         }
@@ -115,7 +115,7 @@
 
 /// Returns the result of a system call, or `None` if the call must be repeated, at once or when the stream
 /// may be ready.
-fn unless_retried(result: io::Result<usize>) -> Option<io::Result<usize>> {
+fn completed_result(result: io::Result<usize>) -> Option<io::Result<usize>> {
     match result {
         Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => None,
         result => Some(result),
--- a/crates/gateway/src/network/system_error.rs
+++ b/crates/gateway/src/network/system_error.rs
@@ -4,7 +4,7 @@
 use std::io;
 
 /// Returns whether the system or this process has temporarily run out of descriptors, buffers or memory.
-pub fn is_exhaustion(error: &io::Error) -> bool {
+pub fn is_resource_exhaustion(error: &io::Error) -> bool {
     let errno = Errno::from_io_error(error);
     matches!(errno, Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
 }
@@ -21,15 +21,17 @@
 
 /// Returns whether a connection could not be opened because this machine temporarily lacks a resource, which
 /// does not indicate a fault of the peer.
-pub fn is_local_shortage(error: &io::Error) -> bool {
-    is_exhaustion(error) || is_address_unavailable(error) || error.kind() == io::ErrorKind::NetworkUnreachable
+pub fn is_local_resource_error(error: &io::Error) -> bool {
+    is_resource_exhaustion(error)
+        || is_address_unavailable(error)
+        || error.kind() == io::ErrorKind::NetworkUnreachable
 }
 
 /// Returns whether the error may be transient, so that the same call may succeed a moment later.
 pub fn is_transient(error: &io::Error) -> bool {
     let errno = Errno::from_io_error(error);
     let is_transient = matches!(errno, Some(Errno::INTR | Errno::AGAIN | Errno::IO | Errno::NETDOWN));
-    is_transient || is_exhaustion(error) || is_address_unavailable(error)
+    is_transient || is_resource_exhaustion(error) || is_address_unavailable(error)
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/network/system_error/tests.rs
+++ b/crates/gateway/src/network/system_error/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the classification of system call errors.
 
-use super::{is_exhaustion, is_transient};
+use super::{is_resource_exhaustion, is_transient};
 use rustix::io::Errno;
 use std::io;
 
@@ -12,10 +12,10 @@
 #[test]
 fn exhausted_resources_are_distinguished_from_errors_of_one_connection() {
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
-        assert!(is_exhaustion(&error(errno)) && is_transient(&error(errno)), "{errno}");
+        assert!(is_resource_exhaustion(&error(errno)) && is_transient(&error(errno)), "{errno}");
     }
     for errno in [Errno::CONNABORTED, Errno::PROTO, Errno::NETUNREACH, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
-        assert!(!is_exhaustion(&error(errno)), "{errno}");
+        assert!(!is_resource_exhaustion(&error(errno)), "{errno}");
     }
 }
 
--- a/crates/gateway/src/network/tcp_info/tests.rs
+++ b/crates/gateway/src/network/tcp_info/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the time since the last received data.
 
-use super::{time_since_last_data, MAX_TICK};
+use super::{time_since_last_data, MAX_KERNEL_TICK};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::thread::sleep;
@@ -21,7 +21,7 @@
     accepted.read_exact(&mut [0; 7]).unwrap();
     let at_least = after_write.elapsed();
     let age = time_since_last_data(&accepted).unwrap();
-    assert!(age + 2 * MAX_TICK >= at_least, "{age:?}, {at_least:?}");
+    assert!(age + 2 * MAX_KERNEL_TICK >= at_least, "{age:?}, {at_least:?}");
     assert!(age <= before_write.elapsed(), "{age:?}");
 }
 
--- a/crates/gateway/src/operations/server.rs
+++ b/crates/gateway/src/operations/server.rs
@@ -94,7 +94,7 @@
     fn respond(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         match request.uri().path() {
             HEALTH_PATH | METRICS_PATH if request.method() != Method::GET => method_not_allowed(),
-            HEALTH_PATH if self.clients.accepting() => text_response(StatusCode::OK, "takes clients\n"),
+            HEALTH_PATH if self.clients.is_accepting() => text_response(StatusCode::OK, "takes clients\n"),
             HEALTH_PATH => text_response(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n"),
             METRICS_PATH => text_response(StatusCode::OK, self.driver.metrics_text()),
             _ => text_response(StatusCode::NOT_FOUND, "/admin/health or /admin/stats\n"),
--- a/crates/gateway/src/servers/dial.rs
+++ b/crates/gateway/src/servers/dial.rs
@@ -1,6 +1,6 @@
 //! Opens TCP connections to servers.
 
-use crate::network::system_error::is_local_shortage;
+use crate::network::system_error::is_local_resource_error;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 pub async fn dial(address: SocketAddr) -> io::Result<TcpStream> {
     for _ in 1..MAX_DIAL_ATTEMPTS {
         match dial_once(address).await {
-            Err(error) if is_local_shortage(&error) => sleep(DIAL_RETRY_DELAY).await,
+            Err(error) if is_local_resource_error(&error) => sleep(DIAL_RETRY_DELAY).await,
             result => return result,
         }
     }
--- a/crates/gateway/src/servers/exchange.rs
+++ b/crates/gateway/src/servers/exchange.rs
@@ -1,6 +1,6 @@
 //! Sends attempts over the connections of a pool and reads their responses.
 
-use crate::bodies::buffering::{read_up_to_limit, PartlyReadBody};
+use crate::bodies::buffering::{read_up_to_limit, PartiallyReadBody};
 use crate::bodies::download::{Download, ResponseContent};
 use crate::bodies::size::{FORWARDING_BUFFER_BYTES, MAX_BUFFERED_BODY_BYTES};
 use crate::bodies::upload::RequestBody;
@@ -148,7 +148,7 @@
     async fn read_response_body(&self, head: &response::Parts, body: Incoming) -> Option<ReceivedBody> {
         let is_ok = head.status == StatusCode::OK;
         // An interim response, or one whose end cannot be determined, is not valid.
-        if head.status.is_informational() || is_ok && !headers::has_body_end(&head.headers) {
+        if head.status.is_informational() || is_ok && !headers::has_unambiguous_body_end(&head.headers) {
             return None;
         }
         let length = body.size_hint().exact();
@@ -156,8 +156,8 @@
             return None;
         }
         let is_known_long = length.is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES as u64);
-        let PartlyReadBody { buffered, remainder } = if is_known_long {
-            PartlyReadBody { buffered: Bytes::new(), remainder: Some(body) }
+        let PartiallyReadBody { buffered, remainder } = if is_known_long {
+            PartiallyReadBody { buffered: Bytes::new(), remainder: Some(body) }
         } else {
             read_up_to_limit(body).await.ok()?
         };
@@ -226,7 +226,7 @@
         *request.headers_mut() = self.request.headers.clone();
         let remaining = self.times.answer_by.saturating_duration_since(Instant::now());
         let remaining_ms = HeaderValue::from(remaining.as_millis() as u64);
-        request.headers_mut().insert(headers::TIME_BUDGET, remaining_ms);
+        request.headers_mut().insert(headers::TIMEOUT_MS, remaining_ms);
         request
     }
 
