--- a/crates/gateway/src/clients/request_handler.rs
+++ b/crates/gateway/src/clients/request_handler.rs
@@ -59,8 +59,8 @@
 }
 
 impl RequestHandler {
-    /// Creates a handler that buffers request bodies in at most `body_memory_bytes` of memory, or enough for one
-    /// body if that is more.
+    /// Creates a handler that buffers request bodies in at most `body_memory_bytes` of memory, or enough for
+    /// one body if that is more.
     pub fn new(
         driver: Rc<DecisionDriver>,
         head_reader: RequestHeadReader,
