--- a/crates/gateway/src/network/system_error/tests.rs
+++ b/crates/gateway/src/network/system_error/tests.rs
@@ -1,8 +1,10 @@
-use super::{is_exhaustion, is_transient};
+//! Tests of the classification of system call errors.
+
+use super::{is_resource_exhaustion, is_transient};
 use rustix::io::Errno;
 use std::io;
 
-/// The error of a system call that failed with a number.
+/// Returns the error of a system call that failed with `errno`.
 fn error(errno: Errno) -> io::Error {
     io::Error::from_raw_os_error(errno.raw_os_error())
 }
@@ -10,10 +12,10 @@
 #[test]
 fn exhausted_resources_are_distinguished_from_errors_of_one_connection() {
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
-        assert!(is_exhaustion(&error(errno)) && is_transient(&error(errno)), "{errno}");
+        assert!(is_resource_exhaustion(&error(errno)) && is_transient(&error(errno)), "{errno}");
     }
     for errno in [Errno::CONNABORTED, Errno::PROTO, Errno::NETUNREACH, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
-        assert!(!is_exhaustion(&error(errno)), "{errno}");
+        assert!(!is_resource_exhaustion(&error(errno)), "{errno}");
     }
 }
 
