--- a/crates/gateway/src/bodies/upload.rs
+++ b/crates/gateway/src/bodies/upload.rs
@@ -135,7 +135,7 @@
     fn poll_remainder(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             let Some(remainder) = &mut self.remainder else {
-                self.connection.body_ended();
+                self.connection.record_body_end();
                 let is_consumed = self.upload.is_consumed();
                 return Poll::Ready(is_consumed.then_some(Err(BodyError::AlreadyForwarded)));
             };
@@ -166,7 +166,7 @@
     /// Records that all of the remainder has been handed to hyper.
     fn complete(&mut self) {
         self.remainder = None;
-        self.connection.body_ended();
+        self.connection.record_body_end();
         if self.upload.state.replace(UploadState::Forwarded) == UploadState::Forwarded {
             return;
         }
--- a/crates/gateway/src/driver/decision_driver.rs
+++ b/crates/gateway/src/driver/decision_driver.rs
@@ -15,7 +15,7 @@
 use crate::driver::timers::{DueTimer, Timers};
 use crate::operations::request_counts::RequestCounters;
 use crate::servers::exchange::Upstream;
-use crate::servers::health_check::HealthCheck;
+use crate::servers::health_check::HealthCheckResult;
 use grebehook_core::{
     Action, AttemptStatus, CounterId, CounterResult, Event, Gateway, Micros, ServerId, WatchEvent,
 };
@@ -199,7 +199,7 @@
         tokio::task::spawn_local(async move {
             let upstream = &driver.transports.upstream;
             let path = driver.transports.health_check_path;
-            let HealthCheck { status, load_report } =
+            let HealthCheckResult { status, load_report } =
                 upstream.check_health(server, path, HEALTH_CHECK_TIMEOUT).await;
             driver.handle(Event::HealthCheckCompleted { server, status, load_report });
         });
--- a/crates/gateway/src/driver/decision_driver/attempts.rs
+++ b/crates/gateway/src/driver/decision_driver/attempts.rs
@@ -4,7 +4,7 @@
 use crate::driver::request::Answer;
 use crate::driver::request_table::InFlightAttempt;
 use crate::driver::timers::DueTimer;
-use crate::servers::attempt::{AttemptConnection, AttemptDeadlines, AttemptResponse, OutgoingRequest};
+use crate::servers::attempt::{AttemptConnection, AttemptDeadlines, AttemptOutcome, OutgoingRequest};
 use grebehook_core::{AttemptStatus, Event, Micros, RequestId, ServerId};
 use std::rc::Rc;
 
@@ -22,7 +22,7 @@
         let attempt = request.attempts;
         request.attempts += 1;
         if !request.may_start_attempt(now) {
-            let not_sent = AttemptResponse::without_response(AttemptStatus::NotSent);
+            let not_sent = AttemptOutcome::without_response(AttemptStatus::NotSent);
             let request_finished = request.answer.is_none();
             state.events.push_back(not_sent.into_event(id, attempt, server, 0, request_finished));
             return;
@@ -53,13 +53,13 @@
         connection: Rc<AttemptConnection>,
         outgoing: Rc<OutgoingRequest>,
         times: AttemptDeadlines,
-    ) -> AttemptResponse {
+    ) -> AttemptOutcome {
         let written_attempts = Some(&self.request_counters.attempts);
         self.transports.upstream.exchange(server, &connection, &outgoing, times, written_attempts).await
     }
 
     /// An attempt ended by itself. A successful response goes to the client at once and ends the request.
-    fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: u32, mut response: AttemptResponse) {
+    fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: u32, mut response: AttemptOutcome) {
         let mut state = self.state.borrow_mut();
         let Some(request) = state.requests.get_mut(id) else { return };
         let Some(ended) = request.in_flight.take_if(|in_flight| in_flight.attempt == attempt) else { return };
@@ -102,7 +102,7 @@
         let Some(request) = state.requests.get_mut(id) else { return };
         let Some(in_flight) = request.in_flight.take() else { return };
         let status = in_flight.abort(status);
-        self.record_end(state, id, &in_flight, AttemptResponse::without_response(status));
+        self.record_end(state, id, &in_flight, AttemptOutcome::without_response(status));
     }
 
     /// Queues the events by which the decision core learns how an attempt ended.
@@ -111,7 +111,7 @@
         state: &mut DriverState,
         id: RequestId,
         ended: &InFlightAttempt,
-        response: AttemptResponse,
+        response: AttemptOutcome,
     ) {
         let elapsed = self.clock.now().saturating_sub(ended.sent_at);
         let request = state.requests.get_mut(id);
--- a/crates/gateway/src/lifecycle/services.rs
+++ b/crates/gateway/src/lifecycle/services.rs
@@ -11,7 +11,7 @@
 use crate::lifecycle::startup;
 use crate::operations::request_counts::RequestCounters;
 use crate::servers::exchange::Upstream;
-use crate::servers::pool::Pool;
+use crate::servers::pool::ConnectionPool;
 use grebehook_core::{Gateway, LoadReports, WatchEvent};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -60,7 +60,8 @@
 
 /// What the actions of the decision core are carried out with.
 async fn transports(config: &Config, resources: &ResourceBudget) -> Result<Transports, RunError> {
-    let pool = Pool::new(resources.server_connections, config.connect_timeout, config.server_idle_timeout);
+    let pool =
+        ConnectionPool::new(resources.server_connections, config.connect_timeout, config.server_idle_timeout);
     let upstream = Upstream::new(pool, resources.response_bytes, config.max_units);
     let peers = match config.peer_listen {
         Some(address) => {
--- a/crates/gateway/src/servers/attempt.rs
+++ b/crates/gateway/src/servers/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request: what is sent, what its owner can see of its connection, and how it ended.
+//! One attempt at a request: the request that is sent, the state of its connection, and its outcome.
 
 use crate::bodies::download::ResponseContent;
 use crate::bodies::upload::Upload;
@@ -9,47 +9,47 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A client's request as it is forwarded to servers.
+/// A client's request in the form in which it is forwarded to servers.
 pub struct OutgoingRequest {
-    /// The client's method.
+    /// HTTP method of the client's request.
     pub method: Method,
-    /// The client's path and query.
+    /// Path and query of the client's request.
     pub uri: Uri,
-    /// The client's end-to-end headers.
+    /// End-to-end headers of the client's request.
     pub headers: HeaderMap,
-    /// The client's body.
+    /// Body of the client's request.
     pub body: Rc<Upload>,
-    /// Whether the client has disconnected, so that nothing more is sent.
+    /// Reports whether the client has disconnected; nothing more is sent once it has.
     pub client_has_disconnected: Rc<dyn Fn() -> bool>,
 }
 
-/// The time limits of an attempt.
+/// Time limits of an attempt.
 #[derive(Clone, Copy)]
 pub struct AttemptDeadlines {
-    /// Its first byte is written by then, or none is.
+    /// Latest time to write the first byte; if it is missed, nothing is written.
     pub send_by: Instant,
-    /// It times out then. Its server is sent the time that remains.
+    /// Time at which the attempt times out. The server receives the remaining time as the forwarded timeout.
     pub answer_by: Instant,
 }
 
-/// How an attempt ended.
-pub struct AttemptResponse {
-    /// What the response, or its absence, means for the request.
+/// The outcome of an attempt, with or without a response.
+pub struct AttemptOutcome {
+    /// Classification of the response or of its absence.
     pub status: AttemptStatus,
-    /// The customer's usage of its quota, where the response reports it.
+    /// The customer's quota usage, if the response reports it.
     pub reported_usage: Option<f64>,
-    /// The units that the request really took, where a successful response reports them.
+    /// Units that the request actually used, if a successful response reports them.
     pub settled_units: Option<f64>,
-    /// The server's load, where the response reports it.
+    /// The server's load, if the response reports it.
     pub load_report: Option<LoadReport>,
-    /// The response to forward, if the attempt succeeded.
+    /// Response to forward to the client, if the attempt succeeded.
     pub response: Option<Response<ResponseContent>>,
 }
 
-impl AttemptResponse {
-    /// The end of an attempt without a response.
-    pub fn without_response(status: AttemptStatus) -> AttemptResponse {
-        AttemptResponse {
+impl AttemptOutcome {
+    /// Returns the outcome of an attempt that received no response.
+    pub fn without_response(status: AttemptStatus) -> AttemptOutcome {
+        AttemptOutcome {
             status,
             reported_usage: None,
             settled_units: None,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The event that reports the attempt's end to the decision core.
+    /// Converts the outcome to the event that reports it to the decision core.
     pub fn into_event(
         self,
         id: RequestId,
@@ -81,25 +81,25 @@
     }
 }
 
-/// The connection of an attempt, as its owner sees it: none while it is being established.
+/// The connection of an attempt, shared with the attempt's owner; empty while the connection is being
+/// established.
 #[derive(Default)]
 pub struct AttemptConnection {
-    /// The connection, once the attempt has one.
     connection: RefCell<Option<Rc<ServerConnection>>>,
 }
 
 impl AttemptConnection {
-    /// Whether the attempt still waits for its connection.
+    /// Returns whether the attempt is still waiting for its connection.
     pub fn is_connecting(&self) -> bool {
         self.connection.borrow().is_none()
     }
 
-    /// Sets the connection of the attempt, or removes it again.
+    /// Sets the attempt's connection, or removes it if `None`.
     pub fn set(&self, connection: Option<Rc<ServerConnection>>) {
         self.connection.replace(connection);
     }
 
-    /// Whether the attempt's request has been written completely.
+    /// Returns whether the attempt's request has been written completely.
     pub fn request_written(&self) -> bool {
         self.connection.borrow().as_ref().is_some_and(|connection| connection.request_written())
     }
--- a/crates/gateway/src/servers/connection.rs
+++ b/crates/gateway/src/servers/connection.rs
@@ -1,5 +1,5 @@
-//! One TCP connection to a server. It can be closed at once when its request is abandoned, and it knows whether
-//! that request has been written completely.
+//! A TCP connection to a server. It closes immediately when its request is abandoned, and tracks whether that
+//! request has been written completely.
 
 use crate::network::socket::Socket;
 use crate::servers::request_progress::RequestProgress;
@@ -12,176 +12,180 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// How old the time that a request tells its server may be as its first byte is written: little beside the 0.15 s by
-/// which that time may exceed what its client has left, since a hold-up of the write itself may use up all of that.
-const MAX_PREPARED_AGE: Duration = Duration::from_millis(20);
+/// Maximum age of a request's forwarded timeout when the request's first byte is written. The forwarded
+/// timeout may exceed the client's remaining time by up to 0.15 s. A delay of the write itself may use up all
+/// of that, so this limit is small in comparison.
+const MAX_FORWARDED_TIMEOUT_AGE: Duration = Duration::from_millis(20);
 
-/// Counts a connection among the open ones until it is dropped.
+/// Counts a connection as open until the guard is dropped.
 pub struct OpenConnectionGuard {
-    /// The number of open connections.
-    open: Rc<Cell<usize>>,
+    open_connections: Rc<Cell<usize>>,
 }
 
 impl OpenConnectionGuard {
-    /// Counts one more connection.
-    pub fn new(open: &Rc<Cell<usize>>) -> OpenConnectionGuard {
-        open.set(open.get() + 1);
-        OpenConnectionGuard { open: open.clone() }
+    /// Increments the number of open connections.
+    pub fn new(open_connections: &Rc<Cell<usize>>) -> OpenConnectionGuard {
+        open_connections.set(open_connections.get() + 1);
+        OpenConnectionGuard { open_connections: open_connections.clone() }
     }
 }
 
 impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
-        self.open.set(self.open.get().saturating_sub(1));
+        self.open_connections.set(self.open_connections.get().saturating_sub(1));
     }
 }
 
 /// The socket of an open connection.
 struct OpenSocket {
-    /// The socket.
     socket: Socket<TcpStream>,
-    /// Counts the connection as long as its socket is open.
+    /// Counts the connection as open for as long as the socket exists.
     _open_guard: OpenConnectionGuard,
 }
 
-/// What has to hold just before the first byte of a request is written: the process may have waited for a core since
-/// its attempt was decided.
+/// Conditions checked just before the first byte of a request is written, because the process may have waited
+/// for a CPU core since the attempt was decided on.
 #[derive(Clone)]
 pub struct WriteCondition {
-    /// The latest time of that write.
+    /// Latest time to write the first byte.
     pub send_by: Instant,
-    /// When the time that the request tells its server was taken.
-    pub prepared_at: Instant,
-    /// Whether the request's client has disconnected, so that nothing may be written.
+    /// Time at which the forwarded timeout was computed.
+    pub timeout_computed_at: Instant,
+    /// Reports whether the client has disconnected; nothing may be written once it has.
     pub client_has_disconnected: Rc<dyn Fn() -> bool>,
 }
 
 impl WriteCondition {
-    /// Whether the request may be written now.
+    /// Returns whether the request may be written now.
     pub fn holds(&self) -> bool {
         if (self.client_has_disconnected)() {
             return false;
         }
         let now = Instant::now();
-        now < self.send_by && now.duration_since(self.prepared_at) <= MAX_PREPARED_AGE
+        now < self.send_by && now.duration_since(self.timeout_computed_at) <= MAX_FORWARDED_TIMEOUT_AGE
     }
 }
 
-/// A connection; all its holders share the one socket, and any of them may close it.
+/// A connection to a server. All holders of a reference share one socket, and any of them may close it.
 pub struct ServerConnection {
-    /// The socket, until the connection is closed.
+    /// The socket; `None` once the connection is closed.
     socket: RefCell<Option<OpenSocket>>,
-    /// The progress of the current request.
     progress: Cell<RequestProgress>,
-    /// What has to hold for the current request to be written, until its first byte is.
+    /// Condition for writing the current request; `None` once its first byte has been written.
     write_condition: RefCell<Option<WriteCondition>>,
-    /// Whether it closed because that did not hold.
-    has_refused_write: Cell<bool>,
-    /// The counter to increment once the current request has been written, if any.
+    /// Whether the connection was closed because `write_condition` did not hold.
+    write_refused: Cell<bool>,
+    /// Counter to increment once the current request has been written completely.
     written_counter: RefCell<Option<Rc<Cell<u64>>>>,
-    /// Requests begun on the connection. What arrives before a later one is written is not its response.
+    /// Number of requests begun on the connection. Input that arrives before a second or later request is
+    /// written is not the response to it.
     requests_begun: Cell<u32>,
 }
 
 impl ServerConnection {
-    /// A connection over an established stream.
+    /// Creates a connection over an established stream.
     pub fn new(stream: TcpStream, open_guard: OpenConnectionGuard) -> Rc<ServerConnection> {
         let socket = OpenSocket { socket: Socket::new(stream), _open_guard: open_guard };
         Rc::new(ServerConnection {
             socket: RefCell::new(Some(socket)),
             progress: Cell::default(),
             write_condition: RefCell::default(),
-            has_refused_write: Cell::new(false),
+            write_refused: Cell::new(false),
             written_counter: RefCell::default(),
             requests_begun: Cell::new(0),
         })
     }
 
-    /// Announces the next request, whose body has this length, where it is known.
+    /// Begins the next request; `body_length` is the length of its body in bytes, if known.
     pub fn begin_request(&self, body_length: Option<u64>) {
         self.requests_begun.set(self.requests_begun.get() + 1);
         self.progress.set(RequestProgress::new(body_length));
     }
 
-    /// Sets what has to hold for the request that begins to be written. If it does not, the connection closes unwritten.
-    pub fn write_only_if(&self, condition: WriteCondition) {
+    /// Sets the condition for writing the request just begun. If the condition does not hold when the
+    /// request's first byte is due, nothing is written and the connection closes.
+    pub fn set_write_condition(&self, condition: WriteCondition) {
         self.write_condition.replace(Some(condition));
     }
 
-    /// Announces that all of the request's body has been handed to hyper.
-    pub fn body_ended(&self) {
+    /// Records that the request's body has been handed to hyper completely.
+    pub fn record_body_end(&self) {
         self.update_progress(RequestProgress::record_body_end);
     }
 
-    /// Announces that the head of the response has been read.
-    pub fn response_received(&self) {
-        self.update_progress(RequestProgress::record_response);
+    /// Records that the head of the response has been read.
+    pub fn record_response_head(&self) {
+        self.update_progress(RequestProgress::record_response_head);
     }
 
-    /// Sets the counter to increment once the request that begins has been written.
-    pub fn count_written(&self, counter: Option<&Rc<Cell<u64>>>) {
+    /// Sets the counter to increment once the request just begun has been written completely.
+    pub fn set_written_counter(&self, counter: Option<&Rc<Cell<u64>>>) {
         self.written_counter.replace(counter.cloned());
     }
 
-    /// Whether any byte of the request has been written.
+    /// Returns whether any byte of the current request has been written.
     pub fn has_begun_writing(&self) -> bool {
         self.progress.get().has_started()
     }
 
-    /// Whether the request's last byte has been written.
+    /// Returns whether the last byte of the current request has been written.
     pub fn request_written(&self) -> bool {
         self.progress.get().is_complete()
     }
 
-    /// Whether the connection is open and has no unread input, by asking the system.
+    /// Returns whether the connection is open and has no unread input, as reported by the operating system.
     pub fn has_no_unread_input(&self) -> bool {
         self.socket.borrow().as_ref().is_some_and(|open_socket| open_socket.socket.has_no_unread_input())
     }
 
-    /// Closes the connection now, not when some task is next polled: an abandoned attempt must be off the
-    /// network before the next one of its request is sent.
+    /// Closes the connection immediately, without waiting for a task to be polled: an abandoned attempt must
+    /// be off the network before the next attempt of its request is sent.
     pub fn close(&self) {
         self.socket.borrow_mut().take();
     }
 
-    /// Whether the connection has carried a request before the current one.
+    /// Returns whether the connection has carried a request before the current one.
     fn is_reused(&self) -> bool {
         self.requests_begun.get() > 1
     }
 
-    /// Whether it closed unwritten because its request's [`WriteCondition`] did not hold.
-    pub fn has_refused_write(&self) -> bool {
-        self.has_refused_write.get()
+    /// Returns whether the connection was closed because the [`WriteCondition`] of its request did not hold.
+    /// Nothing of that request was written.
+    pub fn write_refused(&self) -> bool {
+        self.write_refused.get()
     }
 
-    /// Whether nothing of the current request has been written, and nothing may be.
-    fn must_not_begin_writing(&self) -> bool {
+    /// Returns whether the first byte of the current request must not be written, and records in
+    /// `write_refused` whether its [`WriteCondition`] is the reason.
+    fn must_refuse_write(&self) -> bool {
         if self.has_begun_writing() {
             return false;
         }
-        // The last chance to notice input that belongs to no request.
+        // Input on a reused connection is unsolicited at this point, and cannot be recognized as such after
+        // the write.
         if self.is_reused() && !self.has_no_unread_input() {
             return true;
         }
         let condition = self.write_condition.borrow();
-        self.has_refused_write.set(condition.as_ref().is_some_and(|condition| !condition.holds()));
-        self.has_refused_write()
+        self.write_refused.set(condition.as_ref().is_some_and(|condition| !condition.holds()));
+        self.write_refused()
     }
 
-    /// Closes the connection, for input that belongs to no request or a request that may not be written.
+    /// Closes the connection and returns an error, because of invalid input or a request that must not be
+    /// written.
     fn abort<T>(&self, reason: io::ErrorKind) -> Poll<io::Result<T>> {
         self.close();
         Poll::Ready(Err(reason.into()))
     }
 
-    /// Changes the progress of the current request.
     fn update_progress(&self, update: impl FnOnce(&mut RequestProgress)) {
         let mut progress = self.progress.get();
         update(&mut progress);
         self.progress.set(progress);
     }
 
-    /// Records that these bytes of the request have been written, and counts it with its last byte.
+    /// Records that `data` of the current request has been written, and increments the counter of written
+    /// requests with the last byte.
     fn record_written(&self, data: &[u8]) {
         self.write_condition.take();
         self.update_progress(|progress| progress.record_written(data));
@@ -191,7 +195,7 @@
         }
     }
 
-    /// Polls the socket; an error where the connection has been closed.
+    /// Polls the socket. Fails with `ConnectionAborted` if the connection has been closed.
     fn poll_socket<T>(
         &self,
         poll: impl FnOnce(Pin<&mut Socket<TcpStream>>) -> Poll<io::Result<T>>,
@@ -203,7 +207,7 @@
     }
 }
 
-/// A connection as hyper reads and writes it, closed when dropped.
+/// The byte stream of a connection that hyper reads and writes. Dropping it closes the connection.
 pub struct ServerConnectionIo(pub Rc<ServerConnection>);
 
 impl Drop for ServerConnectionIo {
@@ -219,8 +223,8 @@
         let result = connection.poll_socket(|socket| socket.poll_read(cx, buf));
         connection.update_progress(|progress| progress.record_read(buf.filled().len() - filled_before));
         let progress = connection.progress.get();
-        let has_unrelated_input = connection.is_reused() && progress.has_premature_input();
-        if has_unrelated_input || progress.response_head_is_too_long() {
+        let has_unsolicited_input = connection.is_reused() && progress.has_unsolicited_input();
+        if has_unsolicited_input || progress.response_head_is_too_long() {
             return connection.abort(io::ErrorKind::InvalidData);
         }
         result
@@ -230,7 +234,7 @@
 impl AsyncWrite for ServerConnectionIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         let connection = &self.0;
-        if connection.must_not_begin_writing() {
+        if connection.must_refuse_write() {
             return connection.abort(io::ErrorKind::ConnectionAborted);
         }
         let result = connection.poll_socket(|socket| socket.poll_write(cx, data));
--- a/crates/gateway/src/servers/connection/tests.rs
+++ b/crates/gateway/src/servers/connection/tests.rs
@@ -1,10 +1,12 @@
+//! Tests of the check for unread input before a request is written.
+
 use super::{OpenConnectionGuard, ServerConnection, ServerConnectionIo};
 use std::io::{self, Write};
 use std::rc::Rc;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Both ends of a connection: the gateway's and the server's.
+/// Returns the gateway's end and the server's end of a new connection.
 async fn connected_pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let gateway_end = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
@@ -17,7 +19,9 @@
     io.write(b"GET / HTTP/1.1\r\n\r\n").await
 }
 
-/// Unread input on a reused connection is found at the very write, though the runtime has polled no event of it.
+/// Guards against a request on a connection with unsolicited input, which would be taken for its response.
+/// The check before the write must find the input even if the runtime has not yet polled the readiness event
+/// for it.
 #[test]
 fn request_is_not_written_to_a_reused_connection_with_unread_input() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().unwrap();
@@ -27,9 +31,9 @@
         let mut io = ServerConnectionIo(ServerConnection::new(gateway_end, open_guard));
         assert!(write_request(&mut io).await.is_ok());
         assert!(write_request(&mut io).await.is_ok());
-        // Written and looked for without a poll of the runtime between.
+        // The runtime is not polled between this write and the check.
         server_end.into_std().unwrap().write_all(b"noise").unwrap();
         assert!(write_request(&mut io).await.is_err());
-        assert!(!io.0.has_begun_writing(), "something was written");
+        assert!(!io.0.has_begun_writing(), "part of the request was written");
     });
 }
--- a/crates/gateway/src/servers/dial.rs
+++ b/crates/gateway/src/servers/dial.rs
@@ -7,14 +7,15 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::sleep;
 
-/// The system's receive buffer for a connection, which bounds what it keeps of a response that is not read.
+/// Size of the kernel's receive buffer of a connection, which bounds the unread part of a response held by
+/// the kernel.
 const RECEIVE_BUFFER_BYTES: u32 = 128 << 10;
-/// Attempts to open a connection while this machine lacks the resources for it.
+/// Maximum number of attempts to open a connection while this machine lacks the resources for it.
 const MAX_DIAL_ATTEMPTS: usize = 5;
-/// The pause between these attempts.
+/// Delay between two attempts to open a connection.
 const DIAL_RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// Opens a connection, and tries again where this machine lacks the resources for a moment.
+/// Opens a connection. Retries a few times while this machine lacks the resources for it.
 pub async fn dial(address: SocketAddr) -> io::Result<TcpStream> {
     for _ in 1..MAX_DIAL_ATTEMPTS {
         match dial_once(address).await {
--- a/crates/gateway/src/servers/exchange/tests.rs
+++ b/crates/gateway/src/servers/exchange/tests.rs
@@ -1,4 +1,6 @@
-use super::{AttemptConnection, AttemptDeadlines, AttemptResponse, OutgoingRequest, Pool, Upstream};
+//! Tests of the conditions under which an attempt is not sent.
+
+use super::{AttemptConnection, AttemptDeadlines, AttemptOutcome, ConnectionPool, OutgoingRequest, Upstream};
 use crate::bodies::upload::Upload;
 use crate::control::endpoint_list::ListedEndpoint;
 use grebehook_core::{AttemptStatus, Endpoint, EndpointState, ServerId};
@@ -11,17 +13,17 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-/// Longer than any test.
-const MAX_TIME: Duration = Duration::from_secs(10);
+/// Time limit that no test reaches.
+const GENEROUS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Makes one attempt at the server at an address, over at most this many connections.
+/// Makes one attempt at the server at `address`, over a pool of at most `max_connections` connections.
 async fn exchange(
     address: SocketAddr,
     max_connections: usize,
     send_by: Instant,
     client_has_disconnected: impl Fn() -> bool + 'static,
-) -> AttemptResponse {
-    let pool = Pool::new(max_connections, MAX_TIME, MAX_TIME);
+) -> AttemptOutcome {
+    let pool = ConnectionPool::new(max_connections, GENEROUS_TIMEOUT, GENEROUS_TIMEOUT);
     let upstream = Rc::new(Upstream::new(pool, 0, 1.0));
     let endpoint = Endpoint { server: ServerId(1), state: EndpointState::Ready, ..Endpoint::default() };
     upstream.pool.update(true, &[ListedEndpoint { address, endpoint }]);
@@ -33,82 +35,86 @@
         client_has_disconnected: Rc::new(client_has_disconnected),
     };
     let connection = AttemptConnection::default();
-    let times = AttemptDeadlines { send_by, answer_by: Instant::now() + MAX_TIME };
-    upstream.exchange(ServerId(1), &connection, &request, times, None).await
+    let deadlines = AttemptDeadlines { send_by, answer_by: Instant::now() + GENEROUS_TIMEOUT };
+    upstream.exchange(ServerId(1), &connection, &request, deadlines, None).await
 }
 
-/// Runs a test's future.
+/// Runs a future on a single-threaded runtime.
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(LocalSet::new().run_until(test));
 }
 
-/// The bytes that a server receives at once on its first connection.
-async fn received_by(listener: &TcpListener) -> usize {
+/// Accepts a connection and returns the number of bytes that its first read receives.
+async fn bytes_received_by(listener: &TcpListener) -> usize {
     let (mut stream, _) = listener.accept().await.unwrap();
     stream.read(&mut [0; 64]).await.unwrap()
 }
 
-/// A client that never disconnects. The look at it with this number, counted from 0, takes this long, as if the process
-/// waited for a core.
-fn slow_look(number: u32, wait: Duration) -> impl Fn() -> bool {
-    let looks = Cell::new(0);
+/// Returns a check for a client that never disconnects. The call with the given index, counted from 0, blocks
+/// for `delay`, as if the process waited for a CPU core.
+fn delayed_client_check(index: u32, delay: Duration) -> impl Fn() -> bool {
+    let checks = Cell::new(0);
     move || {
-        if looks.replace(looks.get() + 1) == number {
-            std::thread::sleep(wait);
+        if checks.replace(checks.get() + 1) == index {
+            std::thread::sleep(delay);
         }
         false
     }
 }
 
-/// A gateway without capacity for another connection has not found its server unreachable.
+/// Guards against a server reported as unreachable because the gateway has no capacity for another
+/// connection.
 #[test]
 fn attempt_is_not_sent_when_the_pool_is_full_and_the_server_is_not_blamed() {
     run(async {
-        let send_by = Instant::now() + MAX_TIME;
-        let response = exchange(([127, 0, 0, 1], 1).into(), 0, send_by, || false).await;
-        assert_eq!(response.status, AttemptStatus::NotSent);
+        let send_by = Instant::now() + GENEROUS_TIMEOUT;
+        let outcome = exchange(([127, 0, 0, 1], 1).into(), 0, send_by, || false).await;
+        assert_eq!(outcome.status, AttemptStatus::NotSent);
     });
 }
 
-/// Guards against a client that disconnects, as the gateway waits for a core, between the last look at it and the write.
+/// Guards against a request sent for a client that disconnects between the last check and the write, while
+/// the gateway waits for a CPU core.
 #[test]
-fn nothing_is_written_for_a_client_that_disconnected_just_before() {
+fn nothing_is_written_for_a_client_that_has_just_disconnected() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let looks = Cell::new(0);
-        let disconnects_after_two_looks = move || looks.replace(looks.get() + 1) >= 2;
-        let send_by = Instant::now() + MAX_TIME;
+        let checks = Cell::new(0);
+        let disconnects_after_two_checks = move || checks.replace(checks.get() + 1) >= 2;
+        let send_by = Instant::now() + GENEROUS_TIMEOUT;
         let address = listener.local_addr().unwrap();
-        let attempt = exchange(address, 1, send_by, disconnects_after_two_looks);
-        let (response, received) = tokio::join!(attempt, received_by(&listener));
-        assert_eq!((received, response.status), (0, AttemptStatus::NotSent));
+        let attempt = exchange(address, 1, send_by, disconnects_after_two_checks);
+        let (outcome, received) = tokio::join!(attempt, bytes_received_by(&listener));
+        assert_eq!((received, outcome.status), (0, AttemptStatus::NotSent));
     });
 }
 
-/// Guards against a forwarded time that was taken long before the write, as the gateway waits for a core in between.
+/// Guards against a forwarded timeout computed long before the write, with the gateway waiting for a CPU core
+/// in between.
 #[test]
-fn nothing_is_written_with_a_forwarded_time_that_is_out_of_date() {
+fn nothing_is_written_with_an_outdated_forwarded_timeout() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let waits_at_the_write = slow_look(2, Duration::from_millis(200));
+        let delayed_at_the_write = delayed_client_check(2, Duration::from_millis(200));
         let address = listener.local_addr().unwrap();
-        let attempt = exchange(address, 1, Instant::now() + MAX_TIME, waits_at_the_write);
-        let (response, received) = tokio::join!(attempt, received_by(&listener));
-        assert_eq!((received, response.status), (0, AttemptStatus::NotSent));
+        let attempt = exchange(address, 1, Instant::now() + GENEROUS_TIMEOUT, delayed_at_the_write);
+        let (outcome, received) = tokio::join!(attempt, bytes_received_by(&listener));
+        assert_eq!((received, outcome.status), (0, AttemptStatus::NotSent));
     });
 }
 
-/// Guards against an attempt that is written after its deduplication window, as the gateway waits for a core just before.
+/// Guards against an attempt written after the end of its deduplication window, because the gateway waited
+/// for a CPU core just before the write.
 #[test]
-fn nothing_is_written_once_the_time_to_send_is_over() {
+fn nothing_is_written_after_the_send_deadline() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let waits_at_the_second_look = slow_look(1, Duration::from_millis(300));
+        let delayed_at_the_second_check = delayed_client_check(1, Duration::from_millis(300));
         let send_by = Instant::now() + Duration::from_millis(200);
         let address = listener.local_addr().unwrap();
-        let attempt = exchange(address, 1, send_by, waits_at_the_second_look);
-        let (response, received) = tokio::join!(attempt, received_by(&listener));
-        assert_eq!((received, response.status), (0, AttemptStatus::NotSent));
+        let attempt = exchange(address, 1, send_by, delayed_at_the_second_check);
+        let (outcome, received) = tokio::join!(attempt, bytes_received_by(&listener));
+        assert_eq!((received, outcome.status), (0, AttemptStatus::NotSent));
     });
 }
--- a/crates/gateway/src/servers/health_check.rs
+++ b/crates/gateway/src/servers/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks of servers.
+//! Active health checks of servers.
 
 use crate::bodies::download::ResponseContent;
 use crate::bodies::upload::Upload;
@@ -12,22 +12,22 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-/// The result of a health check.
-pub struct HealthCheck {
-    /// How the request ended.
+/// Outcome of a health check.
+pub struct HealthCheckResult {
+    /// Status of the health check's request.
     pub status: AttemptStatus,
-    /// The load that the response reports.
+    /// The server's load, if the response reports it.
     pub load_report: Option<LoadReport>,
 }
 
 impl Upstream {
-    /// Checks a server's health by a request for a path.
+    /// Checks a server's health by a GET request for `path`, which times out after `time_limit`.
     pub async fn check_health(
         self: &Rc<Self>,
         server: ServerId,
         path: &'static str,
-        limit: Duration,
-    ) -> HealthCheck {
+        time_limit: Duration,
+    ) -> HealthCheckResult {
         let request = OutgoingRequest {
             method: Method::GET,
             uri: Uri::from_static(path),
@@ -36,19 +36,19 @@
             client_has_disconnected: Rc::new(|| false),
         };
         let connection = AttemptConnection::default();
-        let deadline = Instant::now() + limit;
-        let times = AttemptDeadlines { send_by: deadline, answer_by: deadline };
-        let exchange = self.exchange(server, &connection, &request, times, None);
-        let Ok(response) = timeout(limit, exchange).await else {
+        let deadline = Instant::now() + time_limit;
+        let deadlines = AttemptDeadlines { send_by: deadline, answer_by: deadline };
+        let exchange = self.exchange(server, &connection, &request, deadlines, None);
+        let Ok(outcome) = timeout(time_limit, exchange).await else {
             connection.close();
-            return HealthCheck { status: AttemptStatus::Timeout, load_report: None };
+            return HealthCheckResult { status: AttemptStatus::Timeout, load_report: None };
         };
-        let body = response.response.as_ref().and_then(|response| match response.body() {
+        let body = outcome.response.as_ref().and_then(|response| match response.body() {
             ResponseContent::Buffered(body) => HeaderValue::from_bytes(body).ok(),
             ResponseContent::Forwarded(_) => None,
         });
-        // The report is either in a header or the body itself.
-        let load_report = response.load_report.or_else(|| headers::load_report(body.as_ref()));
-        HealthCheck { status: response.status, load_report }
+        // The load report is either in a header or the body itself.
+        let load_report = outcome.load_report.or_else(|| headers::load_report(body.as_ref()));
+        HealthCheckResult { status: outcome.status, load_report }
     }
 }
--- a/crates/gateway/src/servers/mod.rs
+++ b/crates/gateway/src/servers/mod.rs
@@ -1,4 +1,5 @@
-//! Servers of the back end: connections to them, and the exchange of an attempt for its response.
+//! Communication with the servers of the back end: the connection pool, the exchange of an attempt for its
+//! response, and health checks.
 
 pub mod attempt;
 pub mod connection;
--- a/crates/gateway/src/servers/pool.rs
+++ b/crates/gateway/src/servers/pool.rs
@@ -1,4 +1,4 @@
-//! The servers of the endpoint list and the connections to them.
+//! Pool of connections to the servers of the endpoint list.
 
 use crate::bodies::upload::RequestBody;
 use crate::control::endpoint_list::ListedEndpoint;
@@ -16,111 +16,108 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Part of the servers' idle limit after which a connection is no longer used: a server that closes it just as a
-/// request is written would end that request with a reset.
+/// Fraction of the servers' idle timeout after which a connection is no longer used. A server that closes an
+/// idle connection while a request is being written would reset that request.
 const MAX_IDLE_FRACTION: f64 = 0.5;
-/// The time between a response and the next request on a connection. A surplus response may arrive some
-/// milliseconds late, and could not be distinguished from that to the next request.
+/// Minimum time between a response and the next request on the same connection. A surplus response may arrive
+/// some milliseconds late, and could not be distinguished from the response to the next request.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// Largest read buffer that hyper keeps for a connection.
+/// Maximum size of the read buffer that hyper keeps for a connection.
 const MAX_READ_BUFFER_BYTES: usize = 32 << 10;
 
-/// The process of a listed server, as the list identifies it.
+/// Identity of a server process in the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ServerProcess {
-    /// Where it listens.
     address: SocketAddr,
-    /// Its reported start, an identifier only: it is never compared to a clock.
+    /// Start time that the list reports. It only identifies the process, and is never compared with a clock.
     started_at: Option<NonZeroMicros>,
 }
 
 impl ServerProcess {
-    /// The process of an entry of the list.
     fn of(listed: &ListedEndpoint) -> ServerProcess {
         ServerProcess { address: listed.address, started_at: listed.endpoint.started_at }
     }
 }
 
-/// A connection to a server, for one request at a time.
+/// A connection to a server that carries one request at a time.
 pub struct PooledConnection {
-    /// Sends requests over it.
+    /// Sends requests over the connection.
     pub sender: SendRequest<RequestBody>,
-    /// The connection under hyper.
+    /// Connection whose byte stream hyper reads and writes.
     pub connection: Rc<ServerConnection>,
-    /// The process to which it was opened.
+    /// Server process that the connection was opened to.
     process: ServerProcess,
-    /// When its last response ended, or it was opened.
+    /// End of the last response, or the time of opening before the first one.
     idle_since: Instant,
 }
 
 impl PooledConnection {
-    /// How long it is still too early for the next request.
+    /// Returns the rest of [`REUSE_DELAY`], or `None` once it has elapsed.
     pub fn remaining_reuse_delay(&self) -> Option<Duration> {
         REUSE_DELAY.checked_sub(self.idle_since.elapsed())
     }
 }
 
-/// A server of the list and its idle connections.
+/// A server of the endpoint list and the idle connections to it.
 struct PooledServer {
-    /// Its current process.
     process: ServerProcess,
-    /// Its state in the list.
     state: EndpointState,
-    /// Its idle connections, those used last at the end.
+    /// Idle connections, the most recently used last.
     idle: Vec<PooledConnection>,
 }
 
 impl PooledServer {
-    /// A server without connections.
     fn new(listed: &ListedEndpoint) -> PooledServer {
         PooledServer { process: ServerProcess::of(listed), state: listed.endpoint.state, idle: Vec::new() }
     }
 
-    /// Takes over the list's entry, and closes connections that no longer lead to the listed process.
+    /// Applies the server's entry in the list, and closes idle connections that do not lead to the listed
+    /// process.
     fn update(&mut self, listed: &ListedEndpoint) {
         self.process = ServerProcess::of(listed);
         self.state = listed.endpoint.state;
-        // A machine that vanished never closed its connections; one that has started since lost them.
+        // A machine that failed has not closed its connections, and a machine that restarted has lost them.
         let process = self.process;
         let is_ready = self.is_ready();
         self.idle.retain(|idle| is_ready && idle.process == process);
     }
 
-    /// Whether it may get new requests.
     fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 }
 
-/// All servers of the list and the idle connections to them.
-pub struct Pool {
-    /// The servers of the list.
+/// The servers of the endpoint list and the idle connections to them.
+pub struct ConnectionPool {
     servers: RefCell<HashMap<ServerId, PooledServer>>,
     /// Number of open connections, idle or in use.
-    open: Rc<Cell<usize>>,
-    /// Most connections open at once.
-    max_open: usize,
-    /// Longest time to establish a connection.
+    open_connections: Rc<Cell<usize>>,
+    /// Maximum number of open connections, idle or in use.
+    max_connections: usize,
     connect_timeout: Duration,
-    /// How long a connection may be idle before it is closed.
+    /// Idle time after which a connection is closed.
     max_idle: Duration,
 }
 
-impl Pool {
-    /// A pool without servers, of at most `max_open` connections. `server_idle_timeout` is how long servers keep an
-    /// idle connection open.
-    pub fn new(max_open: usize, connect_timeout: Duration, server_idle_timeout: Duration) -> Pool {
-        Pool {
+impl ConnectionPool {
+    /// Creates a pool without servers, of at most `max_connections` open connections. `server_idle_timeout`
+    /// is the time for which servers keep an idle connection open.
+    pub fn new(
+        max_connections: usize,
+        connect_timeout: Duration,
+        server_idle_timeout: Duration,
+    ) -> ConnectionPool {
+        ConnectionPool {
             servers: RefCell::default(),
-            open: Rc::default(),
-            max_open,
+            open_connections: Rc::default(),
+            max_connections,
             connect_timeout,
             max_idle: server_idle_timeout.mul_f64(MAX_IDLE_FRACTION),
         }
     }
 
-    /// Applies a change of the endpoint list, or a complete list. Idle connections that no longer lead to a listed
-    /// process are closed.
+    /// Applies a delta of the endpoint list, or a complete list. Closes idle connections that do not lead to
+    /// a listed process.
     pub fn update(&self, is_complete: bool, endpoints: &[ListedEndpoint]) {
         let mut servers = self.servers.borrow_mut();
         if is_complete {
@@ -136,7 +133,7 @@
         }
     }
 
-    /// Whether a server may get new requests.
+    /// Returns whether new requests may be sent to a server.
     pub fn is_ready(&self, server: ServerId) -> bool {
         self.servers.borrow().get(&server).is_some_and(PooledServer::is_ready)
     }
@@ -148,14 +145,15 @@
         }
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections whose idle time has reached its limit.
     pub fn close_expired(&self) {
         for server in self.servers.borrow_mut().values_mut() {
             server.idle.retain(|idle| !idle.sender.is_closed() && idle.idle_since.elapsed() < self.max_idle);
         }
     }
 
-    /// The connection used last among those past [`REUSE_DELAY`], or else among all, that is known to be open.
+    /// Removes and returns the most recently used idle connection past [`REUSE_DELAY`], or else the most
+    /// recently used one of all. Discards connections that are closed or have been idle for too long.
     pub fn take_idle(&self, server: ServerId) -> Option<PooledConnection> {
         let mut servers = self.servers.borrow_mut();
         let idle = &mut servers.get_mut(&server)?.idle;
@@ -169,15 +167,16 @@
         None
     }
 
-    /// Returns a connection whose response has been read completely.
-    pub fn keep_idle(&self, server: ServerId, mut connection: PooledConnection) {
+    /// Returns a connection to the pool after its response has been read completely. Its idle time starts
+    /// now.
+    pub fn release(&self, server: ServerId, mut connection: PooledConnection) {
         connection.idle_since = Instant::now();
-        self.restore(server, connection);
+        self.release_unused(server, connection);
     }
 
-    /// Returns a connection over which nothing was sent: for its server it is idle since its last response. One
-    /// that leads to no listed process is closed.
-    pub fn restore(&self, server: ServerId, connection: PooledConnection) {
+    /// Returns an unused connection to the pool. Its idle time continues, because its server has seen it idle
+    /// since the last response. Closes a connection that does not lead to a listed process.
+    pub fn release_unused(&self, server: ServerId, connection: PooledConnection) {
         if let Some(server) = self.servers.borrow_mut().get_mut(&server) {
             if server.process == connection.process && server.is_ready() && !connection.sender.is_closed() {
                 server.idle.push(connection);
@@ -185,13 +184,13 @@
         }
     }
 
-    /// A new connection, or why there is none.
+    /// Opens a new connection, or returns the status of an attempt that cannot have one.
     pub async fn connect(&self, server: ServerId) -> Result<PooledConnection, AttemptStatus> {
         let process = self.ready_process(server).ok_or(AttemptStatus::ConnectFailed)?;
-        if self.open.get() >= self.max_open && !self.close_oldest_idle() {
+        if self.open_connections.get() >= self.max_connections && !self.close_oldest_idle() {
             return Err(AttemptStatus::NotSent);
         }
-        let open_guard = OpenConnectionGuard::new(&self.open);
+        let open_guard = OpenConnectionGuard::new(&self.open_connections);
         let stream = self.open_stream(process.address).await?;
         let connection = ServerConnection::new(stream, open_guard);
         let (sender, driver) = http1::Builder::new()
@@ -204,23 +203,24 @@
         Ok(PooledConnection { sender, connection, process, idle_since: Instant::now() })
     }
 
-    /// The process of a server, if that may get new requests.
+    /// Returns the process of a server that new requests may be sent to.
     fn ready_process(&self, server: ServerId) -> Option<ServerProcess> {
         let servers = self.servers.borrow();
         servers.get(&server).filter(|server| server.is_ready()).map(|server| server.process)
     }
 
-    /// Opens a stream to a server within the time allowed.
+    /// Opens a stream to a server within the connect timeout.
     async fn open_stream(&self, address: SocketAddr) -> Result<TcpStream, AttemptStatus> {
         let dialed = timeout(self.connect_timeout, dial(address)).await;
         let stream = dialed
             .map_err(|_| AttemptStatus::ConnectFailed)?
-            .map_err(|error| status_of_connect_error(&error))?;
+            .map_err(|error| connect_error_status(&error))?;
         stream.set_nodelay(true).map_err(|_| AttemptStatus::ConnectFailed)?;
         Ok(stream)
     }
 
-    /// Closes the connection that has been idle longest, to allow for a new one. False if none is idle.
+    /// Closes the connection that has been idle longest, so that a new one can be opened. Returns false if
+    /// none is idle.
     fn close_oldest_idle(&self) -> bool {
         let mut servers = self.servers.borrow_mut();
         let with_idle = servers.values_mut().filter(|server| !server.idle.is_empty());
@@ -230,8 +230,9 @@
     }
 }
 
-/// What a failure to connect says: a lack of descriptors, ports or memory here says nothing of the server.
-fn status_of_connect_error(error: &io::Error) -> AttemptStatus {
+/// Returns the status of an attempt whose connection failed. A lack of descriptors, ports or memory on this
+/// machine does not count against the server.
+fn connect_error_status(error: &io::Error) -> AttemptStatus {
     match error.kind() {
         io::ErrorKind::ConnectionRefused
         | io::ErrorKind::ConnectionReset
--- a/crates/gateway/src/servers/request_progress.rs
+++ b/crates/gateway/src/servers/request_progress.rs
@@ -1,38 +1,36 @@
-//! How much of a request has been written to a connection. A server cannot have run a request whose last byte it
-//! has not received, so an attempt that ends before that may be repeated.
+//! Tracks how much of a request has been written to a connection. A server cannot have run a request whose
+//! last byte it has not received, so an attempt that ends before the last byte is written may be repeated.
 
 use crate::bodies::size::MAX_BUFFERED_BODY_BYTES;
 
-/// Longest head of a response.
+/// Maximum length of a response head.
 const MAX_RESPONSE_HEAD_BYTES: usize = 256 << 10;
-/// The end of a request's head, and of the last chunk of a body.
+/// Byte sequence that ends a request's head, and the last chunk of a chunked body.
 const TERMINATOR: &[u8] = b"\r\n\r\n";
 
-/// How much of a connection's current request has been written, and of its response read.
+/// The progress of a connection's current request, and of reading its response.
 #[derive(Clone, Copy, Default)]
 pub struct RequestProgress {
-    /// Bytes of [`TERMINATOR`] that were just written.
+    /// Number of bytes of [`TERMINATOR`] that the data written so far ends with.
     terminator_matched: usize,
-    /// Whether the end of the head has been written.
+    /// Whether the request's head has been written completely.
     head_written: bool,
-    /// What is still to be written of the body.
     remaining_body: RemainingBody,
-    /// Whether any byte has been written.
+    /// Whether any byte of the request has been written.
     started: bool,
-    /// Bytes read since the request began.
+    /// Number of bytes read since the request began.
     bytes_read: usize,
-    /// Whether the head of the response has been read.
-    response_received: bool,
+    response_head_received: bool,
 }
 
-/// What is still to be written of a body.
+/// The part of a request body that is still to be written.
 #[derive(Clone, Copy)]
 enum RemainingBody {
-    /// This many bytes.
+    /// Number of bytes of a body of known length.
     Bytes(u64),
-    /// Chunks; once `ended`, only the last one.
+    /// Chunks of a body of unknown length.
     Chunks {
-        /// Whether all data has been handed to hyper.
+        /// Whether all data has been handed to hyper, so that only the last chunk can be outstanding.
         ended: bool,
     },
 }
@@ -44,7 +42,8 @@
 }
 
 impl RequestProgress {
-    /// A request of which nothing has been written. Without a known length its body is written in chunks.
+    /// Creates the progress of a request before its first byte is written. A body of unknown length is
+    /// written in chunks.
     pub fn new(body_length: Option<u64>) -> RequestProgress {
         let remaining_body = match body_length {
             Some(length) => RemainingBody::Bytes(length),
@@ -53,7 +52,7 @@
         RequestProgress { remaining_body, ..RequestProgress::default() }
     }
 
-    /// Records that these bytes of the request have been written.
+    /// Records that `data` has been written.
     pub fn record_written(&mut self, mut data: &[u8]) {
         self.started |= !data.is_empty();
         while let Some((byte, rest)) = data.split_first().filter(|_| !self.head_written) {
@@ -64,7 +63,7 @@
         match &mut self.remaining_body {
             RemainingBody::Bytes(remaining) => *remaining = remaining.saturating_sub(data.len() as u64),
             RemainingBody::Chunks { .. } => {
-                // Only the last bytes can be the end of the last chunk.
+                // Only the last bytes of the data can be the end of the last chunk.
                 let skipped = data.len().saturating_sub(TERMINATOR.len());
                 if skipped > 0 {
                     self.terminator_matched = 0;
@@ -76,29 +75,30 @@
         }
     }
 
-    /// Records that this many bytes were read from the connection.
+    /// Records the number of bytes that were read from the connection.
     pub fn record_read(&mut self, bytes: usize) {
         self.bytes_read += bytes;
     }
 
-    /// Records that all of the body's data has been handed to hyper.
+    /// Records that the body's data has been handed to hyper completely.
     pub fn record_body_end(&mut self) {
         if let RemainingBody::Chunks { ended } = &mut self.remaining_body {
             *ended = true;
         }
     }
 
-    /// Records that the head of the response has been read; its body has no limit here.
-    pub fn record_response(&mut self) {
-        self.response_received = true;
+    /// Records that the head of the response has been read. The limit on the head does not apply to the body
+    /// that follows.
+    pub fn record_response_head(&mut self) {
+        self.response_head_received = true;
     }
 
-    /// Whether any byte of the request has been written.
+    /// Returns whether any byte of the request has been written.
     pub fn has_started(&self) -> bool {
         self.started
     }
 
-    /// Whether the request's last byte has been written.
+    /// Returns whether the request's last byte has been written.
     pub fn is_complete(&self) -> bool {
         self.head_written
             && match self.remaining_body {
@@ -107,18 +107,18 @@
             }
     }
 
-    /// Whether bytes have been read that cannot be the response to this request.
-    pub fn has_premature_input(&self) -> bool {
+    /// Returns whether bytes have been read that cannot belong to the response to this request.
+    pub fn has_unsolicited_input(&self) -> bool {
         self.bytes_read > 0 && !self.may_be_answered()
     }
 
-    /// Whether the response's head is longer than any server's.
+    /// Returns whether the response head exceeds [`MAX_RESPONSE_HEAD_BYTES`].
     pub fn response_head_is_too_long(&self) -> bool {
-        self.bytes_read > MAX_RESPONSE_HEAD_BYTES && !self.response_received
+        self.bytes_read > MAX_RESPONSE_HEAD_BYTES && !self.response_head_received
     }
 
-    /// Whether the server can answer by now. It may reject a request with a long body before all of that has
-    /// arrived.
+    /// Returns whether the server may already respond. It may reject a request with a long body before the
+    /// body has arrived completely.
     fn may_be_answered(&self) -> bool {
         match self.remaining_body {
             RemainingBody::Bytes(remaining) if remaining <= MAX_BUFFERED_BODY_BYTES as u64 => {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Compares the next byte with what [`TERMINATOR`] continues with.
+    /// Updates the number of matched bytes of [`TERMINATOR`] for the next byte written.
     fn match_terminator(&mut self, byte: u8) {
         let matched = self.terminator_matched % TERMINATOR.len();
         self.terminator_matched = if byte == TERMINATOR[matched] {
