--- a/crates/gateway/src/driver/decision_driver.rs
+++ b/crates/gateway/src/driver/decision_driver.rs
@@ -1,5 +1,5 @@
-//! Owns the decision core and all that it drives: passes it events and carries out its actions. No decision is made
-//! here.
+//! Drives the decision core: passes events to it and carries out the actions that it returns. The driver
+//! itself makes no decisions.
 
 mod attempts;
 mod requests;
@@ -12,7 +12,7 @@
 use crate::driver::decision_log::DecisionLog;
 use crate::driver::request::Answer;
 use crate::driver::request_table::RequestTable;
-use crate::driver::timers::{DueTimer, Timers};
+use crate::driver::timers::{Timer, TimerQueue};
 use crate::operations::request_counts::RequestCounters;
 use crate::servers::exchange::Upstream;
 use crate::servers::health_check::HealthCheckResult;
@@ -27,61 +27,55 @@
 use tokio::sync::Notify;
 use tracing::warn;
 
-/// A health check without a response by then has failed.
+/// Time after which a health check without a response has failed.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What the actions of the decision core are carried out with.
+/// Network services that carry out the actions of the decision core.
 pub struct Transports {
     /// Sends attempts and health checks.
     pub upstream: Rc<Upstream>,
-    /// Sends gossip; `None` where the settings allow none.
+    /// Sends gossip; `None` if gossip is not configured.
     pub peers: Option<Rc<Peers>>,
-    /// The shared counter, where there is one.
+    /// Client of the shared counter, if one is configured.
     pub counter: Option<Rc<SharedCounter>>,
-    /// The path that health checks ask for.
+    /// Path that health checks request.
     pub health_check_path: &'static str,
 }
 
-/// What changes with every event.
+/// Mutable state of the driver.
 struct DriverState {
     /// The decision core.
     gateway: Gateway,
-    /// The pending requests.
     requests: RequestTable,
-    /// The pending timers.
-    timers: Timers,
-    /// Events that the decision core has yet to handle.
+    timers: TimerQueue,
+    /// Queue of events that the decision core has not handled yet.
     events: VecDeque<Event>,
-    /// The actions of one event; kept to reuse its memory.
+    /// Buffer for the actions of one event, kept between events to reuse its memory.
     actions: Vec<Action>,
 }
 
-/// The only owner of the decision core. It lives on one thread and is shared by `Rc`.
+/// The owner of the decision core. It stays on one thread and is shared by `Rc`.
 pub struct DecisionDriver {
-    /// What changes with every event.
     state: RefCell<DriverState>,
-    /// Wakes the timer loop for a timer that is due before its next wake-up.
-    earlier_timer: Notify,
-    /// The clock of the process.
+    /// Wakes the timer loop when a timer is armed that is due before the next scheduled wake-up.
+    earlier_timer_armed: Notify,
     clock: Clock,
-    /// What actions are carried out with.
     transports: Transports,
-    /// Counts requests and attempts.
+    /// Counters of requests and attempts.
     request_counters: Rc<RequestCounters>,
-    /// Log lines about the decision core.
     log: DecisionLog,
 }
 
 impl DecisionDriver {
-    /// Drives a decision core that has handled no event yet.
+    /// Creates a driver of a decision core that has not handled any event.
     pub fn new(
         gateway: Gateway,
         clock: Clock,
         transports: Transports,
         request_counters: Rc<RequestCounters>,
     ) -> Rc<DecisionDriver> {
-        let mut timers = Timers::default();
-        timers.arm(clock.now() + timer_loop::CLOSE_EXPIRED_INTERVAL, DueTimer::CloseExpiredConnections);
+        let mut timers = TimerQueue::default();
+        timers.arm(clock.now() + timer_loop::CLOSE_EXPIRED_INTERVAL, Timer::CloseExpiredConnections);
         let state = DriverState {
             gateway,
             requests: RequestTable::default(),
@@ -91,7 +85,7 @@
         };
         Rc::new(DecisionDriver {
             state: RefCell::new(state),
-            earlier_timer: Notify::new(),
+            earlier_timer_armed: Notify::new(),
             clock,
             transports,
             request_counters,
@@ -111,25 +105,25 @@
         self.process_events(&mut state);
     }
 
-    /// Notifies the decision core that every request must have its final answer by a deadline.
+    /// Notifies the decision core of a shutdown: every request must have its final answer by the deadline.
     pub fn shut_down_by(self: &Rc<Self>, deadline: Instant) {
         self.handle(Event::Shutdown { deadline: self.clock.micros_at(deadline) });
     }
 
-    /// Passes on a gossip message from another gateway.
+    /// Passes a gossip message from another gateway to the decision core.
     pub fn gossip_received(self: &Rc<Self>, from: usize, message: Vec<u8>) {
         self.handle(Event::GossipReceived { from, message });
     }
 
-    /// The state of the decision core, for the successor process.
+    /// Returns the state of the decision core for the successor process.
     pub fn hand_over(&self) -> String {
         self.state.borrow_mut().gateway.hand_over(self.clock.now())
     }
 
-    /// Restores the state that the predecessor process handed over.
+    /// Restores the state from the predecessor process. Continues without it if it is not valid.
     pub fn take_over(&self, text: &str) {
         if let Err(error) = self.state.borrow_mut().gateway.take_over(self.clock.now(), text) {
-            warn!(%error, "the state handed over cannot be restored; the decision core starts without it");
+            warn!(%error, "cannot restore the predecessor's state; the decision core starts without it");
         }
     }
 
@@ -138,33 +132,34 @@
         self.transports.upstream.pool.close_idle();
     }
 
-    /// The metrics that operators read.
+    /// Returns the metrics as text for operators.
     pub fn metrics_text(&self) -> String {
         let endpoints = self.state.borrow().gateway.endpoint_counts(self.clock.now());
         self.request_counters.metrics_text(endpoints)
     }
 
-    /// Has the decision core handle one event.
+    /// Queues an event and processes all queued events.
     fn handle(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         state.events.push_back(event);
         self.process_events(&mut state);
     }
 
-    /// Has the decision core handle all queued events, and carries out its actions.
+    /// Passes all queued events to the decision core and carries out its actions.
     fn process_events(self: &Rc<Self>, state: &mut DriverState) {
         self.process_events_from(state, self.clock.now());
     }
 
-    /// Processes the queued events, the first of them at a given time.
+    /// Processes all queued events, the first one with `now` as its time.
     fn process_events_from(self: &Rc<Self>, state: &mut DriverState, mut now: Micros) {
         while let Some(event) = state.events.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
             let gateway = &mut state.gateway;
-            // A panic in a decision must not end the other requests; its own is answered at its deadline.
+            // A panic in a decision must not end the other requests. The request concerned is answered at its
+            // deadline.
             let handled = catch_unwind(AssertUnwindSafe(|| gateway.handle(now, event, &mut actions)));
             if handled.is_err() {
-                self.log.panicked();
+                self.log.log_panic();
             }
             for action in actions.drain(..) {
                 self.perform(state, now, action);
@@ -183,13 +178,13 @@
             Action::Cancel { id, attempt } => {
                 self.abort_if_in_flight(state, id, attempt, AttemptStatus::Cancelled);
             }
-            Action::Timer { at, timer } => self.arm(state, at, DueTimer::Decision(timer)),
+            Action::Timer { at, timer } => self.arm(state, at, Timer::Decision(timer)),
             Action::CheckHealth { server } => self.check_health(server),
             Action::SendGossip { to, message } => self.send_gossip(to, &message),
             // The endpoint watch is always open and restarts by itself after a failure.
             Action::PollEndpoints => {}
             Action::AddToCounter { counter, amount, ttl } => self.add_to_counter(state, counter, amount, ttl),
-            Action::Log { text } => self.log.message(&text),
+            Action::Log { text } => self.log.log_core_message(&text),
         }
     }
 
@@ -205,7 +200,7 @@
         });
     }
 
-    /// Sends a gossip message, where gossip is allowed.
+    /// Sends a gossip message, if gossip is configured.
     fn send_gossip(&self, to: usize, message: &[u8]) {
         if let Some(peers) = &self.transports.peers {
             peers.send(to, message);
@@ -221,7 +216,7 @@
         ttl: Micros,
     ) {
         let Some(shared_counter) = self.transports.counter.clone() else {
-            // Without a shared counter nothing is added.
+            // Without a shared counter, the addition counts as refused.
             let result = CounterResult::Refused;
             state.events.push_back(Event::CounterReplied { counter, result, elapsed: 0 });
             return;
--- a/crates/gateway/src/driver/decision_driver/attempts.rs
+++ b/crates/gateway/src/driver/decision_driver/attempts.rs
@@ -1,15 +1,15 @@
-//! The attempts of a request: their start, their end by themselves, and their abort.
+//! Starts, completes and aborts the attempts of requests.
 
 use super::{DecisionDriver, DriverState};
 use crate::driver::request::Answer;
 use crate::driver::request_table::InFlightAttempt;
-use crate::driver::timers::DueTimer;
+use crate::driver::timers::Timer;
 use crate::servers::attempt::{AttemptConnection, AttemptDeadlines, AttemptOutcome, OutgoingRequest};
 use grebehook_core::{AttemptStatus, Event, Micros, RequestId, ServerId};
 use std::rc::Rc;
 
 impl DecisionDriver {
-    /// Starts an attempt; a timeout of 0 leaves it all of the request's time.
+    /// Starts an attempt that times out after `timeout`; with a timeout of 0, at the request's deadline.
     pub(super) fn start_attempt(
         self: &Rc<Self>,
         state: &mut DriverState,
@@ -29,52 +29,55 @@
         }
         let deadline = request.attempt_deadline(now, Some(timeout).filter(|timeout| *timeout > 0));
         let connection = Rc::new(AttemptConnection::default());
-        let times = AttemptDeadlines {
+        let deadlines = AttemptDeadlines {
             send_by: self.clock.instant_at(request.send_by(deadline)),
             answer_by: self.clock.instant_at(deadline),
         };
-        let exchange = self.clone().exchange(server, connection.clone(), request.outgoing.clone(), times);
+        let exchange = self.clone().exchange(server, connection.clone(), request.outgoing.clone(), deadlines);
         let driver = self.clone();
         let task = tokio::task::spawn_local(async move {
-            let response = exchange.await;
-            driver.attempt_ended(id, attempt, response);
+            let outcome = exchange.await;
+            driver.attempt_ended(id, attempt, outcome);
         });
         let task = task.abort_handle();
         request.in_flight = Some(InFlightAttempt { attempt, server, sent_at: now, connection, task });
         if !request.outgoing.body.is_incomplete() {
-            self.arm(state, deadline, DueTimer::AttemptTimeout { id, attempt });
+            self.arm(state, deadline, Timer::AttemptTimeout { id, attempt });
         }
     }
 
-    /// Exchanges one attempt with a server, and counts it once it is written completely.
+    /// Exchanges one attempt with a server, and counts the attempt once its request has been written
+    /// completely.
     async fn exchange(
         self: Rc<Self>,
         server: ServerId,
         connection: Rc<AttemptConnection>,
         outgoing: Rc<OutgoingRequest>,
-        times: AttemptDeadlines,
+        deadlines: AttemptDeadlines,
     ) -> AttemptOutcome {
         let written_attempts = Some(&self.request_counters.attempts);
-        self.transports.upstream.exchange(server, &connection, &outgoing, times, written_attempts).await
+        self.transports.upstream.exchange(server, &connection, &outgoing, deadlines, written_attempts).await
     }
 
-    /// An attempt ended by itself. A successful response goes to the client at once and ends the request.
-    fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: u32, mut response: AttemptOutcome) {
+    /// Handles the end of an attempt that was not aborted. A successful response is passed to the client
+    /// immediately and ends the request.
+    fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: u32, mut outcome: AttemptOutcome) {
         let mut state = self.state.borrow_mut();
         let Some(request) = state.requests.get_mut(id) else { return };
         let Some(ended) = request.in_flight.take_if(|in_flight| in_flight.attempt == attempt) else { return };
-        if response.status == AttemptStatus::NotSent {
+        if outcome.status == AttemptStatus::NotSent {
             request.answer_if_client_disconnected();
         }
-        if let Some(served) = response.response.take() {
+        if let Some(served) = outcome.response.take() {
             state.requests.answer(id, Answer::Served(served));
         }
-        self.record_end(&mut state, id, &ended, response);
+        self.record_attempt_end(&mut state, id, &ended, outcome);
         self.process_events(&mut state);
     }
 
-    /// Aborts the attempts that still wait for a connection to a server that is draining or gone: they would be sent
-    /// once the connection is established, perhaps after the grace period of a drain.
+    /// Aborts the attempts that are still waiting for a connection to a server that is no longer ready. They
+    /// would otherwise be sent once the connection is established, possibly after the grace period of a
+    /// draining server.
     pub(super) fn abort_attempts_to_unready_servers(&self, state: &mut DriverState) {
         let pool = &self.transports.upstream.pool;
         let is_affected =
@@ -97,29 +100,29 @@
         }
     }
 
-    /// Aborts a request's attempt in flight: none of it is on the network when this returns.
+    /// Aborts a request's attempt in flight. None of it is on the network when this function returns.
     pub(super) fn abort_attempt(&self, state: &mut DriverState, id: RequestId, status: AttemptStatus) {
         let Some(request) = state.requests.get_mut(id) else { return };
         let Some(in_flight) = request.in_flight.take() else { return };
         let status = in_flight.abort(status);
-        self.record_end(state, id, &in_flight, AttemptOutcome::without_response(status));
+        self.record_attempt_end(state, id, &in_flight, AttemptOutcome::without_response(status));
     }
 
-    /// Queues the events by which the decision core learns how an attempt ended.
-    fn record_end(
+    /// Records the end of an attempt and queues the events that report it to the decision core.
+    fn record_attempt_end(
         &self,
         state: &mut DriverState,
         id: RequestId,
         ended: &InFlightAttempt,
-        response: AttemptOutcome,
+        outcome: AttemptOutcome,
     ) {
         let elapsed = self.clock.now().saturating_sub(ended.sent_at);
         let request = state.requests.get_mut(id);
-        if request.is_some_and(|request| request.record_end(ended, response.status)) {
+        if request.is_some_and(|request| request.record_attempt_end(ended, outcome.status)) {
             state.events.push_back(Event::BodyConsumed { id });
         }
-        let request_finished = !state.requests.is_open(id);
-        let event = response.into_event(id, ended.attempt, ended.server, elapsed, request_finished);
+        let request_finished = !state.requests.is_unanswered(id);
+        let event = outcome.into_event(id, ended.attempt, ended.server, elapsed, request_finished);
         state.events.push_back(event);
         state.requests.remove_if_finished(id);
     }
--- a/crates/gateway/src/driver/decision_driver/requests.rs
+++ b/crates/gateway/src/driver/decision_driver/requests.rs
@@ -1,9 +1,9 @@
-//! What clients do: a request arrives, its body is completed, its client disconnects.
+//! Handles requests of clients: their arrival, the end of their bodies, disconnecting clients and deadlines.
 
 use super::{DecisionDriver, DriverState};
 use crate::driver::request::{Answer, RequestHead, SubmittedRequest};
-use crate::driver::request_table::OpenedRequest;
-use crate::driver::timers::DueTimer;
+use crate::driver::request_table::InsertedRequest;
+use crate::driver::timers::Timer;
 use crate::servers::attempt::OutgoingRequest;
 use grebehook_core::{AttemptStatus, Event, Micros, RequestId};
 use hyper::header::HeaderValue;
@@ -11,8 +11,9 @@
 use std::time::Duration;
 
 impl DecisionDriver {
-    /// Enters a client's request; its time counts from when its last byte reached this machine, which is asked of
-    /// the connection once that byte has been read. `None` while another one with the same client's id is pending.
+    /// Submits a client's request to the decision core. The request's time counts from the arrival of its
+    /// last byte at this machine; `newest_byte_age` is called once that byte has been read. Returns `None`
+    /// while another request with the same `client_request_id` is pending.
     pub fn submit(
         self: &Rc<Self>,
         client_request_id: HeaderValue,
@@ -26,21 +27,22 @@
         let age = if is_complete { newest_byte_age().as_micros() as Micros } else { 0 };
         let deadline = now + head.client_timeout.saturating_sub(age);
         let window = head.deduplication_window;
-        let OpenedRequest { id, answer } =
-            state.requests.open(client_request_id, outgoing, deadline, window)?;
-        self.arm(&mut state, deadline, DueTimer::RequestDeadline(id));
-        let body_incomplete = self.watch_body(&state, id, head.client_timeout, newest_byte_age);
+        let InsertedRequest { id, answer } =
+            state.requests.insert(client_request_id, outgoing, deadline, window)?;
+        self.arm(&mut state, deadline, Timer::RequestDeadline(id));
+        let body_incomplete =
+            self.notify_when_body_forwarded(&state, id, head.client_timeout, newest_byte_age);
         state.events.push_back(Event::RequestArrived(head.arrival(id, age, body_incomplete)));
-        // The decision core must see the same time as the deadline timer was computed from: on a busy machine a
-        // second reading of the clock can be late by more than the core's margin, and the deadline would then
-        // come first.
+        // The decision core must get the time that the deadline timer was computed from. On a busy machine, a
+        // second reading of the clock can be later by more than the core's margin, and the deadline would
+        // then fall due before the core's own timer.
         self.process_events_from(&mut state, now);
         Some(SubmittedRequest { id, answer, counter: self.request_counters.begin(head.class) })
     }
 
-    /// Has [`DecisionDriver::body_complete`] called once all of a request's body is forwarded. Returns whether
-    /// part of it is still to come.
-    fn watch_body(
+    /// Arranges for [`DecisionDriver::body_complete`] to be called once a request's body has been forwarded
+    /// completely. Returns whether part of the body has yet to be forwarded.
+    fn notify_when_body_forwarded(
         self: &Rc<Self>,
         state: &DriverState,
         id: RequestId,
@@ -55,22 +57,23 @@
             .on_forwarded(move || driver.body_complete(id, client_timeout, newest_byte_age()))
     }
 
-    /// The last of a long body was forwarded: the request's time starts when that reached this machine.
+    /// Restarts the request's time after the last part of a long body has been forwarded. The time counts
+    /// from the arrival of that part at this machine, `age` ago.
     fn body_complete(self: &Rc<Self>, id: RequestId, client_timeout: Micros, age: Duration) {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
         let Some(request) = state.requests.get_mut(id) else { return };
         let age = age.as_micros() as Micros;
         let deadline = now + client_timeout.saturating_sub(age);
-        if let Some(attempt) = request.restart(now, deadline) {
-            self.arm(&mut state, deadline, DueTimer::AttemptTimeout { id, attempt });
+        if let Some(attempt) = request.restart_timing(now, deadline) {
+            self.arm(&mut state, deadline, Timer::AttemptTimeout { id, attempt });
         }
-        self.arm(&mut state, deadline, DueTimer::RequestDeadline(id));
+        self.arm(&mut state, deadline, Timer::RequestDeadline(id));
         state.events.push_back(Event::BodyComplete { id, age });
         self.process_events_from(&mut state, now);
     }
 
-    /// A request's client disconnected. Returns the request's final answer.
+    /// Ends a request whose client has disconnected, and returns its final answer.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) -> Answer {
         let mut state = self.state.borrow_mut();
         let Some(request) = state.requests.get_mut(id) else { return Answer::Failed };
@@ -81,7 +84,8 @@
         let in_flight = request.in_flight.as_ref();
         let is_unwritten = in_flight.is_some_and(|attempt| !attempt.connection.request_written());
         state.events.push_back(Event::ClientDisconnected { id });
-        // Nothing is sent for a request that is over, not even by an attempt that waits for its connection.
+        // Nothing may be sent for a request that has ended, including by an attempt that waits for its
+        // connection.
         if is_unwritten {
             self.abort_attempt(&mut state, id, AttemptStatus::NotSent);
         }
@@ -90,21 +94,21 @@
         answer
     }
 
-    /// Ends a request at its deadline. The decision core is first notified that the attempt in flight timed out
-    /// and may answer; if it does not, the request ends without its answer.
-    pub(super) fn end_overdue(&self, state: &mut DriverState, id: RequestId) {
+    /// Ends a request at its deadline. First reports the timeout of an attempt in flight to the decision
+    /// core, which may then answer the request; if it does not, the request ends without the core's answer.
+    pub(super) fn expire_request(&self, state: &mut DriverState, id: RequestId) {
         let Some(request) = state.requests.get(id).filter(|request| request.answer.is_some()) else { return };
-        // While the body is incomplete the deadline is not known yet.
+        // The deadline is not known while the body is incomplete.
         if request.outgoing.body.is_incomplete() || self.clock.now() < request.deadline {
             return;
         }
         if request.in_flight.is_some() {
             let deadline = request.deadline;
             self.abort_attempt(state, id, AttemptStatus::Timeout);
-            self.arm(state, deadline, DueTimer::RequestDeadline(id));
+            self.arm(state, deadline, Timer::RequestDeadline(id));
             return;
         }
-        self.log.left_unanswered();
+        self.log.log_unanswered_request();
         state.requests.answer(id, Answer::TimedOut);
         state.events.push_back(Event::ClientDisconnected { id });
     }
--- a/crates/gateway/src/driver/decision_driver/timer_loop.rs
+++ b/crates/gateway/src/driver/decision_driver/timer_loop.rs
@@ -1,28 +1,29 @@
-//! The loop that fires timers as they fall due.
+//! Loop that fires timers when they are due.
 
 use super::{DecisionDriver, DriverState};
-use crate::driver::timers::DueTimer;
+use crate::driver::timers::Timer;
 use grebehook_core::{AttemptStatus, Event, Micros};
 use std::rc::Rc;
 use std::time::Instant;
 use tokio::time::sleep_until;
 
-/// How often idle connections to servers are checked for expiry; also the longest sleep of the loop.
+/// Interval between checks for idle connections that have expired, in microseconds. It is also the maximum
+/// sleep of the timer loop.
 pub(super) const CLOSE_EXPIRED_INTERVAL: Micros = 500_000;
 
 impl DecisionDriver {
-    /// Fires timers as they fall due, for as long as the process lives.
+    /// Fires timers when they are due. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let wake_at = self.fire_due_timers();
             tokio::select! {
                 () = sleep_until(wake_at.into()) => {}
-                () = self.earlier_timer.notified() => {}
+                () = self.earlier_timer_armed.notified() => {}
             }
         }
     }
 
-    /// Fires every timer that is due. Returns when to look again.
+    /// Fires every timer that is due. Returns the time of the next wake-up.
     fn fire_due_timers(self: &Rc<Self>) -> Instant {
         let mut state = self.state.borrow_mut();
         while let Some(timer) = state.timers.pop_due(self.clock.now()) {
@@ -35,26 +36,26 @@
         self.clock.instant_at(timers.schedule_wake(latest))
     }
 
-    /// Does what a timer was set for.
-    fn fire(&self, state: &mut DriverState, timer: DueTimer) {
+    /// Performs the operation of a timer that is due.
+    fn fire(&self, state: &mut DriverState, timer: Timer) {
         match timer {
-            DueTimer::Decision(timer) => state.events.push_back(Event::Timer { timer }),
-            DueTimer::AttemptTimeout { id, attempt } => {
+            Timer::Decision(timer) => state.events.push_back(Event::Timer { timer }),
+            Timer::AttemptTimeout { id, attempt } => {
                 self.abort_if_in_flight(state, id, attempt, AttemptStatus::Timeout);
             }
-            DueTimer::RequestDeadline(id) => self.end_overdue(state, id),
-            DueTimer::CloseExpiredConnections => {
+            Timer::RequestDeadline(id) => self.expire_request(state, id),
+            Timer::CloseExpiredConnections => {
                 self.transports.upstream.pool.close_expired();
                 let next = self.clock.now() + CLOSE_EXPIRED_INTERVAL;
-                self.arm(state, next, DueTimer::CloseExpiredConnections);
+                self.arm(state, next, Timer::CloseExpiredConnections);
             }
         }
     }
 
-    /// Sets a timer.
-    pub(super) fn arm(&self, state: &mut DriverState, at: Micros, timer: DueTimer) {
+    /// Arms a timer, and wakes the timer loop if the timer is due before the scheduled wake-up.
+    pub(super) fn arm(&self, state: &mut DriverState, at: Micros, timer: Timer) {
         if state.timers.arm(at, timer) {
-            self.earlier_timer.notify_one();
+            self.earlier_timer_armed.notify_one();
         }
     }
 }
--- a/crates/gateway/src/driver/decision_log.rs
+++ b/crates/gateway/src/driver/decision_log.rs
@@ -1,37 +1,36 @@
-//! Log lines about the decision core.
+//! Rate-limited log lines about the decision core.
 
 use crate::network::repeat_limiter::RepeatLimiter;
 use std::time::Instant;
 use tracing::{error, info, warn};
 
-/// Writes the log lines about the decision core; each kind has a rate limit of its own.
+/// Writes log lines about the decision core, with a separate rate limit for each kind of line.
 #[derive(Default)]
 pub struct DecisionLog {
-    /// Limits the lines about panics.
     panics: RepeatLimiter,
-    /// Limits the lines about requests without an answer.
+    /// Limits lines about requests that the decision core left unanswered.
     unanswered: RepeatLimiter,
-    /// Limits the decision core's own lines.
+    /// Limits lines that the decision core requested.
     messages: RepeatLimiter,
 }
 
 impl DecisionLog {
-    /// The decision core panicked while it handled an event.
-    pub fn panicked(&self) {
+    /// Logs that the decision core panicked while it handled an event.
+    pub fn log_panic(&self) {
         if let Some(suppressed) = self.panics.admit(Instant::now()) {
             error!(suppressed, "the decision core panicked; continuing with the next event");
         }
     }
 
-    /// The decision core gave a request no answer before its deadline.
-    pub fn left_unanswered(&self) {
+    /// Logs that the decision core did not answer a request before its deadline.
+    pub fn log_unanswered_request(&self) {
         if let Some(suppressed) = self.unanswered.admit(Instant::now()) {
             warn!(suppressed, "the decision core left a request unanswered at its deadline; answering 504");
         }
     }
 
-    /// A line that the decision core asked for.
-    pub fn message(&self, text: &str) {
+    /// Logs a line that the decision core requested.
+    pub fn log_core_message(&self, text: &str) {
         if let Some(suppressed) = self.messages.admit(Instant::now()) {
             info!(suppressed, "decision core: {text}");
         }
--- a/crates/gateway/src/driver/mod.rs
+++ b/crates/gateway/src/driver/mod.rs
@@ -1,4 +1,5 @@
-//! Drives the decision core: events go in, actions come out.
+//! Decision driver: passes events to the decision core and carries out its actions, with the clock, the
+//! timers and the table of pending requests that this takes.
 
 pub mod clock;
 pub mod decision_driver;
--- a/crates/gateway/src/driver/request.rs
+++ b/crates/gateway/src/driver/request.rs
@@ -1,4 +1,4 @@
-//! A client's request as the decision core needs it, and its final answer.
+//! The attributes of a client's request that decisions depend on, and the request's final answer.
 
 use crate::bodies::download::ResponseContent;
 use crate::operations::request_counts::RequestCounterGuard;
@@ -8,40 +8,41 @@
 
 /// The final answer of a request.
 pub enum Answer {
-    /// A server's response, passed on.
+    /// Response of a server, to be forwarded to the client.
     Served(Response<ResponseContent>),
-    /// Rejected: a retry is harmless, after this delay if one is advised.
+    /// The request has not run and may be retried safely, after the given delay if there is one.
     Rejected(Option<Micros>),
-    /// Failed: the request may or may not have taken effect.
+    /// The request failed, and may or may not have taken effect.
     Failed,
     /// The deadline passed before the decision core answered.
     TimedOut,
 }
 
-/// What a client asks for.
+/// Attributes of a client's request, as determined from its head.
 pub struct RequestHead {
-    /// Index of the class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Index of the plan.
+    /// Index of the customer's plan.
     pub plan: usize,
-    /// The customer.
+    /// Customer that sent the request.
     pub customer: CustomerId,
-    /// How long the client waits.
+    /// Time that the client waits for the answer.
     pub client_timeout: Micros,
-    /// Units of quota that the request uses.
+    /// Quota units that the request uses.
     pub units: f64,
-    /// How many gateways serve the customer.
+    /// Number of gateways that serve the customer.
     pub customer_gateway_count: usize,
-    /// The first of them.
+    /// First of the gateways that serve the customer.
     pub first_gateway: usize,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// How long servers deduplicate its retries, if it has an idempotency key.
+    /// Time for which servers deduplicate retries of the request, if it has an idempotency key.
     pub deduplication_window: Option<Micros>,
 }
 
 impl RequestHead {
-    /// The event that reports the request, which reached this machine some time ago, to the decision core.
+    /// Builds the event that reports the arrival of the request to the decision core. `age` is the time since
+    /// the request reached this machine.
     pub fn arrival(&self, id: RequestId, age: Micros, body_incomplete: bool) -> RequestArrival {
         RequestArrival {
             id,
@@ -59,12 +60,12 @@
     }
 }
 
-/// A request that was submitted to the decision core.
+/// A request that has been submitted to the decision core.
 pub struct SubmittedRequest {
-    /// Its number.
+    /// Id of the request in the decision core.
     pub id: RequestId,
-    /// Receives its final answer.
+    /// Receives the final answer.
     pub answer: oneshot::Receiver<Answer>,
-    /// Counts it until it has ended.
+    /// Counts the request as active until it has ended.
     pub counter: RequestCounterGuard,
 }
--- a/crates/gateway/src/driver/request_table.rs
+++ b/crates/gateway/src/driver/request_table.rs
@@ -1,7 +1,7 @@
-//! The requests that wait for an answer or have an attempt in flight.
+//! Table of the requests that await an answer or have an attempt in flight.
 
 use crate::driver::request::Answer;
-use crate::driver::timers::DueTimer;
+use crate::driver::timers::Timer;
 use crate::servers::attempt::{AttemptConnection, OutgoingRequest};
 use grebehook_core::{AttemptStatus, Micros, RequestId, ServerId};
 use hyper::header::HeaderValue;
@@ -10,22 +10,23 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// An attempt in flight.
+/// An attempt that has been started and has not ended yet.
 pub struct InFlightAttempt {
-    /// Its number among the attempts of its request.
+    /// Index of the attempt among the attempts of its request.
     pub attempt: u32,
-    /// The server that it is sent to.
+    /// Server that the attempt is sent to.
     pub server: ServerId,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: Micros,
-    /// Its connection.
+    /// Shared access to the connection, for aborting the attempt.
     pub connection: Rc<AttemptConnection>,
-    /// The task that carries it out.
+    /// Handle of the task that carries out the attempt.
     pub task: AbortHandle,
 }
 
 impl InFlightAttempt {
-    /// Aborts the attempt: none of it is on the network when this returns. Returns the status with which it ended.
+    /// Aborts the attempt and returns its final status. None of it is on the network when this function
+    /// returns.
     pub fn abort(&self, status: AttemptStatus) -> AttemptStatus {
         let request_written = self.connection.request_written();
         self.connection.close();
@@ -38,31 +39,31 @@
     }
 }
 
-/// A request in the table. Its final answer goes through a sender that the first answer consumes, so that there can
-/// be no second one.
+/// A request in the table. Its final answer is sent through a channel whose sender is consumed by the first
+/// answer, so that a second answer is impossible.
 pub struct PendingRequest {
-    /// The id that the client gave it.
+    /// Id that the client assigned to the request.
     client_request_id: HeaderValue,
-    /// Takes the final answer; `None` once it was given.
+    /// Sender of the final answer; `None` once the request has been answered.
     pub answer: Option<oneshot::Sender<Answer>>,
-    /// What is sent to servers.
+    /// Request that is forwarded to servers.
     pub outgoing: Rc<OutgoingRequest>,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Micros,
-    /// How many attempts were made.
+    /// Number of attempts made.
     pub attempts: u32,
-    /// The decision core was notified that the body cannot be sent again.
+    /// Whether the decision core has been notified that the body cannot be sent again.
     body_consumption_reported: bool,
-    /// The attempt in flight.
+    /// Attempt in flight, if any.
     pub in_flight: Option<InFlightAttempt>,
-    /// How long servers deduplicate retries of a request with an idempotency key.
+    /// Time for which servers deduplicate retries of the request, if it has an idempotency key.
     deduplication_window: Option<Micros>,
-    /// When the first attempt that may have run was sent.
-    may_have_run_at: Option<Micros>,
+    /// Time at which the first attempt that may have run was sent.
+    first_run_sent_at: Option<Micros>,
 }
 
 impl PendingRequest {
-    /// Whether an attempt may start now: never a second one at a time, nor one for a request that is over.
+    /// Returns whether an attempt may start now: only if none is in flight and the request has not ended.
     pub fn may_start_attempt(&self, now: Micros) -> bool {
         self.in_flight.is_none() && self.answer.is_some() && now < self.deadline
     }
@@ -74,12 +75,13 @@
         }
         let answer = self.answer_without_response();
         if let Some(sender) = self.answer.take() {
-            // A client that shut down only its sending side still receives the answer.
+            // A client that has shut down only its sending side still receives the answer.
             let _ = sender.send(answer);
         }
     }
 
-    /// Its final answer if no server's response comes: rejected where no server can have run it.
+    /// Returns the final answer for a request without a server's response: rejected if no server can have run
+    /// it, else failed.
     pub fn answer_without_response(&self) -> Answer {
         if self.may_have_run() {
             Answer::Failed
@@ -88,15 +90,15 @@
         }
     }
 
-    /// Whether a server may have run it: an attempt has ended so that it may have, or the one in flight is written
-    /// completely.
+    /// Returns whether a server may have run the request: the status of an ended attempt allows for it, or
+    /// the attempt in flight has been written completely.
     fn may_have_run(&self) -> bool {
         let attempt_written =
             self.in_flight.as_ref().is_some_and(|attempt| attempt.connection.request_written());
-        self.may_have_run_at.is_some() || attempt_written
+        self.first_run_sent_at.is_some() || attempt_written
     }
 
-    /// When an attempt that is sent now times out; without a timeout of its own, at the request's deadline.
+    /// Returns the deadline of an attempt that is sent now, which is at most the request's deadline.
     pub fn attempt_deadline(&self, now: Micros, timeout: Option<Micros>) -> Micros {
         match timeout {
             None => self.deadline,
@@ -104,28 +106,29 @@
         }
     }
 
-    /// The latest time at which an attempt may be written. The decision core checks the deduplication window when it
-    /// decides; an attempt whose connection is established after the window has ended must not be sent, since the
-    /// request could take effect twice.
+    /// Returns the latest time at which an attempt may be written. The decision core checks the deduplication
+    /// window when it decides on the attempt. An attempt whose connection is established after the end of the
+    /// window must not be sent, because the request could take effect twice.
     pub fn send_by(&self, attempt_deadline: Micros) -> Micros {
-        let first_run = self.may_have_run_at.zip(self.deduplication_window);
+        let first_run = self.first_run_sent_at.zip(self.deduplication_window);
         let window_end = first_run.map(|(sent_at, window)| sent_at + window);
         window_end.map_or(attempt_deadline, |end| attempt_deadline.min(end))
     }
 
-    /// Restarts the request's time once the last of a long body is forwarded. Returns the attempt in flight.
-    pub fn restart(&mut self, now: Micros, deadline: Micros) -> Option<u32> {
+    /// Restarts the request's time once the last part of a long body has been forwarded. Returns the index of
+    /// the attempt in flight.
+    pub fn restart_timing(&mut self, now: Micros, deadline: Micros) -> Option<u32> {
         self.deadline = deadline;
         let attempt = self.in_flight.as_mut()?;
         attempt.sent_at = now;
         Some(attempt.attempt)
     }
 
-    /// Records how an attempt ended. Returns whether the decision core has yet to be notified that the body cannot
-    /// be sent again.
-    pub fn record_end(&mut self, ended: &InFlightAttempt, status: AttemptStatus) -> bool {
+    /// Records the end of an attempt. Returns whether the decision core has yet to be notified that the body
+    /// cannot be sent again.
+    pub fn record_attempt_end(&mut self, ended: &InFlightAttempt, status: AttemptStatus) -> bool {
         if status.may_have_run() {
-            self.may_have_run_at.get_or_insert(ended.sent_at);
+            self.first_run_sent_at.get_or_insert(ended.sent_at);
         }
         let unreported = self.outgoing.body.is_consumed() && !self.body_consumption_reported;
         self.body_consumption_reported |= unreported;
@@ -133,34 +136,34 @@
     }
 }
 
-/// A request that was just entered in the table.
-pub struct OpenedRequest {
-    /// Its number.
+/// A request that has just been inserted into the table.
+pub struct InsertedRequest {
+    /// Id of the request in the table.
     pub id: RequestId,
-    /// Receives its final answer.
+    /// Receives the final answer.
     pub answer: oneshot::Receiver<Answer>,
 }
 
-/// The table of pending requests; no two have the same client's id.
+/// The table of pending requests. No two of them have the same `client_request_id`.
 #[derive(Default)]
 pub struct RequestTable {
-    /// The requests by their numbers.
     requests: HashMap<RequestId, PendingRequest>,
-    /// The ids that clients gave them.
+    /// Ids that clients assigned to the requests in the table.
     client_request_ids: HashSet<HeaderValue>,
-    /// The number of the newest request.
+    /// Id of the newest request.
     last_id: u64,
 }
 
 impl RequestTable {
-    /// Enters a request. `None` while another one with the same client's id is in the table.
-    pub fn open(
+    /// Inserts a request. Returns `None` while another request with the same `client_request_id` is in the
+    /// table.
+    pub fn insert(
         &mut self,
         client_request_id: HeaderValue,
         outgoing: OutgoingRequest,
         deadline: Micros,
         deduplication_window: Option<Micros>,
-    ) -> Option<OpenedRequest> {
+    ) -> Option<InsertedRequest> {
         if !self.client_request_ids.insert(client_request_id.clone()) {
             return None;
         }
@@ -176,34 +179,34 @@
             body_consumption_reported: false,
             in_flight: None,
             deduplication_window,
-            may_have_run_at: None,
+            first_run_sent_at: None,
         };
         self.requests.insert(id, request);
-        Some(OpenedRequest { id, answer: receiver })
+        Some(InsertedRequest { id, answer: receiver })
     }
 
-    /// A request.
+    /// Returns a pending request, or `None` once it has been removed.
     pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
-    /// A request, to be changed.
+    /// Returns a pending request for modification, or `None` once it has been removed.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// Whether this attempt of a request is in flight.
+    /// Returns whether the attempt of this index is the one in flight.
     pub fn is_in_flight(&self, id: RequestId, attempt: u32) -> bool {
         let in_flight = self.get(id).and_then(|request| request.in_flight.as_ref());
         in_flight.is_some_and(|in_flight| in_flight.attempt == attempt)
     }
 
-    /// Whether a request waits for its answer.
-    pub fn is_open(&self, id: RequestId) -> bool {
+    /// Returns whether a request is still awaiting its final answer.
+    pub fn is_unanswered(&self, id: RequestId) -> bool {
         self.get(id).is_some_and(|request| request.answer.is_some())
     }
 
-    /// The requests whose attempt in flight satisfies a condition, in the order of their numbers.
+    /// Returns the requests whose attempt in flight satisfies a condition, ordered by id.
     pub fn with_attempt(&self, condition: impl Fn(&InFlightAttempt) -> bool) -> Vec<RequestId> {
         let satisfies = |request: &PendingRequest| request.in_flight.as_ref().is_some_and(&condition);
         let selected = self.requests.iter().filter(|(_, request)| satisfies(request));
@@ -212,7 +215,7 @@
         ids
     }
 
-    /// Gives a request its final answer, unless it has one.
+    /// Sends the final answer of a request, unless the request has been answered already.
     pub fn answer(&mut self, id: RequestId, answer: Answer) {
         if let Some(sender) = self.get_mut(id).and_then(|request| request.answer.take()) {
             // A client that has just disconnected needs no answer.
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Removes a request that has its answer and no attempt in flight.
+    /// Removes a request that has been answered and has no attempt in flight.
     pub fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = |request: &PendingRequest| request.answer.is_none() && request.in_flight.is_none();
         if self.get(id).is_some_and(is_finished) {
@@ -231,12 +234,12 @@
         }
     }
 
-    /// Whether a timer has nothing left to do, since its request or attempt has ended.
-    pub fn is_obsolete(&self, timer: DueTimer) -> bool {
+    /// Returns whether a timer no longer has any effect because its request or attempt has ended.
+    pub fn is_obsolete(&self, timer: Timer) -> bool {
         match timer {
-            DueTimer::Decision(_) | DueTimer::CloseExpiredConnections => false,
-            DueTimer::AttemptTimeout { id, attempt } => !self.is_in_flight(id, attempt),
-            DueTimer::RequestDeadline(id) => !self.is_open(id),
+            Timer::Decision(_) | Timer::CloseExpiredConnections => false,
+            Timer::AttemptTimeout { id, attempt } => !self.is_in_flight(id, attempt),
+            Timer::RequestDeadline(id) => !self.is_unanswered(id),
         }
     }
 }
--- a/crates/gateway/src/driver/timers.rs
+++ b/crates/gateway/src/driver/timers.rs
@@ -1,77 +1,73 @@
-//! The timers of the process, ordered by the time at which they fall due.
+//! Queue of the process's timers, ordered by due time.
 
 use grebehook_core::{Micros, RequestId, TimerId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What falls due. Of several timers at one time the variant listed first fires first: the decision core must be
-/// notified of the end of an attempt before its own deadline timer fires, which would find the attempt in flight and
-/// have to assume that it may have run.
+/// A timer. Timers that are due at the same time fire in the order of the variants: the decision core must be
+/// notified of the end of an attempt before its own deadline timer fires. Otherwise the core would find the
+/// attempt in flight and have to assume that the request may have run.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum DueTimer {
-    /// The timeout of an attempt.
+pub enum Timer {
     AttemptTimeout {
-        /// Its request.
+        /// Request that the attempt belongs to.
         id: RequestId,
-        /// The attempt.
+        /// Index of the attempt among the attempts of its request.
         attempt: u32,
     },
-    /// A timer of the decision core.
+    /// Timer of the decision core.
     Decision(TimerId),
-    /// The deadline of a request.
     RequestDeadline(RequestId),
-    /// The periodic closing of connections that have been idle for too long.
+    /// Periodic closing of connections that have been idle for too long.
     CloseExpiredConnections,
 }
 
-/// A timer with its time; ordered by time first.
+/// A timer and its due time, ordered by due time first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledTimer {
-    /// When it falls due.
     at: Micros,
-    /// What falls due.
-    timer: DueTimer,
+    timer: Timer,
 }
 
-/// All pending timers, the earliest first.
+/// The pending timers, ordered by due time.
 #[derive(Default)]
-pub struct Timers {
-    /// The timers that have not fired.
+pub struct TimerQueue {
     pending: BinaryHeap<Reverse<ScheduledTimer>>,
-    /// The time for which the next wake-up is scheduled; `None` before the first one.
+    /// Time of the next scheduled wake-up; `None` before the first one.
     wake_at: Option<Micros>,
 }
 
-impl Timers {
-    /// Adds a timer. Returns whether the next wake-up is too late for it.
-    pub fn arm(&mut self, at: Micros, timer: DueTimer) -> bool {
+impl TimerQueue {
+    /// Adds a timer. Returns whether the timer is due before the scheduled wake-up.
+    pub fn arm(&mut self, at: Micros, timer: Timer) -> bool {
         self.pending.push(Reverse(ScheduledTimer { at, timer }));
         self.wake_at.is_some_and(|wake_at| at < wake_at)
     }
 
-    /// Removes the earliest timer if it is due.
-    pub fn pop_due(&mut self, now: Micros) -> Option<DueTimer> {
+    /// Removes and returns the earliest timer if it is due.
+    pub fn pop_due(&mut self, now: Micros) -> Option<Timer> {
         let is_due = self.earliest().is_some_and(|scheduled| scheduled.at <= now);
         let popped = is_due.then(|| self.pending.pop()).flatten();
         popped.map(|Reverse(scheduled)| scheduled.timer)
     }
 
-    /// Removes the earliest timers for as long as they are obsolete. Otherwise nearly every request would wake the
+    /// Removes obsolete timers from the front of the queue. Otherwise nearly every request would wake the
     /// process twice more after its end.
-    pub fn discard_obsolete(&mut self, is_obsolete: impl Fn(DueTimer) -> bool) {
+    pub fn discard_obsolete(&mut self, is_obsolete: impl Fn(Timer) -> bool) {
         while self.earliest().is_some_and(|scheduled| is_obsolete(scheduled.timer)) {
             self.pending.pop();
         }
     }
 
-    /// Schedules the next wake-up for the earliest timer, but no later than a given time. Returns its time.
+    /// Schedules the next wake-up for the earliest timer, but no later than `latest`. Returns the time of the
+    /// wake-up.
     pub fn schedule_wake(&mut self, latest: Micros) -> Micros {
         let wake_at = self.earliest().map_or(latest, |scheduled| scheduled.at.min(latest));
         self.wake_at = Some(wake_at);
         wake_at
     }
 
-    /// The timer that falls due next.
+    /// Returns the timer that is due next.
     fn earliest(&self) -> Option<ScheduledTimer> {
         self.pending.peek().map(|Reverse(scheduled)| *scheduled)
     }
