--- a/crates/gateway/src/driver/decision_driver.rs
+++ b/crates/gateway/src/driver/decision_driver.rs
@@ -44,8 +44,7 @@
 
 /// Mutable state of the driver.
 struct DriverState {
-    /// The decision core.
-    gateway: Gateway,
+    decision_core: Gateway,
     requests: RequestTable,
     timers: TimerQueue,
     /// Queue of events that the decision core has not handled yet.
@@ -69,7 +68,7 @@
 impl DecisionDriver {
     /// Creates a driver of a decision core that has not handled any event.
     pub fn new(
-        gateway: Gateway,
+        decision_core: Gateway,
         clock: Clock,
         transports: Transports,
         request_counters: Rc<RequestCounters>,
@@ -77,7 +76,7 @@
         let mut timers = TimerQueue::default();
         timers.arm(clock.now() + timer_loop::CLOSE_EXPIRED_INTERVAL, Timer::CloseExpiredConnections);
         let state = DriverState {
-            gateway,
+            decision_core,
             requests: RequestTable::default(),
             timers,
             events: VecDeque::new(),
@@ -117,12 +116,12 @@
 
     /// Returns the state of the decision core for the successor process.
     pub fn hand_over(&self) -> String {
-        self.state.borrow_mut().gateway.hand_over(self.clock.now())
+        self.state.borrow_mut().decision_core.hand_over(self.clock.now())
     }
 
     /// Restores the state from the predecessor process. Continues without it if it is not valid.
     pub fn take_over(&self, text: &str) {
-        if let Err(error) = self.state.borrow_mut().gateway.take_over(self.clock.now(), text) {
+        if let Err(error) = self.state.borrow_mut().decision_core.take_over(self.clock.now(), text) {
             warn!(%error, "cannot restore the predecessor's state; the decision core starts without it");
         }
     }
@@ -134,7 +133,7 @@
 
     /// Returns the metrics as text for operators.
     pub fn metrics_text(&self) -> String {
-        let endpoints = self.state.borrow().gateway.endpoint_counts(self.clock.now());
+        let endpoints = self.state.borrow().decision_core.endpoint_counts(self.clock.now());
         self.request_counters.metrics_text(endpoints)
     }
 
@@ -154,10 +153,10 @@
     fn process_events_from(self: &Rc<Self>, state: &mut DriverState, mut now: Micros) {
         while let Some(event) = state.events.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
-            let gateway = &mut state.gateway;
+            let decision_core = &mut state.decision_core;
             // A panic in a decision must not end the other requests. The request concerned is answered at its
             // deadline.
-            let handled = catch_unwind(AssertUnwindSafe(|| gateway.handle(now, event, &mut actions)));
+            let handled = catch_unwind(AssertUnwindSafe(|| decision_core.handle(now, event, &mut actions)));
             if handled.is_err() {
                 self.log.log_panic();
             }
--- a/crates/gateway/src/servers/exchange.rs
+++ b/crates/gateway/src/servers/exchange.rs
@@ -109,10 +109,10 @@
             self.pool.release_unused(server, connected);
             return AttemptOutcome::without_response(AttemptStatus::NotSent);
         }
-        let connection = connected.connection.clone();
+        let server_connection = connected.connection.clone();
         let outcome = self.send_over(connected, &attempt).await;
         outcome.unwrap_or_else(|ClosedBeforeWrite| {
-            let server_closed_connection = !connection.write_refused();
+            let server_closed_connection = !server_connection.write_refused();
             let status =
                 if server_closed_connection { AttemptStatus::ConnectFailed } else { AttemptStatus::NotSent };
             AttemptOutcome::without_response(status)
