--- a/crates/core/src/balancing/selection.rs
+++ b/crates/core/src/balancing/selection.rs
@@ -108,8 +108,8 @@
         };
         let is_ejected = |server: &Server| server.health.ejected_until() > now;
         let Some(site) = site_of(scope, &server.endpoint) else {
-            let is_trusted = server.endpoint.state == EndpointState::Ready && !is_ejected(server);
-            return self.servers.count(Subset::Healthy) > usize::from(is_trusted);
+            let is_healthy = server.endpoint.state == EndpointState::Ready && !is_ejected(server);
+            return self.servers.count(Subset::Healthy) > usize::from(is_healthy);
         };
         let mut nearby = self.servers.at_site(site, 0.0).take(MAX_SUBSTITUTES);
         nearby.any(|other| !is_ejected(other) && other.endpoint.server != id)
