--- a/crates/core/tests/common/actions.rs
+++ b/crates/core/tests/common/actions.rs
@@ -1,17 +1,17 @@
-//! What a gateway's actions amount to.
+//! Queries on the actions that a gateway returns.
 
 use grebehook_core::{Action, CounterId, ServerId};
 
-/// A call of the shared counter.
+/// A call to the shared counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterCall {
-    /// The key.
+    /// Key that the call adds to.
     pub counter: CounterId,
-    /// What is added to it.
+    /// Units that the call adds.
     pub amount: f64,
 }
 
-/// The server that an attempt is sent to, if there is one.
+/// Returns the destination of the first attempt among the actions.
 pub fn forwarded_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|action| match action {
         Action::Send { server, .. } => Some(*server),
@@ -19,17 +19,17 @@
     })
 }
 
-/// Whether a request is rejected.
+/// Returns whether one of the actions rejects a request.
 pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
-/// Whether a request fails.
+/// Returns whether one of the actions answers a request with a failure.
 pub fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
-/// All calls of the shared counter, in order.
+/// Returns all calls to the shared counter, in order.
 pub fn counter_calls(actions: &[Action]) -> Vec<CounterCall> {
     let as_call = |action: &Action| match action {
         Action::AddToCounter { counter, amount, .. } => {
@@ -40,7 +40,7 @@
     actions.iter().filter_map(as_call).collect()
 }
 
-/// The first call of the shared counter.
+/// Returns the first call to the shared counter.
 pub fn counter_call(actions: &[Action]) -> Option<CounterCall> {
     counter_calls(actions).first().copied()
 }
--- a/crates/core/tests/common/counter_fleet.rs
+++ b/crates/core/tests/common/counter_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet whose gateways share a counter.
+//! A fleet of gateways with a simulated shared counter.
 
 use super::actions::{counter_calls, forwarded_to, CounterCall};
 use super::events::counter_total;
@@ -8,23 +8,24 @@
 use grebehook_core::{Action, CounterId, Micros};
 use std::collections::BTreeMap;
 
-/// The customer whose requests the tests count.
+/// The customer whose requests tests count.
 const CUSTOMER: u64 = 5;
-/// How long the counter takes to reply.
+/// Time until the counter replies to a call.
 const REPLY_TIME: Micros = 2 * MILLISECOND;
 
-/// Gateways that share a counter, which adds each call at once and replies a moment later.
+/// A fleet of gateways and their shared counter, which applies each call at once and replies after
+/// [`REPLY_TIME`].
 pub struct CounterFleet {
-    /// The gateways.
+    /// The fleet's gateways, by index.
     pub gateways: Vec<FleetGateway>,
-    /// The counter's totals.
+    /// Totals of the shared counter, by key.
     pub totals: BTreeMap<CounterId, f64>,
-    /// The number of the last request.
-    last_request: u64,
+    /// Id of the most recent request.
+    last_request_id: u64,
 }
 
 impl CounterFleet {
-    /// Gateways that have not called the counter yet.
+    /// Creates a fleet that has not called the counter yet.
     pub fn new(gateway_count: usize) -> CounterFleet {
         let settings = with_shared_counter(settings_with_usage_reports());
         let start =
@@ -32,11 +33,12 @@
         CounterFleet {
             gateways: (0..gateway_count).map(start).collect(),
             totals: BTreeMap::new(),
-            last_request: 0,
+            last_request_id: 0,
         }
     }
 
-    /// Gateways that have saved counter calls and call whenever a total would help.
+    /// Creates a fleet whose gateways have saved enough counter calls to make one whenever a total is useful.
+    /// The totals start from 0.
     pub fn with_saved_calls(gateway_count: usize) -> CounterFleet {
         let mut fleet = CounterFleet::new(gateway_count);
         fleet.save_calls(990 * SECOND);
@@ -44,32 +46,34 @@
         fleet
     }
 
-    /// Adds an amount to a counter at once; returns its total.
+    /// Applies a call to the counter and returns the key's new total.
     pub fn add(&mut self, call: CounterCall) -> f64 {
         let total = self.totals.entry(call.counter).or_default();
         *total += call.amount;
         *total
     }
 
-    /// One request of the counted customer at a gateway; whether it was forwarded.
+    /// Delivers a request of [`CUSTOMER`] to a gateway, then a tick 50 ms later, and replies to the resulting
+    /// counter calls. Returns whether the request was forwarded before the tick.
     pub fn request(&mut self, gateway: usize, now: Micros) -> bool {
-        self.last_request += 1;
-        let actions = self.gateways[gateway].request(now, self.last_request, CUSTOMER);
+        self.last_request_id += 1;
+        let actions = self.gateways[gateway].request(now, self.last_request_id, CUSTOMER);
         let forwarded = self.complete_calls(gateway, now, actions);
         let actions = self.gateways[gateway].tick(now + 50 * MILLISECOND);
         self.complete_calls(gateway, now + 50 * MILLISECOND, actions);
         forwarded
     }
 
-    /// Each gateway gets requests of other customers for four seconds, some of which need no counter call.
+    /// Delivers requests of other customers to each gateway for four seconds. Some of them need no counter
+    /// call, so that the gateways save calls.
     fn save_calls(&mut self, from: Micros) {
         for gateway in 0..self.gateways.len() {
             for k in 0..60 {
                 let now = from + k * 66 * MILLISECOND;
-                self.last_request += 1;
-                // A customer whose bucket is ample and was just counted needs no call.
-                let customer = if k < 40 { 100 + self.last_request } else { 100 };
-                let actions = self.gateways[gateway].request(now, self.last_request, customer);
+                self.last_request_id += 1;
+                // A customer with a nearly full bucket and a recent total needs no call.
+                let customer = if k < 40 { 100 + self.last_request_id } else { 100 };
+                let actions = self.gateways[gateway].request(now, self.last_request_id, customer);
                 self.complete_calls(gateway, now, actions);
             }
             let now = from + 4 * SECOND;
@@ -78,19 +82,19 @@
         }
     }
 
-    /// Replies to counter calls until none is left; whether a request was forwarded meanwhile.
+    /// Replies to counter calls until none is left. Returns whether a request was forwarded meanwhile.
     fn complete_calls(&mut self, gateway: usize, mut now: Micros, mut actions: Vec<Action>) -> bool {
         let mut forwarded = false;
         while !actions.is_empty() {
             forwarded |= forwarded_to(&actions).is_some();
-            let mut following = Vec::new();
+            let mut next_actions = Vec::new();
             for call in counter_calls(&actions) {
                 now += REPLY_TIME;
                 let total = self.add(call);
                 let reply = counter_total(call.counter, total, REPLY_TIME);
-                following.extend(self.gateways[gateway].handle(now, reply));
+                next_actions.extend(self.gateways[gateway].handle(now, reply));
             }
-            actions = following;
+            actions = next_actions;
         }
         forwarded
     }
--- a/crates/core/tests/common/events.rs
+++ b/crates/core/tests/common/events.rs
@@ -1,4 +1,5 @@
-//! Events with defaults; tests change a field with `..arrival(id, customer)`.
+//! Events and reports with default values, of which tests override single fields by struct update, as in
+//! `..arrival(id, customer)`.
 
 use super::{MILLISECOND, SECOND};
 use grebehook_core::{
@@ -6,7 +7,8 @@
     RequestArrival, RequestId, ServerId, TimerId, WatchEvent,
 };
 
-/// A request of one unit in class 0 and plan 0, of a customer with two gateways and a timeout of two seconds.
+/// Returns a request of one unit in class 0 and plan 0, with a client timeout of two seconds, from a customer
+/// that two gateways serve.
 pub fn arrival(id: u64, customer: u64) -> RequestArrival {
     RequestArrival {
         id: RequestId(id),
@@ -23,7 +25,8 @@
     }
 }
 
-/// The end of a first attempt after 30 ms, with nothing reported; success finishes the request.
+/// Returns the report of a first attempt that ended after 30 ms, with neither usage nor load reported.
+/// Success finishes the request.
 pub fn attempt_report(id: RequestId, server: ServerId, status: AttemptStatus) -> AttemptReport {
     AttemptReport {
         id,
@@ -38,27 +41,27 @@
     }
 }
 
-/// The regular tick.
+/// Returns the event of the gateway's periodic tick.
 pub fn tick() -> Event {
     Event::Timer { timer: TimerId::TICK }
 }
 
-/// The complete endpoint list.
+/// Returns the event that delivers the complete endpoint list.
 pub fn endpoint_snapshot(endpoints: Vec<Endpoint>) -> Event {
     Event::EndpointsChanged { watch_event: WatchEvent::Snapshot, endpoints }
 }
 
-/// Changed entries of the endpoint list.
+/// Returns the event that delivers changed entries of the endpoint list.
 pub fn endpoint_delta(endpoints: Vec<Endpoint>) -> Event {
     Event::EndpointsChanged { watch_event: WatchEvent::Delta, endpoints }
 }
 
-/// A load report with the requests in flight and nothing else.
+/// Returns a load report that contains only the number of requests in flight.
 pub fn in_flight_report(in_flight: f64) -> LoadReport {
     LoadReport { in_flight: Some(in_flight), ..LoadReport::default() }
 }
 
-/// A successful health check that reports so many requests in flight.
+/// Returns the event of a successful health check whose load report contains only `in_flight`.
 pub fn health_check(server: u64, in_flight: f64) -> Event {
     Event::HealthCheckCompleted {
         server: ServerId(server),
@@ -67,7 +70,7 @@
     }
 }
 
-/// The shared counter's reply with a total.
+/// Returns the event of a shared counter's reply with the total of a key.
 pub fn counter_total(counter: CounterId, total: f64, elapsed: Micros) -> Event {
     Event::CounterReplied { counter, result: CounterResult::Total(total), elapsed }
 }
--- a/crates/core/tests/common/fleet_gateway.rs
+++ b/crates/core/tests/common/fleet_gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway of a fleet, handed events at times that the test chooses.
+//! One gateway of a fleet, which receives events at times that the test chooses.
 
 use super::actions::forwarded_to;
 use super::events::{arrival, attempt_report, endpoint_snapshot, in_flight_report, tick};
@@ -9,59 +9,61 @@
     ServerId, Settings,
 };
 
-/// A gateway without a clock of its own; its customers use all gateways of the fleet.
+/// A gateway whose caller supplies the time of each event. All gateways of the fleet serve each of its
+/// customers.
 pub struct FleetGateway {
-    /// The gateway.
+    /// Decision core under test.
     pub gateway: Gateway,
-    /// The fleet's size.
+    /// Number of gateways in the fleet.
     gateway_count: usize,
 }
 
 impl FleetGateway {
-    /// A gateway that starts at one second with servers 1 to 10 listed.
+    /// Creates a gateway that starts at one second and has received an endpoint list of servers 1 to 10.
     pub fn start(settings: Settings, seed: u64) -> FleetGateway {
         FleetGateway::start_at(SECOND, settings, seed, endpoints(1..=10))
     }
 
-    /// A gateway that starts at `now` with the given servers listed.
+    /// Creates a gateway that starts at `now` and has received the given endpoint list.
     pub fn start_at(now: Micros, settings: Settings, seed: u64, endpoints: Vec<Endpoint>) -> FleetGateway {
         let gateway_count = settings.gateway_count;
-        let gateway = Gateway::new(settings, seed, now).expect("valid settings");
+        let gateway = Gateway::new(settings, seed, now).expect("settings are valid");
         let mut gateway = FleetGateway { gateway, gateway_count };
         gateway.handle(now, endpoint_snapshot(endpoints));
         gateway
     }
 
-    /// Hands in an event; returns all actions.
+    /// Delivers an event and returns all actions, timers included.
     pub fn handle(&mut self, now: Micros, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(now, event, &mut actions);
         actions
     }
 
-    /// The regular tick.
+    /// Delivers the periodic tick and returns all actions.
     pub fn tick(&mut self, now: Micros) -> Vec<Action> {
         self.handle(now, tick())
     }
 
-    /// A request as this fleet's clients send it.
+    /// Returns a default request from a customer that all gateways of the fleet serve.
     pub fn arrival(&self, id: u64, customer: u64) -> RequestArrival {
         RequestArrival { customer_gateway_count: self.gateway_count, ..arrival(id, customer) }
     }
 
-    /// A request arrives; returns all actions.
+    /// Delivers a default request and returns all actions.
     pub fn request(&mut self, now: Micros, id: u64, customer: u64) -> Vec<Action> {
         let request = self.arrival(id, customer);
         self.handle(now, Event::RequestArrived(request))
     }
 
-    /// A request arrives and, if it is queued, its delay passes; returns where it is forwarded to.
+    /// Delivers a default request and, if it is queued, fires the timer of its pacing delay. Returns the
+    /// server to which it is forwarded.
     pub fn forward(&mut self, now: Micros, id: u64, customer: u64) -> Option<ServerId> {
         let request = self.arrival(id, customer);
         self.forward_request(now, request)
     }
 
-    /// [`Self::forward`] for any request.
+    /// Does what [`Self::forward`] does for a request that the caller supplies.
     pub fn forward_request(&mut self, now: Micros, request: RequestArrival) -> Option<ServerId> {
         let mut actions = self.handle(now, Event::RequestArrived(request));
         let queue_timer = actions.iter().find_map(|action| match action {
@@ -74,7 +76,8 @@
         forwarded_to(&actions)
     }
 
-    /// A first attempt succeeds after 50 ms at an idle server, with the customer's reported usage.
+    /// Delivers the success of a first attempt that took 50 ms. The response reports the customer's usage and
+    /// an idle server.
     pub fn complete(&mut self, now: Micros, id: u64, server: ServerId, reported_usage: f64) -> Vec<Action> {
         let report = AttemptReport {
             elapsed: 50 * MILLISECOND,
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! Drivers, defaults and queries for tests that hand events to the decision core and check its actions.
-#![allow(dead_code, reason = "each test file is a crate of its own and uses only part of this module")]
+//! Support for tests that pass events to the decision core and check its actions: default settings and
+//! events, test drivers, and queries on actions.
+#![allow(dead_code, reason = "each test file is a separate crate and uses only part of this module")]
 
 pub mod actions;
 pub mod counter_fleet;
@@ -10,7 +11,7 @@
 
 use grebehook_core::Micros;
 
-/// A millisecond of the gateway's clock.
+/// One millisecond of the gateway's clock, in microseconds.
 pub const MILLISECOND: Micros = 1_000;
-/// A second of the gateway's clock.
+/// One second of the gateway's clock, in microseconds.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/core/tests/common/settings.rs
+++ b/crates/core/tests/common/settings.rs
@@ -1,11 +1,11 @@
-//! Settings and endpoints that tests start from.
+//! Default settings and endpoints, which tests modify.
 
 use super::{MILLISECOND, SECOND};
 use grebehook_core::{
     Capabilities, Class, Endpoint, EndpointState, Idempotency, Plan, ProtocolRules, ServerId, Settings,
 };
 
-/// A class with a latency objective of 600 ms and a deadline of two seconds.
+/// Returns a class with a latency objective of 600 ms and a deadline of two seconds.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: 600 * MILLISECOND,
@@ -17,7 +17,7 @@
     }
 }
 
-/// Two units a second, four at once, no hard limit.
+/// Returns a plan with a rate of two units per second, a burst of four units and no hard limit.
 pub fn plan() -> Plan {
     Plan {
         rate: 2.0,
@@ -32,12 +32,13 @@
     }
 }
 
-/// A plan whose rate limits no customer of a test.
-pub fn ample_plan() -> Plan {
+/// Returns a plan whose rate and burst are too high to limit any customer of a test.
+pub fn high_rate_plan() -> Plan {
     Plan { rate: 1000.0, burst: 1000.0, ..plan() }
 }
 
-/// Two gateways, one idempotent class, one plan, and no source of information but the endpoint list.
+/// Returns the settings of the first of two gateways, with one idempotent class and one plan. The endpoint
+/// list is the only source of information about servers and peers.
 pub fn settings() -> Settings {
     Settings {
         gateway_index: 0,
@@ -64,26 +65,26 @@
     }
 }
 
-/// The default settings with the quota usage of each half second reported in responses.
+/// Returns the default settings with responses that report the customer's usage over the last half second.
 pub fn settings_with_usage_reports() -> Settings {
     let mut settings = settings();
     settings.capabilities.usage_report_period = Some(500 * MILLISECOND);
     settings
 }
 
-/// The settings with a shared counter whose calls time out after 80 ms.
+/// Returns the settings with a shared counter whose calls time out after 80 ms.
 pub fn with_shared_counter(mut settings: Settings) -> Settings {
     settings.capabilities.shared_counter = true;
     settings.capabilities.counter_timeout = Some(80 * MILLISECOND);
     settings
 }
 
-/// The settings of one gateway of so many.
+/// Returns the settings for gateway `gateway_index` of a fleet of `gateway_count` gateways.
 pub fn in_fleet(settings: &Settings, gateway_index: usize, gateway_count: usize) -> Settings {
     Settings { gateway_index, gateway_count, ..settings.clone() }
 }
 
-/// A ready endpoint that started long ago; its cell has its zone's number.
+/// Returns a ready, warm endpoint, whose cell has the same number as its zone.
 pub fn endpoint(server: u64, zone: u32) -> Endpoint {
     Endpoint {
         server: ServerId(server),
@@ -95,7 +96,7 @@
     }
 }
 
-/// Ready endpoints with these servers' numbers, all in zone 0.
+/// Returns ready, warm endpoints for the numbered servers, all in zone 0.
 pub fn endpoints(servers: impl IntoIterator<Item = u64>) -> Vec<Endpoint> {
     servers.into_iter().map(|server| endpoint(server, 0)).collect()
 }
--- a/crates/core/tests/common/test_gateway.rs
+++ b/crates/core/tests/common/test_gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway with a clock and pending timers, for scripted event sequences.
+//! A gateway with a simulated clock and pending timers, for scripted event sequences.
 
 use super::actions::forwarded_to;
 use super::events::{arrival, attempt_report, endpoint_snapshot};
@@ -8,40 +8,41 @@
     ServerId, Settings, TimerId,
 };
 
-/// Seed of the gateway's random numbers.
+/// Seed for the gateway's random numbers.
 const SEED: u64 = 11;
 
-/// An action and when it was taken.
+/// An action with the time at which the gateway returned it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedAction {
-    /// When.
+    /// Time of the action on the gateway's clock.
     pub at: Micros,
-    /// What.
+    /// The action that the gateway returned.
     pub action: Action,
 }
 
-/// A gateway with its clock and its pending timers.
+/// A gateway with its simulated clock and its pending timers.
 pub struct TestGateway {
-    /// The gateway.
+    /// Decision core under test.
     pub gateway: Gateway,
-    /// Its clock.
+    /// Current time on the gateway's clock.
     pub now: Micros,
-    /// Timers that have not fallen due, each with its time.
+    /// Timers that have not expired, with their expiry times.
     timers: Vec<(Micros, TimerId)>,
-    /// The number of the last request.
-    last_request: u64,
+    /// Id of the most recent request.
+    last_request_id: u64,
 }
 
 impl TestGateway {
-    /// A gateway that starts at one second with the given servers listed.
+    /// Creates a gateway that starts at one second and has received the given endpoint list.
     pub fn new(settings: Settings, endpoints: &[Endpoint]) -> TestGateway {
-        let gateway = Gateway::new(settings, SEED, SECOND).expect("valid settings");
-        let mut gateway = TestGateway { gateway, now: SECOND, timers: Vec::new(), last_request: 0 };
+        let gateway = Gateway::new(settings, SEED, SECOND).expect("settings are valid");
+        let mut gateway = TestGateway { gateway, now: SECOND, timers: Vec::new(), last_request_id: 0 };
         gateway.handle(endpoint_snapshot(endpoints.to_vec()));
         gateway
     }
 
-    /// Hands in an event now; returns the actions other than timers, which are set.
+    /// Delivers an event at the current time. Sets the timers that the gateway requests and returns its other
+    /// actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
@@ -54,57 +55,62 @@
         actions
     }
 
-    /// Advances the clock to `end`, firing the timers that fall due by then; returns what was done.
+    /// Advances the clock to `end` and fires the timers that expire by then. Returns the gateway's actions
+    /// other than timers.
     pub fn run_until(&mut self, end: Micros) -> Vec<TimedAction> {
-        let mut done = Vec::new();
-        while let Some((due, timer)) = self.timers.iter().copied().filter(|(due, _)| *due <= end).min() {
+        let mut timed_actions = Vec::new();
+        while let Some((expires_at, timer)) =
+            self.timers.iter().copied().filter(|(expires_at, _)| *expires_at <= end).min()
+        {
             self.timers.retain(|(_, pending)| *pending != timer);
-            self.now = self.now.max(due);
+            self.now = self.now.max(expires_at);
             let actions = self.handle(Event::Timer { timer });
-            done.extend(actions.into_iter().map(|action| TimedAction { at: self.now, action }));
+            timed_actions.extend(actions.into_iter().map(|action| TimedAction { at: self.now, action }));
         }
         self.now = self.now.max(end);
-        done
+        timed_actions
     }
 
-    /// Advances the clock by `span`; returns the actions without their times.
-    pub fn run_for(&mut self, span: Micros) -> Vec<Action> {
-        self.run_until(self.now + span).into_iter().map(|timed| timed.action).collect()
+    /// Advances the clock by `duration`, as [`Self::run_until`] does. Returns the actions without their
+    /// times.
+    pub fn run_for(&mut self, duration: Micros) -> Vec<Action> {
+        self.run_until(self.now + duration).into_iter().map(|timed| timed.action).collect()
     }
 
-    /// A request of class 0 whose client waits for two seconds.
+    /// Delivers a request of class 0 with a client timeout of two seconds.
     pub fn request(&mut self, customer: u64) -> (RequestId, Vec<Action>) {
         self.request_in_class(0, customer, 2 * SECOND)
     }
 
-    /// A request of the class whose client waits for `client_timeout`.
+    /// Delivers a request of the given class and client timeout. Returns its id and the gateway's actions.
     pub fn request_in_class(
         &mut self,
         class: usize,
         customer: u64,
         client_timeout: Micros,
     ) -> (RequestId, Vec<Action>) {
-        self.last_request += 1;
-        let request = RequestArrival { class, client_timeout, ..arrival(self.last_request, customer) };
+        self.last_request_id += 1;
+        let request = RequestArrival { class, client_timeout, ..arrival(self.last_request_id, customer) };
         (request.id, self.handle(Event::RequestArrived(request)))
     }
 
-    /// Runs a request to its end, each attempt ending as `status` says of its server; returns the servers tried.
+    /// Runs a request until no further attempt is sent. Each attempt ends with the status that `status`
+    /// returns for its server. Returns the servers in the order of the attempts.
     pub fn run_request(
         &mut self,
         customer: u64,
         status: impl Fn(ServerId) -> AttemptStatus,
     ) -> Vec<ServerId> {
         let (id, mut actions) = self.request(customer);
-        let mut tried = Vec::new();
+        let mut servers = Vec::new();
         while let Some(server) = forwarded_to(&actions) {
-            actions = self.complete_attempt(id, tried.len() as u32, server, status(server));
-            tried.push(server);
+            actions = self.complete_attempt(id, servers.len() as u32, server, status(server));
+            servers.push(server);
         }
-        tried
+        servers
     }
 
-    /// Ends an attempt after 30 ms.
+    /// Delivers the report of an attempt that ended after 30 ms.
     pub fn complete_attempt(
         &mut self,
         id: RequestId,
--- a/crates/core/tests/fleet_quota.rs
+++ b/crates/core/tests/fleet_quota.rs
@@ -1,17 +1,19 @@
-//! Quota over all gateways of a fleet, by gossip and reported usage.
+//! Quota over all gateways of a fleet, enforced by gossip and reported usage.
 
 mod common;
 
 use common::actions::{counter_calls, forwarded_to};
 use common::fleet_gateway::FleetGateway;
-use common::settings::{ample_plan, endpoint, in_fleet, settings_with_usage_reports, with_shared_counter};
+use common::settings::{
+    endpoint, high_rate_plan, in_fleet, settings_with_usage_reports, with_shared_counter,
+};
 use common::{MILLISECOND, SECOND};
 use grebehook_core::{Action, Event, Plan, RequestArrival, Settings};
 
-/// The customer whose requests are counted.
+/// Customer whose requests are counted.
 const CUSTOMER: u64 = 5;
 
-/// Usage reports and gossip between gateways.
+/// Returns the default settings with usage reports and gossip between gateways.
 fn gossip_settings() -> Settings {
     let mut settings = settings_with_usage_reports();
     settings.capabilities.gossip = true;
@@ -20,7 +22,7 @@
 
 #[test]
 fn small_customer_within_its_quota_is_served_at_each_of_its_gateways() {
-    // Two a second over 160 gateways: an even share is a request in eighty seconds.
+    // The even share of two units per second over 160 gateways is one request in eighty seconds.
     let is_served = |index: &usize| {
         let settings = in_fleet(&settings_with_usage_reports(), *index, 160);
         let mut gateway = FleetGateway::start(settings, *index as u64);
@@ -29,9 +31,10 @@
     assert_eq!((0..160).filter(is_served).count(), 160);
 }
 
-/// The first gateway reads a usage of five times the quota and sends gossip; returns how many peers get it.
+/// Reports a usage of five times the quota to the first gateway and delivers the gossip that it sends.
+/// Returns the number of messages.
 fn publish_excess_usage(gateways: &mut [FleetGateway]) -> usize {
-    let server = gateways[0].forward(2 * SECOND, 1, CUSTOMER).expect("within quota at first");
+    let server = gateways[0].forward(2 * SECOND, 1, CUSTOMER).expect("the first request is within the quota");
     gateways[0].complete(2 * SECOND + 50 * MILLISECOND, 1, server, 5.0);
     let mut messages = 0;
     for action in gateways[0].tick(2 * SECOND + 100 * MILLISECOND) {
@@ -64,15 +67,19 @@
             }
         }
     }
-    // About a fifth of 800 requests: neither a burst at each gateway nor none at all.
-    assert!((80..=280).contains(&forwarded), "{forwarded}");
+    // The gateways forward about a fifth of 800 requests: neither a burst each nor none at all.
+    assert!((80..=280).contains(&forwarded), "{forwarded} requests forwarded");
 }
 
 #[test]
 fn hard_limits_of_all_gateways_add_up_to_the_plans_also_after_restarts() {
     let mut settings = settings_with_usage_reports();
-    settings.plans[0] =
-        Plan { hard_limit_rate: 40.0, hard_limit_burst: 320.0, hard_limit_overdraft: 32.0, ..ample_plan() };
+    settings.plans[0] = Plan {
+        hard_limit_rate: 40.0,
+        hard_limit_burst: 320.0,
+        hard_limit_overdraft: 32.0,
+        ..high_rate_plan()
+    };
     let gateway_count = 160;
     let mut forwarded = 0;
     for index in 0..gateway_count {
@@ -90,8 +97,8 @@
             }
         }
     }
-    // Eleven seconds since the start; the bucket holds 320 units and may be overdrawn by 32.
-    assert!(forwarded > 200 && forwarded as f64 <= 352.0 + 11.0 * 40.0, "{forwarded}");
+    // Eleven seconds have passed since the start. The bucket holds 320 units and may be overdrawn by 32.
+    assert!(forwarded > 200 && forwarded as f64 <= 352.0 + 11.0 * 40.0, "{forwarded} requests forwarded");
 }
 
 #[test]
@@ -110,13 +117,16 @@
     ];
     for (from, message) in malformed {
         let actions = gateway.handle(2 * SECOND, Event::GossipReceived { from, message });
-        assert!(actions.iter().all(|action| matches!(action, Action::Timer { .. })), "{actions:?}");
+        assert!(
+            actions.iter().all(|action| matches!(action, Action::Timer { .. })),
+            "malformed gossip causes {actions:?}"
+        );
     }
     let forwarded = (0..60).filter(|k| gateway.forward(3 * SECOND, *k, 7).is_some()).count();
-    assert!((1..=8).contains(&forwarded), "a demand of ten times its quota: {forwarded} of 60");
+    assert!((1..=8).contains(&forwarded), "{forwarded} of 60 forwarded at ten times the quota");
     let request = RequestArrival { customer_gateway_count: 0, ..gateway.arrival(90, 8) };
     let forwarded = gateway.forward_request(3 * SECOND, request);
-    assert!(forwarded.is_some(), "a customer of no gateways is tolerated");
+    assert!(forwarded.is_some(), "a request whose customer has no gateways is not forwarded");
 }
 
 #[test]
@@ -131,7 +141,7 @@
         let actions = gateway.tick(now + 50 * MILLISECOND);
         messages += actions.iter().filter(|action| matches!(action, Action::SendGossip { .. })).count();
     }
-    assert!(messages > 300 && messages <= 200 + 6 * 400, "{messages}");
+    assert!(messages > 300 && messages <= 200 + 6 * 400, "{messages} gossip messages sent");
 }
 
 #[test]
@@ -144,8 +154,8 @@
         for k in 0..20 {
             let now = 2 * SECOND + k * 100 * MILLISECOND;
             let actions = gateway.request(now, k, CUSTOMER);
-            let server = forwarded_to(&actions).expect("forwarded at once");
-            assert!(counter_calls(&actions).is_empty(), "no total is needed");
+            let server = forwarded_to(&actions).expect("the request is forwarded at once");
+            assert!(counter_calls(&actions).is_empty(), "counter called for a plan without a rate");
             gateway.complete(now + 50 * MILLISECOND, k, server, 0.0);
         }
     }
