--- a/crates/core/tests/doc_comments.rs
+++ b/crates/core/tests/doc_comments.rs
@@ -1,30 +1,34 @@
-//! The script of continuous integration that checks doc comments.
+//! Tests of `.ci/doc-comments`, the continuous integration script that checks doc comments.
 
 use std::path::Path;
 use std::process::Command;
 
-/// What the script printed for a folder with one file of this text, and whether it accepted the file.
-fn check(name: &str, text: &str) -> (bool, String) {
+/// Runs the script on a folder with one file of the given text. Returns whether the script accepted the file,
+/// and its output.
+fn run_script(name: &str, text: &str) -> (bool, String) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("doc-comments-{name}"));
-    std::fs::create_dir_all(&folder).expect("the folder can be created");
-    std::fs::write(folder.join("sample.rs"), text).expect("the file can be written");
+    std::fs::create_dir_all(&folder).expect("the sample folder is created");
+    std::fs::write(folder.join("sample.rs"), text).expect("the sample file is written");
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.ci/doc-comments");
-    let output = Command::new("bash").args([&script, &folder]).output().expect("bash runs the script");
-    let printed = String::from_utf8(output.stdout).expect("the script prints UTF-8");
-    (output.status.success(), printed)
+    let output = Command::new("bash").args([&script, &folder]).output().expect("bash starts the script");
+    let output_text = String::from_utf8(output.stdout).expect("the script's output is UTF-8");
+    (output.status.success(), output_text)
 }
 
-/// Asserts that the script rejects a file for one reason.
+/// Asserts that the script rejects a file with one report only, which names the given line and reason.
 fn assert_rejected(name: &str, text: &str, line: usize, reason: &str) {
-    let (accepted, printed) = check(name, text);
-    assert!(!accepted, "{name}: accepted");
-    assert!(printed.ends_with(&format!("sample.rs:{line}: {reason}\n")), "{name}: {printed}");
-    assert_eq!(printed.lines().count(), 1, "{name}: {printed}");
+    let (accepted, output_text) = run_script(name, text);
+    assert!(!accepted, "{name}: the script accepted the file");
+    assert!(
+        output_text.ends_with(&format!("sample.rs:{line}: {reason}\n")),
+        "{name}: unexpected report: {output_text}"
+    );
+    assert_eq!(output_text.lines().count(), 1, "{name}: more than one report: {output_text}");
 }
 
-/// A file of one item below the doc comment of its module.
+/// Returns the text of a file that contains a documented module with one item.
 fn with_module_comment(item: &str) -> String {
-    format!("//! Shapes that the checks of this test pass over.\n\n{item}\n")
+    format!("//! Items that the script under test examines.\n\n{item}\n")
 }
 
 #[test]
@@ -102,7 +106,7 @@
                 /// Why a request left the queue early.\n\
                 pub(crate) enum End {\n    TimedOut { after: u32 },\n    Cancelled,\n}\n\n\
                 fn start() {}\n";
-    let (accepted, printed) = check("accepted", &with_module_comment(text));
-    assert!(accepted, "{printed}");
-    assert_eq!(printed, "");
+    let (accepted, output_text) = run_script("accepted", &with_module_comment(text));
+    assert!(accepted, "the script rejected the file: {output_text}");
+    assert_eq!(output_text, "");
 }
