--- a/crates/core/tests/endpoint_list.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Which servers get requests, by the endpoint list.
+//! Selection of servers after changes of the endpoint list.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use common::SECOND;
 use grebehook_core::{Action, AttemptStatus, Endpoint, EndpointState, Event, ServerId, WatchEvent};
 
-/// Eight requests of new customers are each answered by server 2.
-fn assert_all_go_to_server_2(gateway: &mut TestGateway) {
+/// Asserts that requests of eight new customers are each sent to server 2 only.
+fn assert_all_sent_to_server_2(gateway: &mut TestGateway) {
     for customer in 0..8 {
         assert_eq!(gateway.run_request(customer, |_| AttemptStatus::Ok), [ServerId(2)]);
     }
@@ -21,7 +21,7 @@
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut gateway = TestGateway::new(settings(), &[endpoint(1, 0), endpoint(2, 0)]);
         gateway.handle(endpoint_delta(vec![Endpoint { state, ..endpoint(1, 0) }]));
-        assert_all_go_to_server_2(&mut gateway);
+        assert_all_sent_to_server_2(&mut gateway);
     }
 }
 
@@ -29,7 +29,7 @@
 fn server_missing_from_a_snapshot_gets_no_new_request() {
     let mut gateway = TestGateway::new(settings(), &[endpoint(1, 0), endpoint(2, 0)]);
     gateway.handle(endpoint_snapshot(vec![endpoint(2, 0)]));
-    assert_all_go_to_server_2(&mut gateway);
+    assert_all_sent_to_server_2(&mut gateway);
 }
 
 #[test]
--- a/crates/core/tests/event_sequences.rs
+++ b/crates/core/tests/event_sequences.rs
@@ -1,4 +1,4 @@
-//! Properties of any valid sequence of events; the sequences are drawn from a fixed seed.
+//! Property tests over valid event sequences, which are generated from a fixed seed.
 
 mod common;
 
@@ -14,30 +14,30 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
 
-/// The class whose requests must never run twice.
-const NON_IDEMPOTENT: usize = 1;
-/// The class whose requests carry a key that the servers of one zone know.
-const ZONE_KEY: usize = 2;
-/// How long servers remember an idempotency key.
+/// Class whose requests must never run twice.
+const NON_IDEMPOTENT_CLASS: usize = 1;
+/// Class whose requests carry an idempotency key that is shared by the servers of one zone.
+const ZONE_KEY_CLASS: usize = 2;
+/// Time for which servers remember an idempotency key.
 const DEDUPLICATION_WINDOW: Micros = 500 * MILLISECOND;
 
-/// One step of a sequence.
+/// One step of an event sequence.
 #[derive(Clone, Debug)]
 enum Step {
-    /// So many milliseconds pass.
+    /// The given number of milliseconds passes.
     Wait(u64),
-    /// A request arrives; its client waits for `timeout_ms`.
+    /// A request arrives with a client timeout of `timeout_ms`.
     Arrive { class: usize, customer: u64, timeout_ms: u64 },
     /// An attempt in flight ends.
-    Complete { pick: usize, status: AttemptStatus },
-    /// The client of an open request disconnects.
-    Disconnect { pick: usize },
+    Complete { selector: usize, status: AttemptStatus },
+    /// Disconnects the client of an open request.
+    Disconnect { selector: usize },
     /// An entry of the endpoint list changes.
     ChangeEndpoint { server: u64, state: EndpointState },
 }
 
-/// Draws a step.
-fn step() -> impl Strategy<Value = Step> {
+/// Returns the strategy that generates a step.
+fn step_strategy() -> impl Strategy<Value = Step> {
     let status = prop::sample::select(vec![
         AttemptStatus::Ok,
         AttemptStatus::Ok,
@@ -53,29 +53,27 @@
         EndpointState::Draining,
         EndpointState::Removed,
     ]);
-    let pick = || any::<prop::sample::Index>().prop_map(|index| index.index(1 << 16));
+    let selector = || any::<prop::sample::Index>().prop_map(|index| index.index(1 << 16));
     prop_oneof![
         3 => (1u64..120).prop_map(Step::Wait),
         6 => (0usize..4, 0u64..5, 20u64..2000)
             .prop_map(|(class, customer, timeout_ms)| Step::Arrive { class, customer, timeout_ms }),
-        5 => (pick(), status).prop_map(|(pick, status)| Step::Complete { pick, status }),
-        1 => pick().prop_map(|pick| Step::Disconnect { pick }),
+        5 => (selector(), status).prop_map(|(selector, status)| Step::Complete { selector, status }),
+        1 => selector().prop_map(|selector| Step::Disconnect { selector }),
         1 => (1u64..7, state).prop_map(|(server, state)| Step::ChangeEndpoint { server, state }),
     ]
 }
 
-/// An attempt that the gateway sent.
+/// An attempt that the gateway sent, with its outcome.
 struct SentAttempt {
-    /// Where.
     server: ServerId,
-    /// When.
     sent_at: Micros,
-    /// How it ended; `None` while it is in flight.
+    /// Outcome of the attempt; `None` while it is in flight.
     status: Option<AttemptStatus>,
 }
 
 impl SentAttempt {
-    /// Whether it has ended and the server certainly did not run the request.
+    /// Returns whether the attempt has ended and the server certainly did not run the request.
     fn certainly_did_not_run(&self) -> bool {
         matches!(
             self.status,
@@ -84,33 +82,33 @@
     }
 }
 
-/// A request and what the gateway did about it.
-struct SeenRequest {
-    /// Its class.
+/// A request with the attempts and answers that it got from the gateway.
+struct TrackedRequest {
     class: usize,
-    /// Its customer.
     customer: CustomerId,
-    /// The latest time of its final answer.
+    /// Latest time for the final answer.
     deadline: Micros,
-    /// How many final answers it got from the gateway itself.
+    /// Number of final answers that the gateway itself gave.
     answers: usize,
-    /// It is over: answered or its client disconnected.
-    closed: bool,
-    /// Its attempts.
+    /// Whether the request was answered or its client disconnected.
+    is_closed: bool,
     attempts: Vec<SentAttempt>,
 }
 
-impl SeenRequest {
-    /// An attempt to `server` keeps the rules of order, time and idempotency.
+impl TrackedRequest {
+    /// Asserts that an attempt at `server` keeps the rules of order, time and idempotency.
     fn check_attempt(&self, at: Micros, server: ServerId) {
-        assert!(!self.closed && self.answers == 0, "sent after its end");
+        assert!(!self.is_closed && self.answers == 0, "attempt sent after the end of its request");
         assert!(at <= self.deadline);
-        assert!(self.attempts.iter().all(|sent| sent.status.is_some()), "two attempts at once");
+        assert!(
+            self.attempts.iter().all(|sent| sent.status.is_some()),
+            "sent while another attempt is in flight"
+        );
         assert!(self.attempts.len() < 4);
         if let Some(ran) = self.attempts.iter().find(|sent| !sent.certainly_did_not_run()) {
             match self.class {
-                NON_IDEMPOTENT => panic!("a non-idempotent request was retried"),
-                ZONE_KEY => {
+                NON_IDEMPOTENT_CLASS => panic!("a non-idempotent request was retried"),
+                ZONE_KEY_CLASS => {
                     assert!(zone(ran.server) == zone(server) && at < ran.sent_at + DEDUPLICATION_WINDOW);
                 }
                 _ => {}
@@ -118,39 +116,39 @@
         }
     }
 
-    /// A final answer is the first, is in time and claims nothing that may be untrue.
+    /// Asserts that a final answer is the first one, is in time and does not reject a request that may have
+    /// run.
     fn check_answer(&self, at: Micros, is_rejection: bool) {
-        assert!(!self.closed, "answered after its end");
-        if is_rejection && (self.class == NON_IDEMPOTENT || self.class == ZONE_KEY) {
+        assert!(!self.is_closed, "request answered after its end");
+        if is_rejection && (self.class == NON_IDEMPOTENT_CLASS || self.class == ZONE_KEY_CLASS) {
             assert!(
                 self.attempts.iter().all(SentAttempt::certainly_did_not_run),
-                "rejected after it may have run"
+                "request rejected although it may have run"
             );
         }
-        assert!(at <= self.deadline, "answered too late");
+        assert!(at <= self.deadline, "final answer after the deadline");
     }
 }
 
-/// The zone of a server.
+/// Returns the zone of a server: servers of even and of odd number are in different zones.
 fn zone(server: ServerId) -> u32 {
     (server.0 % 2) as u32
 }
 
-/// Hands in the steps and checks each action against the rules.
+/// Carries out the steps of a sequence and checks each action against the protocol rules.
 struct RuleChecker {
-    /// The gateway.
     gateway: TestGateway,
-    /// The requests so far.
-    requests: BTreeMap<RequestId, SeenRequest>,
-    /// Whether each listed server is ready.
+    /// All requests that have arrived.
+    requests: BTreeMap<RequestId, TrackedRequest>,
+    /// State of each server ever listed; true if it is ready.
     is_ready: BTreeMap<ServerId, bool>,
-    /// Requests of each customer that were forwarded.
+    /// Number of each customer's requests that were forwarded.
     forwarded: BTreeMap<CustomerId, f64>,
-    /// All actions so far.
+    /// All actions that the gateway has returned.
     history: Vec<TimedAction>,
 }
 
-/// Four classes and one plan with a hard limit.
+/// Returns settings with four classes and one plan with a hard limit.
 fn checked_settings() -> Settings {
     let with_key = |scope| class(Idempotency::IdempotencyKey { scope, window: DEDUPLICATION_WINDOW });
     let mut settings = settings();
@@ -172,7 +170,7 @@
 }
 
 impl RuleChecker {
-    /// A gateway before four servers in two zones.
+    /// Creates a gateway with four servers in two zones.
     fn new() -> RuleChecker {
         let endpoints: Vec<_> = (1..5).map(|k| endpoint(k, zone(ServerId(k)))).collect();
         RuleChecker {
@@ -184,44 +182,45 @@
         }
     }
 
-    /// Checks an action against the rules and records it.
+    /// Checks an action against the protocol rules and records it.
     fn check(&mut self, timed: TimedAction) {
         let at = timed.at;
         match &timed.action {
-            Action::Send { id, server, .. } => self.record_attempt(at, *id, *server),
-            Action::Reject { id, .. } => self.record_answer(at, *id, true),
-            Action::Fail { id } => self.record_answer(at, *id, false),
+            Action::Send { id, server, .. } => self.check_and_record_attempt(at, *id, *server),
+            Action::Reject { id, .. } => self.check_and_record_answer(at, *id, true),
+            Action::Fail { id } => self.check_and_record_answer(at, *id, false),
             _ => {}
         }
         self.history.push(timed);
-        // The even share of the hard limit: half of 6 a second, of 8 at once and of 2 more.
+        // The gateway's even share of the hard limit is half of 6 units per second, of a burst of 8 and of an
+        // overdraft of 2.
         let refilled = 3.0 * (at - SECOND) as f64 / 1e6;
         assert!(
             self.forwarded.values().all(|units| *units <= refilled + 1e-6),
-            "more than the bucket was refilled since the start"
+            "more units forwarded than the hard limit's bucket was refilled with since the start"
         );
     }
 
-    /// An attempt is sent.
-    fn record_attempt(&mut self, at: Micros, id: RequestId, server: ServerId) {
-        let request = self.requests.get_mut(&id).expect("a known request");
+    /// Checks and records that an attempt is sent.
+    fn check_and_record_attempt(&mut self, at: Micros, id: RequestId, server: ServerId) {
+        let request = self.requests.get_mut(&id).expect("action refers to a request that arrived");
         request.check_attempt(at, server);
-        assert_eq!(self.is_ready.get(&server), Some(&true), "sent to a server that is not ready");
+        assert_eq!(self.is_ready.get(&server), Some(&true), "attempt sent to a server that is not ready");
         if request.attempts.is_empty() {
             *self.forwarded.entry(request.customer).or_default() += 1.0;
         }
         request.attempts.push(SentAttempt { server, sent_at: at, status: None });
     }
 
-    /// The gateway gives a final answer of its own.
-    fn record_answer(&mut self, at: Micros, id: RequestId, is_rejection: bool) {
-        let request = self.requests.get_mut(&id).expect("a known request");
+    /// Checks and records a final answer that the gateway itself gives.
+    fn check_and_record_answer(&mut self, at: Micros, id: RequestId, is_rejection: bool) {
+        let request = self.requests.get_mut(&id).expect("action refers to a request that arrived");
         request.check_answer(at, is_rejection);
         request.answers += 1;
-        request.closed = true;
+        request.is_closed = true;
     }
 
-    /// Hands in an event and checks the actions.
+    /// Delivers an event and checks the resulting actions.
     fn handle(&mut self, event: Event) {
         let at = self.gateway.now;
         for action in self.gateway.handle(event) {
@@ -229,22 +228,22 @@
         }
     }
 
-    /// Lets time pass and checks the actions.
-    fn run_for(&mut self, span: Micros) {
-        for timed in self.gateway.run_until(self.gateway.now + span) {
+    /// Advances the clock by `duration` and checks the resulting actions.
+    fn run_for(&mut self, duration: Micros) {
+        for timed in self.gateway.run_until(self.gateway.now + duration) {
             self.check(timed);
         }
     }
 
-    /// Carries out a step; one that finds no request to act on is skipped.
+    /// Carries out a step. Skips a step for which no suitable request exists.
     fn apply(&mut self, step: Step) {
         match step {
-            Step::Wait(span_ms) => self.run_for(span_ms * MILLISECOND),
+            Step::Wait(duration_ms) => self.run_for(duration_ms * MILLISECOND),
             Step::Arrive { class, customer, timeout_ms } => {
                 self.arrive(class, customer, timeout_ms * MILLISECOND);
             }
-            Step::Complete { pick, status } => self.complete(pick, status),
-            Step::Disconnect { pick } => self.disconnect(pick),
+            Step::Complete { selector, status } => self.complete(selector, status),
+            Step::Disconnect { selector } => self.disconnect(selector),
             Step::ChangeEndpoint { server, state } => {
                 let changed = Endpoint { state, ..endpoint(server, zone(ServerId(server))) };
                 self.is_ready.insert(changed.server, state == EndpointState::Ready);
@@ -253,57 +252,60 @@
         }
     }
 
-    /// A request arrives.
+    /// Delivers a request and records it.
     fn arrive(&mut self, class: usize, customer: u64, client_timeout: Micros) {
         let id = self.requests.len() as u64 + 1;
         let request = RequestArrival { class, client_timeout, ..arrival(id, customer) };
-        let seen = SeenRequest {
+        let tracked = TrackedRequest {
             class,
             customer: request.customer,
             deadline: self.gateway.now + client_timeout + 8 * MILLISECOND,
             answers: 0,
-            closed: false,
+            is_closed: false,
             attempts: vec![],
         };
-        self.requests.insert(request.id, seen);
+        self.requests.insert(request.id, tracked);
         self.handle(Event::RequestArrived(request));
     }
 
-    /// The picked one of the requests that fulfil the condition, if there is any.
-    fn pick(&self, pick: usize, condition: impl Fn(&SeenRequest) -> bool) -> Option<RequestId> {
-        let fulfil = self.requests.iter().filter(|(_, request)| condition(request));
-        let ids: Vec<_> = fulfil.map(|(id, _)| *id).collect();
-        (!ids.is_empty()).then(|| ids[pick % ids.len()])
+    /// Returns the request that `selector` selects among those that satisfy the condition; `None` if there is
+    /// none.
+    fn select(&self, selector: usize, condition: impl Fn(&TrackedRequest) -> bool) -> Option<RequestId> {
+        let matching = self.requests.iter().filter(|(_, request)| condition(request));
+        let ids: Vec<_> = matching.map(|(id, _)| *id).collect();
+        (!ids.is_empty()).then(|| ids[selector % ids.len()])
     }
 
-    /// An attempt in flight ends; success is its request's final answer.
-    fn complete(&mut self, pick: usize, status: AttemptStatus) {
-        let in_flight =
-            |request: &SeenRequest| request.attempts.last().is_some_and(|attempt| attempt.status.is_none());
-        let Some(id) = self.pick(pick, in_flight) else { return };
-        let request = self.requests.get_mut(&id).expect("picked from the table");
+    /// Ends an attempt in flight. Success is the final answer to its request.
+    fn complete(&mut self, selector: usize, status: AttemptStatus) {
+        let in_flight = |request: &TrackedRequest| {
+            request.attempts.last().is_some_and(|attempt| attempt.status.is_none())
+        };
+        let Some(id) = self.select(selector, in_flight) else { return };
+        let request = self.requests.get_mut(&id).expect("the request was selected from the table");
         let attempt = request.attempts.len() - 1;
         request.attempts[attempt].status = Some(status);
-        request.closed |= status == AttemptStatus::Ok;
+        request.is_closed |= status == AttemptStatus::Ok;
         let SentAttempt { server, sent_at, .. } = request.attempts[attempt];
         let report = AttemptReport {
             attempt: attempt as u32,
             elapsed: self.gateway.now - sent_at,
-            request_finished: request.closed,
+            request_finished: request.is_closed,
             ..attempt_report(id, server, status)
         };
         self.handle(Event::AttemptCompleted(report));
     }
 
-    /// The client of an open request disconnects.
-    fn disconnect(&mut self, pick: usize) {
-        let Some(id) = self.pick(pick, |request| !request.closed) else { return };
-        self.requests.get_mut(&id).expect("picked from the table").closed = true;
+    /// Disconnects the client of an open request.
+    fn disconnect(&mut self, selector: usize) {
+        let Some(id) = self.select(selector, |request| !request.is_closed) else { return };
+        self.requests.get_mut(&id).expect("the request was selected from the table").is_closed = true;
         self.handle(Event::ClientDisconnected { id });
     }
 }
 
-/// Hands in the steps, then lets five seconds pass, in which every request must end; returns all actions.
+/// Carries out the steps, then advances the clock by five seconds, in which every request must end. Returns
+/// all actions.
 fn run_sequence(steps: Vec<Step>) -> Vec<TimedAction> {
     let mut checker = RuleChecker::new();
     for step in steps {
@@ -311,31 +313,32 @@
     }
     checker.run_for(5 * SECOND);
     for (id, request) in &checker.requests {
-        assert!(request.closed && request.answers <= 1, "{id:?} was left without an answer");
+        assert!(request.is_closed && request.answers <= 1, "{id:?} has no final answer, or more than one");
     }
     checker.history
 }
 
-/// Calls the check with so many sequences.
-fn for_drawn_sequences(cases: u32, check: impl Fn(Vec<Step>)) {
+/// Calls `check` with `cases` generated sequences.
+fn for_generated_sequences(cases: u32, check: impl Fn(Vec<Step>)) {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[29; 32]);
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let steps = prop::collection::vec(step(), 1..250);
+    let steps = prop::collection::vec(step_strategy(), 1..250);
     let outcome = runner.run(&steps, |steps| {
         check(steps);
         Ok(())
     });
-    outcome.expect("every sequence passes the check");
+    outcome.expect("every generated sequence passes the check");
 }
 
 #[test]
 fn any_valid_event_sequence_keeps_the_protocol_rules() {
-    for_drawn_sequences(400, |steps| drop(run_sequence(steps)));
+    for_generated_sequences(400, |steps| drop(run_sequence(steps)));
 }
 
-/// Nothing but the events and the seed decides: neither the order of a hash table nor a clock.
+/// The actions depend only on the events and the seed, not on the iteration order of a hash table or on a
+/// system clock.
 #[test]
 fn same_event_sequence_leads_to_the_same_actions() {
-    for_drawn_sequences(100, |steps| assert_eq!(run_sequence(steps.clone()), run_sequence(steps)));
+    for_generated_sequences(100, |steps| assert_eq!(run_sequence(steps.clone()), run_sequence(steps)));
 }
--- a/crates/core/tests/final_answers.rs
+++ b/crates/core/tests/final_answers.rs
@@ -1,4 +1,4 @@
-//! Each request gets one final answer, in time, and no action follows it.
+//! Each request gets exactly one final answer, in time, and no action follows it.
 
 mod common;
 
@@ -11,9 +11,9 @@
     Action, AttemptStatus, Event, Idempotency, LoadReport, RequestArrival, RequestId, ServerId, TimerId,
 };
 
-/// The rejections among these actions.
-fn rejections(done: &[TimedAction]) -> Vec<&TimedAction> {
-    done.iter().filter(|timed| matches!(timed.action, Action::Reject { .. })).collect()
+/// Returns the rejections among the actions.
+fn rejections(actions: &[TimedAction]) -> Vec<&TimedAction> {
+    actions.iter().filter(|timed| matches!(timed.action, Action::Reject { .. })).collect()
 }
 
 #[test]
@@ -21,17 +21,17 @@
     let mut gateway = TestGateway::new(settings(), &[endpoint(1, 0)]);
     let (id, actions) = gateway.request_in_class(0, 5, 300 * MILLISECOND);
     assert_eq!(forwarded_to(&actions), Some(ServerId(1)));
-    let done = gateway.run_until(2 * SECOND);
-    let answers: Vec<_> = done
+    let actions = gateway.run_until(2 * SECOND);
+    let answers: Vec<_> = actions
         .iter()
         .filter(|timed| matches!(timed.action, Action::Reject { id: rejected, .. } if rejected == id))
         .collect();
     assert_eq!(answers.len(), 1);
     let at = answers[0].at;
     assert!((SECOND + 280 * MILLISECOND..=SECOND + 300 * MILLISECOND).contains(&at));
-    assert!(done.contains(&TimedAction { at, action: Action::Cancel { id, attempt: 0 } }));
+    assert!(actions.contains(&TimedAction { at, action: Action::Cancel { id, attempt: 0 } }));
     let late = gateway.complete_attempt(id, 0, ServerId(1), AttemptStatus::Cancelled);
-    assert!(late.is_empty(), "nothing follows the final answer: {late:?}");
+    assert!(late.is_empty(), "actions follow the final answer: {late:?}");
 }
 
 #[test]
@@ -42,12 +42,12 @@
 }
 
 #[test]
-fn no_action_follows_when_the_client_has_disconnected() {
+fn no_action_follows_once_the_client_has_disconnected() {
     let mut gateway = TestGateway::new(settings(), &[endpoint(1, 0)]);
     let (id, _) = gateway.request_in_class(0, 5, 300 * MILLISECOND);
     gateway.handle(Event::ClientDisconnected { id });
-    let done = gateway.run_until(3 * SECOND);
-    assert!(done.is_empty(), "{done:?}");
+    let actions = gateway.run_until(3 * SECOND);
+    assert!(actions.is_empty(), "{actions:?}");
     assert!(gateway.complete_attempt(id, 0, ServerId(1), AttemptStatus::Error).is_empty());
 }
 
@@ -98,21 +98,23 @@
     assert!(is_rejected(&gateway.handle(request(0, 3, 1.0))));
     assert!(is_rejected(&gateway.handle(request(2, 2, f64::NAN))));
     let forwarded = forwarded_to(&gateway.handle(request(0, 0, 1.0)));
-    assert!(forwarded.is_some(), "a valid request is still forwarded");
+    assert!(forwarded.is_some(), "a valid request is not forwarded");
 }
 
-/// A consumed part of a body cannot be sent again, whatever the class allows.
+/// The consumed part of a body is not buffered and cannot be sent again, even where the class permits a
+/// retry.
 #[test]
 fn request_is_not_retried_once_part_of_its_body_was_consumed() {
     let mut gateway = TestGateway::new(settings(), &[endpoint(1, 0), endpoint(2, 0)]);
     let (id, actions) = gateway.request(100);
-    let server = forwarded_to(&actions).expect("a first attempt");
+    let server = forwarded_to(&actions).expect("the first attempt is sent");
     gateway.handle(Event::BodyConsumed { id });
     let actions = gateway.complete_attempt(id, 0, server, AttemptStatus::ConnectFailed);
     assert!(matches!(actions[..], [Action::Reject { .. }]), "{actions:?}");
 }
 
-/// No server works on a request before its body is complete, so neither its timeout nor its service time runs.
+/// No server runs a request before its body is complete, so neither the client timeout nor the service time
+/// counts until then.
 #[test]
 fn client_timeout_starts_only_when_the_body_is_complete() {
     let mut gateway = TestGateway::new(settings(), &[endpoint(1, 0)]);
@@ -121,19 +123,20 @@
     let id = request.id;
     let actions = gateway.handle(Event::RequestArrived(request));
     assert_eq!(forwarded_to(&actions), Some(ServerId(1)));
-    let done = gateway.run_until(gateway.now + 3 * SECOND);
-    assert!(rejections(&done).is_empty());
+    let actions = gateway.run_until(gateway.now + 3 * SECOND);
+    assert!(rejections(&actions).is_empty());
     gateway.handle(Event::BodyComplete { id, age: 0 });
     let completed_at = gateway.now;
-    let done = gateway.run_until(completed_at + SECOND);
-    let answers = rejections(&done);
+    let actions = gateway.run_until(completed_at + SECOND);
+    let answers = rejections(&actions);
     assert_eq!(answers.len(), 1);
     assert!((280 * MILLISECOND..=300 * MILLISECOND).contains(&(answers[0].at - completed_at)));
 }
 
-/// Guards against time that the last of a long body waited before it was forwarded.
+/// The time that the last part of a long body waited before it was forwarded must count towards the client
+/// timeout.
 #[test]
-fn age_of_a_long_body_shortens_its_time() {
+fn age_of_a_long_body_shortens_its_remaining_client_timeout() {
     let mut gateway = TestGateway::new(settings(), &[endpoint(1, 0)]);
     let request = RequestArrival { body_incomplete: true, ..arrival(900, 5) };
     let id = request.id;
@@ -141,13 +144,13 @@
     gateway.run_until(gateway.now + SECOND);
     let completed_at = gateway.now;
     gateway.handle(Event::BodyComplete { id, age: 1_200 * MILLISECOND });
-    let done = gateway.run_until(completed_at + 2 * SECOND);
-    let answers = rejections(&done);
+    let actions = gateway.run_until(completed_at + 2 * SECOND);
+    let answers = rejections(&actions);
     assert_eq!(answers.len(), 1);
     assert!((780 * MILLISECOND..=800 * MILLISECOND).contains(&(answers[0].at - completed_at)));
 }
 
-/// Requests that arrive after the shutdown event are answered by the deadline too.
+/// Requests that arrive after the shutdown event are also answered by the deadline.
 #[test]
 fn every_open_request_is_answered_by_the_shutdown_deadline() {
     let mut settings = settings();
@@ -167,24 +170,29 @@
         .all(|timed| !matches!(timed.action, Action::Reject { .. } | Action::Fail { .. })));
     let answers: Vec<_> = gateway.run_until(deadline).into_iter().map(|timed| timed.action).collect();
     for id in [idempotent, late] {
-        let is_answer = |action: &Action| matches!(action, Action::Reject { id: of, .. } if *of == id);
+        let is_answer =
+            |action: &Action| matches!(action, Action::Reject { id: rejected, .. } if *rejected == id);
         assert!(answers.iter().any(is_answer));
     }
-    assert!(answers.contains(&Action::Fail { id: non_idempotent }), "it may have run");
+    assert!(
+        answers.contains(&Action::Fail { id: non_idempotent }),
+        "a request that may have run is not answered with a failure"
+    );
     gateway.now += MILLISECOND;
-    assert!(is_rejected(&gateway.request(4).1), "no time is left for another request");
+    assert!(is_rejected(&gateway.request(4).1), "request admitted after the shutdown deadline");
 }
 
-/// Guards against time that a request waited before it was read: it is answered in what is left.
+/// The time that a request waited before it was read counts towards the client timeout, which leaves the rest
+/// for the answer.
 #[test]
-fn age_of_a_request_shortens_its_time() {
+fn age_of_a_request_shortens_its_remaining_client_timeout() {
     let mut gateway = TestGateway::new(settings(), &[endpoint(1, 0)]);
     let arrived_at = gateway.now;
     let actions =
         gateway.handle(Event::RequestArrived(RequestArrival { age: 1_200 * MILLISECOND, ..arrival(900, 5) }));
     assert_eq!(forwarded_to(&actions), Some(ServerId(1)));
-    let done = gateway.run_until(arrived_at + 2 * SECOND);
-    let answers = rejections(&done);
+    let actions = gateway.run_until(arrived_at + 2 * SECOND);
+    let answers = rejections(&actions);
     assert_eq!(answers.len(), 1);
     assert!((780 * MILLISECOND..=800 * MILLISECOND).contains(&(answers[0].at - arrived_at)));
 }
--- a/crates/core/tests/idempotency.rs
+++ b/crates/core/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! Retries and final answers, as the idempotency of each class permits.
+//! Retries and final answers that the idempotency of a class permits.
 
 mod common;
 
@@ -8,36 +8,35 @@
 use common::{MILLISECOND, SECOND};
 use grebehook_core::{Action, AttemptStatus, DeduplicationScope, Idempotency, RequestId, ServerId};
 
-/// An idempotency key that the servers of one zone remember for half a second.
+/// Idempotency key that the servers of one zone remember together for half a second.
 const ZONE_KEY: Idempotency =
     Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: 500 * MILLISECOND };
-/// An idempotency key that every server remembers for half a second.
+/// Idempotency key that all servers remember together for half a second.
 const GLOBAL_KEY: Idempotency =
     Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: 500 * MILLISECOND };
 
-/// A gateway with a request whose first attempt is in flight; servers of even and odd number are in two zones.
+/// A request whose first attempt is in flight, with its gateway. Servers of even and of odd number are in
+/// different zones.
 struct FirstAttempt {
-    /// The gateway.
     gateway: TestGateway,
-    /// The request.
     id: RequestId,
-    /// Where its first attempt went.
+    /// Server of the first attempt.
     server: ServerId,
 }
 
 impl FirstAttempt {
-    /// Sends the first attempt of a request of a class with this idempotency.
+    /// Sends the first attempt of a request whose class has the given idempotency.
     fn send(idempotency: Idempotency) -> FirstAttempt {
         let mut settings = settings();
         settings.classes = vec![class(idempotency)];
         let endpoints = [endpoint(1, 0), endpoint(2, 1), endpoint(3, 0), endpoint(4, 1)];
         let mut gateway = TestGateway::new(settings, &endpoints);
         let (id, actions) = gateway.request(5);
-        let server = forwarded_to(&actions).expect("forwarded at once");
+        let server = forwarded_to(&actions).expect("the request is forwarded at once");
         FirstAttempt { gateway, id, server }
     }
 
-    /// Ends the first attempt.
+    /// Ends the first attempt with the given status and returns the gateway's actions.
     fn complete(&mut self, status: AttemptStatus) -> Vec<Action> {
         self.gateway.complete_attempt(self.id, 0, self.server, status)
     }
@@ -71,9 +70,9 @@
 #[test]
 fn non_idempotent_request_in_flight_at_its_deadline_fails() {
     let FirstAttempt { mut gateway, id, .. } = FirstAttempt::send(Idempotency::NonIdempotent);
-    let done = gateway.run_until(4 * SECOND);
-    assert!(done.iter().any(|timed| timed.action == Action::Fail { id }));
-    assert!(!done.iter().any(|timed| matches!(timed.action, Action::Reject { .. })));
+    let timed_actions = gateway.run_until(4 * SECOND);
+    assert!(timed_actions.iter().any(|timed| timed.action == Action::Fail { id }));
+    assert!(!timed_actions.iter().any(|timed| matches!(timed.action, Action::Reject { .. })));
 }
 
 #[test]
@@ -86,9 +85,9 @@
 #[test]
 fn request_with_a_zone_scoped_key_is_retried_within_its_zone() {
     let mut first = FirstAttempt::send(ZONE_KEY);
-    let retried_at = forwarded_to(&first.complete(AttemptStatus::Error)).expect("a retry");
+    let retried_at = forwarded_to(&first.complete(AttemptStatus::Error)).expect("the request is retried");
     assert_ne!(retried_at, first.server);
-    assert_eq!(retried_at.0 % 2, first.server.0 % 2, "the same zone");
+    assert_eq!(retried_at.0 % 2, first.server.0 % 2, "the retry is in another zone than the first attempt");
 }
 
 #[test]
@@ -111,7 +110,7 @@
     let FirstAttempt { mut gateway, id, mut server } = FirstAttempt::send(Idempotency::Idempotent);
     for attempt in 0..3 {
         let actions = gateway.complete_attempt(id, attempt, server, AttemptStatus::Error);
-        server = forwarded_to(&actions).expect("a permitted attempt");
+        server = forwarded_to(&actions).expect("a further attempt is permitted");
     }
     let actions = gateway.complete_attempt(id, 3, server, AttemptStatus::Error);
     assert!(is_rejected(&actions) && forwarded_to(&actions).is_none());
--- a/crates/core/tests/outlier_ejection.rs
+++ b/crates/core/tests/outlier_ejection.rs
@@ -1,4 +1,5 @@
-//! Servers that fail are ejected, servers that reject are avoided for a while, and both get requests again later.
+//! Servers that fail are ejected, servers that reject requests are avoided for a time, and both get requests
+//! again later.
 
 mod common;
 
@@ -11,7 +12,7 @@
     AttemptStatus, Endpoint, EndpointCounts, EndpointState, Event, RequestArrival, ServerId,
 };
 
-/// Server 1 ends attempts with `status`, every other server with success.
+/// Returns the outcome of attempts by server: `status` at server 1, success at any other.
 fn only_server_1(status: AttemptStatus) -> impl Fn(ServerId) -> AttemptStatus {
     move |server| if server == ServerId(1) { status } else { AttemptStatus::Ok }
 }
@@ -20,17 +21,17 @@
 fn server_that_returns_errors_is_ejected_and_tried_again_later() {
     let mut gateway = TestGateway::new(settings(), &endpoints(1..=3));
     let attempts_at_server_1 = |k: u64| {
-        let tried = gateway.run_request(100 + k, only_server_1(AttemptStatus::Error));
-        tried.iter().filter(|server| **server == ServerId(1)).count()
+        let servers = gateway.run_request(100 + k, only_server_1(AttemptStatus::Error));
+        servers.iter().filter(|server| **server == ServerId(1)).count()
     };
     let failed: usize = (0..60).map(attempts_at_server_1).sum();
-    assert!((1..=6).contains(&failed), "{failed}");
+    assert!((1..=6).contains(&failed), "{failed} attempts at the failing server");
     gateway.run_until(gateway.now + 20 * SECOND);
-    let used: Vec<_> = (0..6).filter_map(|k| forwarded_to(&gateway.request(300 + k).1)).collect();
-    assert!(used.contains(&ServerId(1)), "tried again: {used:?}");
+    let used_servers: Vec<_> = (0..6).filter_map(|k| forwarded_to(&gateway.request(300 + k).1)).collect();
+    assert!(used_servers.contains(&ServerId(1)), "server 1 is not tried again: {used_servers:?}");
 }
 
-/// Operators see the ejections that the choice of server goes by.
+/// The count that operators see must agree with the ejections that server selection enforces.
 #[test]
 fn ejected_server_is_counted_for_as_long_as_it_is_avoided() {
     let mut gateway = TestGateway::new(settings(), &endpoints(1..=3));
@@ -53,7 +54,7 @@
     assert_eq!(
         counts,
         EndpointCounts { listed: 2, ejected: 0 },
-        "ejections that are not enforced are not counted"
+        "ejections are counted although none is enforced"
     );
     assert!(!gateway.run_request(500, |_| AttemptStatus::Ok).is_empty());
 }
@@ -63,9 +64,10 @@
     let mut settings = settings();
     settings.plans.push(plan());
     let mut gateway = TestGateway::new(settings, &[endpoint(1, 0), endpoint(2, 0)]);
-    let tried = gateway.run_request(1_000, only_server_1(AttemptStatus::Rejected));
-    assert_eq!(tried, [ServerId(1), ServerId(2)], "rejected, then served elsewhere");
-    // Server 2 has attempts in flight; this plan still avoids server 1, to which another plan's request goes.
+    let servers = gateway.run_request(1_000, only_server_1(AttemptStatus::Rejected));
+    assert_eq!(servers, [ServerId(1), ServerId(2)], "not rejected by server 1 and then served by server 2");
+    // Although server 2 has attempts in flight, requests of the same plan still avoid server 1. A request of
+    // another plan is sent there.
     let same_plan: Vec<_> = (0..3).map(|k| forwarded_to(&gateway.request(500 + k).1)).collect();
     assert_eq!(same_plan, [Some(ServerId(2)); 3]);
     let other_plan = RequestArrival { plan: 1, ..arrival(5_000, 900) };
@@ -73,5 +75,5 @@
     assert_eq!(forwarded_to(&actions), Some(ServerId(1)));
     gateway.run_until(gateway.now + 10 * SECOND);
     let retried = forwarded_to(&gateway.request(600).1);
-    assert_eq!(retried, Some(ServerId(1)), "tried again after its backoff");
+    assert_eq!(retried, Some(ServerId(1)), "server 1 is not tried again after its backoff");
 }
--- a/crates/core/tests/settings_validation.rs
+++ b/crates/core/tests/settings_validation.rs
@@ -1,11 +1,12 @@
-//! Invalid settings are refused with the name of the field.
+//! Refusal of invalid settings, with the path of the invalid field.
 
 mod common;
 
 use common::settings::settings;
 use grebehook_core::{Gateway, Settings};
 
-/// The field that is refused after a change of the default settings.
+/// Returns the path of the field that is refused after a change of the default settings; `None` if all are
+/// accepted.
 fn invalid_field(change: fn(&mut Settings)) -> Option<String> {
     let mut settings = settings();
     change(&mut settings);
