--- a/crates/gateway/src/config/document.rs
+++ b/crates/gateway/src/config/document.rs
@@ -119,11 +119,11 @@
 
     /// Reads the file's JSON.
     pub fn from_document(document: &Value) -> Result<Config, ConfigError> {
-        let file: ConfigFile = fields::read(document)?;
-        let transport = fields::read::<TransportFile>(document)?.settings;
+        let file: ConfigFile = fields::deserialize(document)?;
+        let transport = fields::deserialize::<TransportFile>(document)?.settings;
         let in_settings =
             |error: FieldError| FieldError { path: format!("settings.{}", error.path), ..error };
-        let settings = file.settings.settings().map_err(in_settings)?;
+        let settings = file.settings.to_core_settings().map_err(in_settings)?;
         let limits = file.limits.unwrap_or_default();
         let names = names(&transport);
         Ok(Config {
--- a/crates/gateway/src/control/discovery.rs
+++ b/crates/gateway/src/control/discovery.rs
@@ -186,7 +186,7 @@
         };
         let body = body.map_err(|_| WatchError::TimedOut)??;
         let document = serde_json::from_slice(&body).map_err(WatchError::NotJson)?;
-        let message: EndpointListMessage = fields::read(&document).map_err(WatchError::Malformed)?;
+        let message: EndpointListMessage = fields::deserialize(&document).map_err(WatchError::Malformed)?;
         let list = message.into_list(&self.names);
         // An older list may name servers that are gone.
         if self.index.is_some_and(|known| list.index < known) {
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -1,31 +1,32 @@
-//! Actions, written on the wire.
+//! Encodes actions of the decision core as messages of the simulator's protocol.
 
-use crate::names::Names;
+use crate::names::WireNames;
 use base64::{prelude::BASE64_STANDARD, Engine};
 use grebehook_core::{Action, RequestId};
 use serde_json::{json, Value};
 
-/// The wire's form of an action; `None` if it names something the wire never named.
-pub(crate) fn write(names: &mut Names, instance_id: u64, action: &Action) -> Option<Value> {
-    let name = |id: RequestId| names.request_name(id);
+/// Returns the message for an action, or `None` if the action refers to a server or request without a known
+/// wire name. Updates `names` for started attempts and final answers.
+pub(crate) fn encode(names: &mut WireNames, instance_id: u64, action: &Action) -> Option<Value> {
+    let request_name = |id: RequestId| names.request_name(id);
     Some(match action {
         Action::Send { id, server, timeout } => {
             let server = names.servers.get(server)?;
-            let message = json!(["send", instance_id, name(*id)?, server, timeout]);
+            let message = json!(["send", instance_id, request_name(*id)?, server, timeout]);
             names.attempt_started(*id);
             message
         }
         Action::Reject { id, retry_after } => {
-            let message = json!(["shed", instance_id, name(*id)?, retry_after.unwrap_or(0)]);
-            names.finish(*id);
+            let message = json!(["shed", instance_id, request_name(*id)?, retry_after.unwrap_or(0)]);
+            names.request_finished(*id);
             message
         }
         Action::Fail { id } => {
-            let message = json!(["reportFailure", instance_id, name(*id)?]);
-            names.finish(*id);
+            let message = json!(["reportFailure", instance_id, request_name(*id)?]);
+            names.request_finished(*id);
             message
         }
-        Action::Cancel { id, attempt } => json!(["cancel", instance_id, name(*id)?, attempt]),
+        Action::Cancel { id, attempt } => json!(["cancel", instance_id, request_name(*id)?, attempt]),
         Action::Timer { at, timer } => json!(["wakeAt", instance_id, at, timer.0.to_string()]),
         Action::CheckHealth { server } => json!(["probe", instance_id, names.servers.get(server)?]),
         Action::SendGossip { to, message } => {
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,9 +1,9 @@
-//! Events, read off the wire: a function for each message, beside the names of its columns. `-` stands for a
-//! column that is not read.
+//! Decodes messages of the simulator's protocol into events of the decision core. Each message has a function
+//! and a list of column names; `-` marks a column that is not read.
 
 use crate::instance::Instance;
 use crate::row::{ColumnError, Row};
-use crate::settings::LoadColumn;
+use crate::settings::LoadReportColumn;
 use base64::{prelude::BASE64_STANDARD, Engine};
 use fnv::FnvHasher;
 use grebehook_core::{
@@ -14,39 +14,44 @@
 use std::hash::Hasher;
 use std::net::SocketAddrV4;
 
-/// The columns of `targets`.
+/// Columns of `targets`.
 const ENDPOINTS_CHANGED: &[&str] = &["mode", "-", "records"];
-/// The columns of one of its records.
+/// Columns of one record of `targets`.
 const ENDPOINT: &[&str] = &["pod", "readiness", "readyAtUs", "size", "-", "locality", "server"];
-/// The columns of `demand`.
+/// Columns of `demand`.
 const REQUEST_ARRIVED: &[&str] =
     &["call", "tierClass", "tier", "apiKey", "graceUs", "units", "setSize", "firstDoor", "flags"];
-/// The columns of `finished`.
+/// Columns of `finished`.
 const ATTEMPT_COMPLETED: &[&str] =
     &["call", "hop", "server", "verdict", "costTimeUs", "closed", "usage", "settled", "stats"];
-/// The column that `established` and `gone` are read for.
+/// Columns of `established` and `gone`; later ones are not read.
 const REQUEST: &[&str] = &["call"];
-/// The columns of `due`.
+/// Columns of `due`.
 const TIMER: &[&str] = &["name"];
-/// The columns of `checkResult`.
+/// Columns of `checkResult`.
 const HEALTH_CHECK_COMPLETED: &[&str] = &["-", "server", "verdict", "stats"];
-/// The columns of `peerData`.
+/// Columns of `peerData`.
 const GOSSIP_RECEIVED: &[&str] = &["who", "body"];
-/// The columns of `counterReply`.
+/// Columns of `counterReply`.
 const COUNTER_REPLIED: &[&str] = &["entryName", "verdict", "total", "costTimeUs"];
 
-/// The bit of `flags` that marks a retry.
+/// Bit of the `flags` column that marks a retry.
 const RETRY_FLAG: u64 = 2;
-/// The bit that keeps servers named by a text apart from those named by an address.
-const HASHED_SERVER: u64 = 1 << 63;
-
-/// A message's event, or the column at fault.
-type Read<T> = Result<T, ColumnError>;
-
-/// The event of an item; `None` if its name is not known.
-pub(crate) fn read(instance: &mut Instance, name: &str, fields: &[Value]) -> Read<Option<Event>> {
-    let row = |columns| Row::new(columns, fields);
-    Ok(Some(match name {
+/// Bit set in the id of a server with a textual name, so that it differs from every id made of an IPv4
+/// address and a port.
+const HASHED_SERVER_BIT: u64 = 1 << 63;
+
+/// A decoded value, or the column that is missing or malformed.
+type DecodeResult<T> = Result<T, ColumnError>;
+
+/// Decodes an item into an event, or returns `None` if the event name is unknown.
+pub(crate) fn decode(
+    instance: &mut Instance,
+    event_name: &str,
+    values: &[Value],
+) -> DecodeResult<Option<Event>> {
+    let row = |columns| Row::new(columns, values);
+    Ok(Some(match event_name {
         "targets" => endpoints_changed(instance, row(ENDPOINTS_CHANGED))?,
         "demand" => request_arrived(instance, row(REQUEST_ARRIVED))?,
         "established" => response_started(instance, row(REQUEST))?,
@@ -60,8 +65,8 @@
     }))
 }
 
-/// The endpoint list changed, or a watch of it failed.
-fn endpoints_changed(instance: &mut Instance, row: Row) -> Read<Event> {
+/// Decodes a change of the endpoint list or a failure of the watch.
+fn endpoints_changed(instance: &mut Instance, row: Row) -> DecodeResult<Event> {
     let watch_event = match row.unsigned_or_zero("mode")? {
         0 => WatchEvent::Snapshot,
         2 => WatchEvent::Failed,
@@ -70,12 +75,11 @@
         _ => return Err(ColumnError { column: "mode" }),
     };
     let records = row.list("records")?;
-    let endpoints = records.iter().map(|record| endpoint(instance, record)).collect::<Read<_>>()?;
+    let endpoints = records.iter().map(|record| endpoint(instance, record)).collect::<DecodeResult<_>>()?;
     Ok(Event::EndpointsChanged { watch_event, endpoints })
 }
 
-/// One entry of the endpoint list.
-fn endpoint(instance: &mut Instance, record: &Value) -> Read<Endpoint> {
+fn endpoint(instance: &mut Instance, record: &Value) -> DecodeResult<Endpoint> {
     let record = record.as_array().ok_or(ColumnError { column: "records" })?;
     let row = Row::new(ENDPOINT, record);
     Ok(Endpoint {
@@ -86,22 +90,22 @@
             2 => EndpointState::Draining,
             _ => return Err(ColumnError { column: "readiness" }),
         },
-        started_at: row.positive("readyAtUs")?.and_then(NonZeroMicros::new),
+        started_at: row.nonzero_unsigned("readyAtUs")?.and_then(NonZeroMicros::new),
         relative_size: row.optional_number("size").unwrap_or(1.0),
         zone: row.unsigned_or_zero("locality")? as u32,
         server: server(instance, row)?,
     })
 }
 
-/// A client's request.
-fn request_arrived(instance: &mut Instance, row: Row) -> Read<Event> {
+/// Decodes the arrival of a client's request. A customer key that is not a hexadecimal number is hashed.
+fn request_arrived(instance: &mut Instance, row: Row) -> DecodeResult<Event> {
     let id = instance.names.request_id(row.text("call")?);
     let customer = row.text("apiKey")?;
     Ok(Event::RequestArrived(RequestArrival {
         id,
         class: row.unsigned_or_zero("tierClass")? as usize,
         plan: row.unsigned_or_zero("tier")? as usize,
-        customer: CustomerId(u64::from_str_radix(customer, 16).unwrap_or_else(|_| hash(customer))),
+        customer: CustomerId(u64::from_str_radix(customer, 16).unwrap_or_else(|_| fnv1a_hash(customer))),
         client_timeout: row.unsigned_or_zero("graceUs")?,
         age: 0,
         units: row.number("units")?,
@@ -112,14 +116,13 @@
     }))
 }
 
-/// A streamed response has begun.
-fn response_started(instance: &Instance, row: Row) -> Read<Event> {
+/// Decodes the start of a streamed response. A request that is not known is an error.
+fn response_started(instance: &Instance, row: Row) -> DecodeResult<Event> {
     let id = instance.names.known_request_id(row.text("call")?);
     Ok(Event::ResponseStarted { id: id.ok_or(ColumnError { column: "call" })? })
 }
 
-/// An attempt ended.
-fn attempt_completed(instance: &mut Instance, row: Row) -> Read<Event> {
+fn attempt_completed(instance: &mut Instance, row: Row) -> DecodeResult<Event> {
     Ok(Event::AttemptCompleted(AttemptReport {
         id: instance.names.request_id(row.text("call")?),
         attempt: row.unsigned_or_zero("hop")? as u32,
@@ -127,20 +130,18 @@
         status: status(row)?,
         elapsed: row.unsigned_or_zero("costTimeUs")?,
         request_finished: row.flag("closed"),
-        reported_usage: row.positive("usage")?.map(usage_share),
+        reported_usage: row.nonzero_unsigned("usage")?.map(usage_share),
         settled_units: row.optional_number("settled").filter(|units| *units > 0.0),
         load_report: load_report(instance, row),
     }))
 }
 
-/// A timer fell due.
-fn timer(row: Row) -> Read<Event> {
+fn timer(row: Row) -> DecodeResult<Event> {
     let timer = row.text("name")?.parse().map_err(|_| ColumnError { column: "name" })?;
     Ok(Event::Timer { timer: TimerId(timer) })
 }
 
-/// A health check ended.
-fn health_check_completed(instance: &mut Instance, row: Row) -> Read<Event> {
+fn health_check_completed(instance: &mut Instance, row: Row) -> DecodeResult<Event> {
     Ok(Event::HealthCheckCompleted {
         server: server(instance, row)?,
         status: status(row)?,
@@ -148,15 +149,13 @@
     })
 }
 
-/// A gossip message of another gateway.
-fn gossip_received(row: Row) -> Read<Event> {
+fn gossip_received(row: Row) -> DecodeResult<Event> {
     let from = row.unsigned_or_zero("who")? as usize;
     let message = BASE64_STANDARD.decode(row.text("body")?);
     Ok(Event::GossipReceived { from, message: message.map_err(|_| ColumnError { column: "body" })? })
 }
 
-/// A call of the shared counter ended.
-fn counter_replied(row: Row) -> Read<Event> {
+fn counter_replied(row: Row) -> DecodeResult<Event> {
     let status = row.text("verdict")?;
     let counter = u64::from_str_radix(row.text("entryName")?, 16);
     let counter = counter.map_err(|_| ColumnError { column: "entryName" })?;
@@ -169,19 +168,18 @@
     Ok(Event::CounterReplied { counter: CounterId(counter), result, elapsed })
 }
 
-/// The server that a message names; its name is kept for actions that name it.
-fn server(instance: &mut Instance, row: Row) -> Read<ServerId> {
+/// Returns the id of a message's server and records its name for the encoding of actions.
+fn server(instance: &mut Instance, row: Row) -> DecodeResult<ServerId> {
     let name = row.text("server")?;
     let id = ServerId(match name.parse::<SocketAddrV4>() {
         Ok(address) => u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port()),
-        Err(_) => hash(name) | HASHED_SERVER,
+        Err(_) => fnv1a_hash(name) | HASHED_SERVER_BIT,
     });
     instance.names.servers.entry(id).or_insert_with(|| name.to_owned());
     Ok(id)
 }
 
-/// How an attempt or a health check ended.
-fn status(row: Row) -> Read<AttemptStatus> {
+fn status(row: Row) -> DecodeResult<AttemptStatus> {
     Ok(match row.text("verdict")? {
         "OK" => AttemptStatus::Ok,
         "INTERNAL" => AttemptStatus::Error,
@@ -195,29 +193,31 @@
     })
 }
 
-/// The load report that came along; `None` if there is none.
+/// Decodes the load report of a message, or returns `None` if it has none. Values that are not numbers are
+/// left out of the report.
 fn load_report(instance: &Instance, row: Row) -> Option<LoadReport> {
     let values = row.value("stats")?.as_array()?;
     let mut report = LoadReport::default();
-    for (column, value) in instance.load_columns.iter().zip(values) {
+    for (column, value) in instance.load_report_columns.iter().zip(values) {
         match column {
-            LoadColumn::InFlight => report.in_flight = value.as_f64(),
-            LoadColumn::Queued => report.queued = value.as_f64(),
-            LoadColumn::Utilization => report.utilization = value.as_f64(),
-            LoadColumn::LatencyMs => report.latency_ms = value.as_f64(),
-            LoadColumn::Unknown => {}
+            LoadReportColumn::InFlight => report.in_flight = value.as_f64(),
+            LoadReportColumn::Queued => report.queued = value.as_f64(),
+            LoadReportColumn::Utilization => report.utilization = value.as_f64(),
+            LoadReportColumn::LatencyMs => report.latency_ms = value.as_f64(),
+            LoadReportColumn::Unknown => {}
         }
     }
     Some(report)
 }
 
-/// Use of a customer's rate as a share; the wire gives it in percent and adds 1, since 0 stands for none.
-fn usage_share(reported: u64) -> f64 {
-    (reported - 1) as f64 / 100.0
+/// Converts a reported usage to a share of the customer's rate. The protocol encodes it as a percentage plus
+/// 1, because 0 means that no usage is reported.
+fn usage_share(percent_plus_one: u64) -> f64 {
+    (percent_plus_one - 1) as f64 / 100.0
 }
 
-/// A number for a text that is the same at every gateway (64-bit FNV-1a).
-fn hash(text: &str) -> u64 {
+/// Returns the 64-bit FNV-1a hash of a text, which is the same on every gateway.
+fn fnv1a_hash(text: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(text.as_bytes());
     hasher.finish()
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,4 +1,4 @@
-//! Typed reading of JSON objects, with errors that name the field at fault by its path.
+//! Deserializes JSON into typed values, with errors that give the path of the malformed field.
 
 use serde::de::{DeserializeOwned, Error};
 use serde::{Deserialize, Deserializer};
@@ -8,55 +8,57 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path} {reason}")]
 pub struct FieldError {
-    /// The path from the object that was read, such as `classes[0].aimUs`.
+    /// Path of the field from the deserialized object, such as `classes[0].aimUs`.
     pub path: String,
-    /// What is wrong with it.
+    /// What is wrong with the field, worded to follow its path.
     pub reason: String,
 }
 
 impl FieldError {
-    /// An error of the field at a path.
+    /// Creates an error for the field at a path, with a reason that is worded to follow the path.
     pub(crate) fn new(path: &str, reason: &str) -> FieldError {
         FieldError { path: path.to_owned(), reason: reason.to_owned() }
     }
 
-    /// The same error, named from the object whose list holds the one that was read.
-    pub(crate) fn below(&self, list: &str, index: usize) -> FieldError {
+    /// Returns the same error with a path that starts at the object that contains the list.
+    pub(crate) fn within_list(&self, list: &str, index: usize) -> FieldError {
         FieldError { path: format!("{list}[{index}].{}", self.path), reason: self.reason.clone() }
     }
 
-    /// An error that serde found at a path; `.` is the object that was read.
+    /// Converts an error of serde. The path `.` denotes the deserialized object itself.
     fn from_serde(path: &str, message: &str) -> FieldError {
-        // For a missing field, serde's path is that of the object that lacks it, and its message names the field.
+        // The path of a missing field is that of the object that lacks it; only the message contains its
+        // name.
         let missing = message.strip_prefix("missing field `").and_then(|rest| rest.strip_suffix('`'));
         let at_root = path == ".";
         match missing {
             Some(field) if at_root => FieldError::new(field, "is missing"),
             Some(field) => FieldError::new(&format!("{path}.{field}"), "is missing"),
             None if at_root => FieldError::new("the object", &format!("is not valid: {message}")),
-            None if is_own_reason(message) => FieldError::new(path, message),
+            None if is_field_reason(message) => FieldError::new(path, message),
             None => FieldError::new(path, &format!("is not valid: {message}")),
         }
     }
 }
 
-/// Whether a message was written by a reader of this project, to follow the field's path.
-fn is_own_reason(message: &str) -> bool {
+/// Returns whether an error message comes from a deserializer of this project rather than from serde. Such
+/// messages are worded to follow the path of the field.
+fn is_field_reason(message: &str) -> bool {
     message.starts_with("is ") || message.starts_with("has ")
 }
 
-/// Reads a type from JSON.
-pub fn read<T: DeserializeOwned>(value: &Value) -> Result<T, FieldError> {
+/// Deserializes a value; the error gives the path of the missing or malformed field.
+pub fn deserialize<T: DeserializeOwned>(value: &Value) -> Result<T, FieldError> {
     serde_path_to_error::deserialize(value)
         .map_err(|error| FieldError::from_serde(&error.path().to_string(), &error.inner().to_string()))
 }
 
-/// A number.
+/// Deserializes a number; the error states that the value is not one.
 pub fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     f64::deserialize(deserializer).map_err(|_| D::Error::custom("is no number"))
 }
 
-/// A number of microseconds; a fraction of one is dropped.
+/// Deserializes a time in whole microseconds. A fraction is truncated; a negative number is an error.
 pub fn micros<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     match number(deserializer)? {
         negative if negative < 0.0 => Err(D::Error::custom("is negative")),
@@ -64,7 +66,7 @@
     }
 }
 
-/// A value that counts as its default where it is of another type.
+/// Deserializes a value, with the default in place of a value of the wrong type.
 pub fn lenient<'de, D: Deserializer<'de>, T: DeserializeOwned + Default>(
     deserializer: D,
 ) -> Result<T, D::Error> {
@@ -72,13 +74,14 @@
     Ok(T::deserialize(value).unwrap_or_default())
 }
 
-/// Microseconds that count as 0 where they are no number or negative.
+/// Deserializes a time in whole microseconds, with 0 in place of a negative number or of another type.
 pub fn lenient_micros<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     let value = Value::deserialize(deserializer)?;
     Ok(micros(value).unwrap_or(0))
 }
 
-/// An object that counts as an empty one where it is of another type. serde takes a list for a struct, too.
+/// Deserializes a struct from an object, with the default in place of a value of the wrong type. An array
+/// counts as one, although serde would accept it for a struct.
 pub fn lenient_object<'de, D: Deserializer<'de>, T: DeserializeOwned + Default>(
     deserializer: D,
 ) -> Result<T, D::Error> {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,98 +1,99 @@
-//! One gateway under simulation.
+//! One simulated gateway: a decision core with the wire names of its servers and requests.
 
 use crate::actions;
-use crate::names::Names;
-use crate::settings::{LaunchSettings, LoadColumn};
+use crate::names::WireNames;
+use crate::settings::{InstanceSettings, LoadReportColumn};
 use grebehook_core::{Action, AttemptReport, Event, Gateway, Micros, RequestId, SettingsError};
 use serde_json::{json, Value};
 use std::any::Any;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// One gateway.
+/// One simulated gateway.
 pub(crate) struct Instance {
-    /// The wire's number for it.
+    /// Number of the instance in the simulator's protocol.
     id: u64,
-    /// Its decision core.
+    /// Decision core of the simulated gateway.
     gateway: Gateway,
-    /// The columns of load reports.
-    pub(crate) load_columns: Vec<LoadColumn>,
-    /// The wire's names of servers and requests.
-    pub(crate) names: Names,
+    /// Columns of load reports, in order.
+    pub(crate) load_report_columns: Vec<LoadReportColumn>,
+    /// Wire names of servers and requests.
+    pub(crate) names: WireNames,
 }
 
 impl Instance {
-    /// Starts a gateway.
-    pub(crate) fn launch(
+    /// Starts a gateway, unless the decision core rejects the settings.
+    pub(crate) fn start(
         id: u64,
-        settings: LaunchSettings,
+        settings: InstanceSettings,
         seed: u64,
         now: Micros,
     ) -> Result<Instance, SettingsError> {
         Ok(Instance {
             id,
             gateway: Gateway::new(settings.core, seed, now)?,
-            load_columns: settings.load_columns,
-            names: Names::default(),
+            load_report_columns: settings.load_report_columns,
+            names: WireNames::default(),
         })
     }
 
-    /// Hands an event to the decision core and writes the actions that follow. A panic there becomes a reply, too.
-    pub(crate) fn play(&mut self, now: Micros, event: Event, replies: &mut Vec<Value>) {
-        let end = End::of(&event);
+    /// Passes an event to the decision core and appends the resulting actions to `replies`. If the core
+    /// panics, appends the actions it produced before the panic and an `internalError` message.
+    pub(crate) fn handle_event(&mut self, now: Micros, event: Event, replies: &mut Vec<Value>) {
+        let completion = Completion::of(&event);
         let mut actions: Vec<Action> = Vec::new();
         let handled = catch_unwind(AssertUnwindSafe(|| self.gateway.handle(now, event, &mut actions)));
         for action in &actions {
-            replies.extend(actions::write(&mut self.names, self.id, action));
+            replies.extend(actions::encode(&mut self.names, self.id, action));
         }
-        if let Some(end) = end {
-            self.apply(end);
+        if let Some(completion) = completion {
+            self.record_completion(completion);
         }
         if let Err(panic) = handled {
-            replies.push(internal_error(self.id, &panic_text(&*panic)));
+            replies.push(internal_error(self.id, &panic_message(&*panic)));
         }
     }
 
-    /// Notes what an event ended, once its actions are written.
-    fn apply(&mut self, end: End) {
-        if end.attempt {
-            self.names.attempt_ended(end.id);
+    /// Records what an event completed. Called after the event's actions are encoded, since recording can
+    /// remove the name of the request that they refer to.
+    fn record_completion(&mut self, completion: Completion) {
+        if completion.attempt_ended {
+            self.names.attempt_ended(completion.request_id);
         }
-        if end.request {
-            self.names.finish(end.id);
+        if completion.request_finished {
+            self.names.request_finished(completion.request_id);
         }
     }
 }
 
-/// What an event ends.
-struct End {
-    /// The request.
-    id: RequestId,
-    /// An attempt of it ended.
-    attempt: bool,
-    /// The request itself ended.
-    request: bool,
+/// The end of an attempt, of a request, or of both, as reported by one event.
+struct Completion {
+    request_id: RequestId,
+    attempt_ended: bool,
+    request_finished: bool,
 }
 
-impl End {
-    /// What an event ends; `None` if nothing.
-    fn of(event: &Event) -> Option<End> {
+impl Completion {
+    /// Returns what an event completes, or `None` if it completes nothing.
+    fn of(event: &Event) -> Option<Completion> {
         match event {
             Event::AttemptCompleted(AttemptReport { id, request_finished, .. }) => {
-                Some(End { id: *id, attempt: true, request: *request_finished })
+                Some(Completion { request_id: *id, attempt_ended: true, request_finished: *request_finished })
+            }
+            Event::ClientDisconnected { id } => {
+                Some(Completion { request_id: *id, attempt_ended: false, request_finished: true })
             }
-            Event::ClientDisconnected { id } => Some(End { id: *id, attempt: false, request: true }),
             _ => None,
         }
     }
 }
 
-/// The reply that reports a fault of an instance.
-pub(crate) fn internal_error(instance: u64, text: &str) -> Value {
-    json!(["internalError", instance, text])
+/// Returns the message that reports an internal error of an instance.
+pub(crate) fn internal_error(instance_id: u64, text: &str) -> Value {
+    json!(["internalError", instance_id, text])
 }
 
-/// What a panic said.
-fn panic_text(panic: &(dyn Any + Send)) -> String {
+/// Returns the message of a panic, or `panic` if its payload is not text.
+fn panic_message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic").to_owned()
 }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,7 +1,9 @@
-//! The simulator's wire to grebehook-core's interface and back; nothing is decided here.
+//! Translates between the simulator's protocol and the events and actions of `grebehook-core`. This crate
+//! makes no decisions about requests.
 //!
-//! The wire's names are replaced by the decision core's terms in one place each: `events` (read), `actions`
-//! (written), [`settings`] (read, also by the gateway program).
+//! A wire name is a name in the protocol's messages. The mapping from wire names to the terms of the decision
+//! core is confined to `events` (decoding), `actions` (encoding) and [`settings`], which the gateway program
+//! shares.
 
 mod actions;
 mod batch;
@@ -14,5 +16,5 @@
 pub mod settings;
 
 pub use batch::BatchError;
-pub use host::Host;
+pub use host::InstanceHost;
 pub use row::ColumnError;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,25 +1,25 @@
-//! Plays the simulator's wire: batches on standard input, replies on standard output.
+//! Runs simulated gateways: reads event batches from standard input and writes replies to standard output.
 
-use grebehook_simulator_adapter::{BatchError, Host};
+use grebehook_simulator_adapter::{BatchError, InstanceHost};
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// Why the program ends before its input does.
+/// An error that stops the program before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
-    /// Standard input fails.
     #[error("standard input cannot be read: {0}")]
     Input(#[source] io::Error),
-    /// A line is no batch.
+    /// An input line is not a valid batch.
     #[error(transparent)]
     Batch(#[from] BatchError),
-    /// The reader of the replies is gone.
+    /// A reply cannot be written, for example because its reader has exited.
     #[error("standard output cannot be written: {0}")]
     Output(#[source] io::Error),
 }
 
 fn main() -> ExitCode {
-    // A panic of the decision core is reported to the simulator instead.
+    // Panics of the decision core are caught and reported to the simulator, so the default hook's message on
+    // standard error is suppressed.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
@@ -30,15 +30,15 @@
     }
 }
 
-/// Answers every batch, until the input ends.
+/// Replies to every batch until the end of standard input.
 fn run() -> Result<(), RunError> {
-    let mut host = Host::default();
+    let mut host = InstanceHost::default();
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut line = String::new();
     while input.read_line(&mut line).map_err(RunError::Input)? > 0 {
         if !line.trim().is_empty() {
-            let reply = host.batch(&line)?;
+            let reply = host.handle_batch(&line)?;
             writeln!(output, "{reply}").and_then(|()| output.flush()).map_err(RunError::Output)?;
         }
         line.clear();
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -1,33 +1,30 @@
-//! The wire's names for what the decision core numbers.
+//! Maps between wire names and the ids by which the decision core refers to servers and requests.
 
 use grebehook_core::{RequestId, ServerId};
 use std::collections::HashMap;
 
-/// A request's name, kept while an attempt is in flight or an answer is due.
+/// The wire name of a request, kept until the request is finished and has no attempt in flight.
 struct NamedRequest {
-    /// The wire's name.
     name: String,
-    /// Attempts that have not ended.
     attempts_in_flight: u32,
-    /// Answered, or its client disconnected.
+    /// Whether the request has its final answer or its client disconnected.
     finished: bool,
 }
 
-/// The names of one gateway's servers and requests.
+/// The wire names of the servers and requests of one gateway.
 #[derive(Default)]
-pub(crate) struct Names {
-    /// The wire's names of servers.
+pub(crate) struct WireNames {
+    /// Wire names of servers; never removed.
     pub(crate) servers: HashMap<ServerId, String>,
-    /// The numbers of requests by their names.
+    /// Ids of requests by their wire names.
     request_ids: HashMap<String, RequestId>,
-    /// The requests by their numbers.
     requests: HashMap<RequestId, NamedRequest>,
-    /// The highest number given to a request.
+    /// The highest id assigned to a request; ids are not reused.
     last_request_id: u64,
 }
 
-impl Names {
-    /// The number of a request's name; a name not yet known gets a new one.
+impl WireNames {
+    /// Returns the id of a request, assigning a new one to an unknown name.
     pub(crate) fn request_id(&mut self, name: &str) -> RequestId {
         if let Some(id) = self.known_request_id(name) {
             return id;
@@ -40,41 +37,41 @@
         id
     }
 
-    /// The number of a request's name; `None` if the name is not known.
+    /// Returns the id of a request, or `None` if its name is unknown.
     pub(crate) fn known_request_id(&self, name: &str) -> Option<RequestId> {
         self.request_ids.get(name).copied()
     }
 
-    /// The name of a request; `None` once it is forgotten.
+    /// Returns the wire name of a request, or `None` if it has been removed.
     pub(crate) fn request_name(&self, id: RequestId) -> Option<&str> {
         Some(&self.requests.get(&id)?.name)
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt of a request was sent.
     pub(crate) fn attempt_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts_in_flight += 1;
         }
     }
 
-    /// An attempt ended.
+    /// Records that an attempt of a request ended.
     pub(crate) fn attempt_ended(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
-            self.forget_if_unused(id);
+            self.remove_if_unused(id);
         }
     }
 
-    /// The request has its answer, or its client disconnected.
-    pub(crate) fn finish(&mut self, id: RequestId) {
+    /// Records that a request has its final answer or that its client disconnected.
+    pub(crate) fn request_finished(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.finished = true;
-            self.forget_if_unused(id);
+            self.remove_if_unused(id);
         }
     }
 
-    /// Forgets the name of a request that no event will name again.
-    fn forget_if_unused(&mut self, id: RequestId) {
+    /// Removes a request that no later event refers to: it is finished and has no attempt in flight.
+    fn remove_if_unused(&mut self, id: RequestId) {
         let unused = |request: &NamedRequest| request.finished && request.attempts_in_flight == 0;
         if self.requests.get(&id).is_some_and(unused) {
             let request = self.requests.remove(&id);
--- a/crates/simulator-adapter/src/settings/message.rs
+++ b/crates/simulator-adapter/src/settings/message.rs
@@ -1,209 +1,212 @@
-//! The settings object as JSON: the wire's names stand in the `rename`s alone. Unknown keys are ignored.
+//! JSON schema of the settings object. Wire names that differ from the field names appear only in `rename`
+//! attributes; unknown keys are ignored.
 
 use crate::fields;
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The settings object as the simulator and a gateway's configuration give it.
+/// The settings object that the simulator sends and that a gateway's configuration file contains.
 #[derive(Debug, Deserialize)]
 pub struct SettingsMessage {
-    /// This gateway's number.
+    /// Index of this gateway, from 0.
     #[serde(rename = "me", deserialize_with = "fields::micros")]
     pub(super) gateway_index: u64,
-    /// How many gateways there are.
+    /// Number of gateways.
     #[serde(rename = "siblings", deserialize_with = "fields::micros")]
     pub(super) gateway_count: u64,
-    /// The zone this gateway is in.
+    /// Zone of this gateway.
     #[serde(rename = "az", deserialize_with = "fields::micros")]
     pub(super) zone: u64,
-    /// The shortest time between two batches of events, microseconds.
+    /// Minimum time between two batches of events, in microseconds.
     #[serde(rename = "tickUs", deserialize_with = "fields::micros")]
     pub(super) batch_interval: u64,
-    /// How the endpoint list arrives.
+    /// Delivery of the endpoint list; `ask` means that the gateway has to poll for it.
     #[serde(default, deserialize_with = "fields::lenient")]
     pub(super) discovery: String,
-    /// Classes of request.
+    /// Classes of requests.
     pub(super) classes: Vec<ClassMessage>,
-    /// Plans.
+    /// Plans that customers can have.
     pub(super) plans: Vec<PlanMessage>,
-    /// What is allowed.
+    /// Features that a gateway may use, with their bounds.
     pub(super) limits: LimitsMessage,
-    /// The figures of the protocol's rules.
+    /// Parameters of the protocol's rules.
     pub(super) rules: RulesMessage,
-    /// What the customers' interface says.
+    /// Parameters of quota accounting.
     #[serde(rename = "familyInfo", deserialize_with = "fields::lenient_object")]
-    pub(super) customer_interface: CustomerInterfaceMessage,
-    /// Load reports.
+    pub(super) quota_accounting: QuotaAccountingMessage,
+    /// Format and delivery of load reports.
     #[serde(rename = "stats", deserialize_with = "fields::lenient_object")]
     pub(super) load_reports: LoadReportsMessage,
-    /// Costs of what a gateway may do.
+    /// Costs of optional gateway features.
     #[serde(rename = "prices", default, deserialize_with = "fields::lenient_object")]
     pub(super) costs: CostsMessage,
-    /// What clients do.
+    /// Behaviour of clients.
     #[serde(rename = "callers", default, deserialize_with = "fields::lenient_object")]
     pub(super) clients: ClientsMessage,
 }
 
-/// A class of request.
+/// A class of requests.
 #[derive(Debug, Deserialize)]
 pub(super) struct ClassMessage {
-    /// A response within this time earns the full weight, microseconds.
+    /// Time within which a response earns the full weight, in microseconds.
     #[serde(rename = "aimUs", deserialize_with = "fields::micros")]
     pub(super) latency_objective: u64,
-    /// How long a client waits in all, microseconds.
+    /// Total time that a client waits, in microseconds.
     #[serde(rename = "deadlineUs", deserialize_with = "fields::micros")]
     pub(super) deadline: u64,
-    /// Share of the weight that a late response earns.
+    /// Share of the weight that a response past the latency objective earns.
     #[serde(rename = "lateWorth", deserialize_with = "fields::number")]
     pub(super) late_priority_weight: f64,
-    /// Priority weight of one request.
+    /// Weight of one request of the class.
     #[serde(rename = "value", deserialize_with = "fields::number")]
     pub(super) priority_weight: f64,
-    /// Whether a request may run again.
+    /// Whether a request may be executed more than once.
     #[serde(rename = "semantics", default, deserialize_with = "fields::lenient")]
     pub(super) idempotency: String,
-    /// Which servers share the idempotency keys they have seen.
+    /// Set of servers that share their seen idempotency keys.
     #[serde(rename = "group", default, deserialize_with = "fields::lenient")]
     pub(super) deduplication_scope: String,
-    /// How long they remember a key; read for a class with idempotency keys alone.
+    /// Time for which servers remember an idempotency key, in microseconds; not validated for classes without
+    /// idempotency keys.
     #[serde(rename = "windowUs", default)]
     pub(super) deduplication_window: Value,
-    /// Whether responses stream.
+    /// Whether responses are streamed.
     #[serde(rename = "stream", default, deserialize_with = "fields::lenient")]
     pub(super) streaming: bool,
 }
 
-/// A plan.
+/// A plan; its fields are those of [`grebehook_core::Plan`].
 #[derive(Debug, Deserialize)]
 pub(super) struct PlanMessage {
-    /// Units a second that refill the token bucket.
+    /// Refill rate of the token bucket, in units per second.
     #[serde(deserialize_with = "fields::number")]
     pub(super) rate: f64,
-    /// Units that the token bucket holds at most.
+    /// Capacity of the token bucket, in units.
     #[serde(rename = "depth", deserialize_with = "fields::number")]
     pub(super) burst: f64,
-    /// Most requests in flight at once; 0 if that is not limited.
+    /// Maximum number of requests in flight; 0 for no limit.
     #[serde(rename = "concurrency", deserialize_with = "fields::number")]
     pub(super) max_concurrency: f64,
-    /// Multiplier on the priority weight of a class.
+    /// Multiplier of the priority weight of a class.
     #[serde(rename = "valueFactor", deserialize_with = "fields::number")]
     pub(super) weight_multiplier: f64,
-    /// Share of its weight that a request over the quota earns.
+    /// Share of its weight that a request forwarded over the quota earns.
     #[serde(rename = "excessWorth", deserialize_with = "fields::number")]
     pub(super) overage_weight: f64,
-    /// Share of its weight that a request over the quota costs.
+    /// Share of its weight that a request forwarded over the quota costs.
     #[serde(rename = "excessCost", deserialize_with = "fields::number")]
     pub(super) overage_cost: f64,
-    /// Units a second that refill the bucket of the hard limit.
+    /// Refill rate of the hard limit's token bucket, in units per second.
     #[serde(rename = "ceilingRate", deserialize_with = "fields::number")]
     pub(super) hard_limit_rate: f64,
-    /// Units that the bucket of the hard limit holds at most.
+    /// Capacity of the hard limit's token bucket, in units.
     #[serde(rename = "neverOverDepth", deserialize_with = "fields::number")]
     pub(super) hard_limit_burst: f64,
-    /// Units by which the bucket of the hard limit may be overdrawn.
+    /// Units by which the hard limit's token bucket may be overdrawn.
     #[serde(rename = "tolerance", deserialize_with = "fields::number")]
     pub(super) hard_limit_overdraft: f64,
 }
 
-/// What a gateway may do.
+/// The features that a gateway may use, with their bounds.
 #[derive(Debug, Deserialize)]
 pub(super) struct LimitsMessage {
-    /// Send health checks.
+    /// Whether health checks are allowed.
     #[serde(rename = "mayProbe", default, deserialize_with = "fields::lenient")]
     pub(super) health_checks: bool,
-    /// Gossip.
+    /// Whether gossip between gateways is allowed.
     #[serde(rename = "peers", default, deserialize_with = "fields::lenient")]
     pub(super) gossip: bool,
-    /// Cancel attempts.
+    /// Whether attempts may be cancelled.
     #[serde(rename = "cancel", default, deserialize_with = "fields::lenient")]
     pub(super) cancellation: bool,
-    /// Have two attempts of a request in flight at once.
+    /// Whether a request may have two attempts in flight at once.
     #[serde(rename = "secondCopies", default, deserialize_with = "fields::lenient")]
     pub(super) hedged_requests: bool,
-    /// Tell clients when to retry.
+    /// Whether rejections may advise clients when to retry.
     #[serde(rename = "retryAfter", default, deserialize_with = "fields::lenient")]
     pub(super) retry_after: bool,
-    /// The longest such time that clients heed, microseconds.
+    /// Longest advised retry delay that clients obey, in microseconds.
     #[serde(rename = "maxRetryAfterUs", deserialize_with = "fields::micros")]
     pub(super) max_retry_after: u64,
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     #[serde(rename = "attemptsCap", deserialize_with = "fields::number")]
     pub(super) max_attempts: f64,
 }
 
-/// The figures of the protocol's rules.
+/// The parameters of the protocol's rules.
 #[derive(Debug, Deserialize)]
 pub(super) struct RulesMessage {
-    /// A final answer still counts this long after the client's deadline, microseconds.
+    /// Time after the client's deadline during which a final answer still counts, in microseconds.
     #[serde(rename = "graceToAnswerUs", deserialize_with = "fields::micros")]
     pub(super) response_grace: u64,
-    /// Share of its capacity that a server has at least when it starts.
+    /// Minimum share of its full capacity that a server has when it starts.
     #[serde(rename = "coldFrom", deserialize_with = "fields::number")]
     pub(super) initial_capacity: f64,
-    /// Time from a server's start to its full capacity, microseconds.
+    /// Time from a server's start until it has its full capacity, in microseconds.
     #[serde(rename = "warmAfterUs", deserialize_with = "fields::micros")]
     pub(super) warm_up: u64,
-    /// Multiple of its capacity that overloads a server that warms up.
+    /// Load, as a multiple of its capacity, above which a server that is warming up becomes overloaded.
     #[serde(rename = "fallMultiple", deserialize_with = "fields::number")]
     pub(super) overload_multiple: f64,
-    /// Time after which it does, microseconds.
+    /// Time that such a load has to last before the server is overloaded, in microseconds.
     #[serde(rename = "tipAfterUs", deserialize_with = "fields::micros")]
     pub(super) overload_window: u64,
 }
 
-/// What the customers' interface says.
+/// The parameters of quota accounting: gossip, the shared counter, usage reports and settlement.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub(super) struct CustomerInterfaceMessage {
-    /// Gossip messages a second that a gateway takes in.
+pub(super) struct QuotaAccountingMessage {
+    /// Number of gossip messages per second that a gateway accepts.
     #[serde(rename = "mailPerS", deserialize_with = "fields::lenient")]
     pub(super) gossip_messages_per_s: f64,
     /// Whether the shared counter may be called.
     #[serde(rename = "sharedCounter", deserialize_with = "fields::lenient")]
     pub(super) shared_counter: bool,
-    /// Cost of one counter call a request.
+    /// Part of the score that one counter call per request costs.
     #[serde(rename = "countFee", deserialize_with = "fields::lenient")]
     pub(super) counter_call_cost: f64,
-    /// A counter call without a reply by then ends, microseconds; 0 if it may wait for ever.
+    /// Timeout of a counter call, in microseconds; 0 for no timeout.
     #[serde(rename = "countLimitUs", deserialize_with = "fields::lenient_micros")]
     pub(super) counter_timeout: u64,
-    /// Period of the usage reported in responses, microseconds; 0 if none is reported.
+    /// Period covered by the usage reports in responses, in microseconds; 0 if usage is not reported.
     #[serde(rename = "meterUs", deserialize_with = "fields::lenient_micros")]
     pub(super) usage_report_period: u64,
-    /// Whether units are settled by the first successful response.
+    /// Whether the first successful response settles the units of a request.
     #[serde(rename = "truedUp", deserialize_with = "fields::lenient")]
     pub(super) settles_units: bool,
 }
 
-/// Load reports.
+/// The format and delivery of load reports.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct LoadReportsMessage {
-    /// The names of their columns.
+    /// Names of the columns, in the order of their values.
     #[serde(deserialize_with = "fields::lenient")]
     pub(super) columns: Vec<Value>,
-    /// How they arrive.
+    /// Messages that carry load reports: `answers` for responses and health checks, `probe` for health checks
+    /// only.
     #[serde(rename = "how", deserialize_with = "fields::lenient")]
     pub(super) delivery: String,
 }
 
-/// Costs of what a gateway may do, as parts of the score.
+/// The costs of optional gateway features, as parts of the score.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct CostsMessage {
-    /// One gossip message a request.
+    /// Cost of one gossip message per request.
     #[serde(rename = "peer", deserialize_with = "fields::lenient")]
     pub(super) gossip: f64,
-    /// One health check a request.
+    /// Cost of one health check per request.
     #[serde(rename = "probe", deserialize_with = "fields::lenient")]
     pub(super) health_check: f64,
 }
 
-/// What clients do.
+/// The behaviour of clients.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct ClientsMessage {
-    /// Whether they mark their retries.
+    /// Whether clients mark their retries.
     #[serde(rename = "marksRetry", deserialize_with = "fields::lenient")]
     pub(super) marks_retries: bool,
 }
--- a/crates/simulator-adapter/src/settings/mod.rs
+++ b/crates/simulator-adapter/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings object of a launch, read into the decision core's settings.
+//! Converts the settings object of the simulator's protocol to the settings of the decision core.
 
 mod message;
 mod wire_path;
@@ -13,76 +13,80 @@
 use message::{ClassMessage, PlanMessage, RulesMessage};
 use serde_json::Value;
 
-/// A column of load reports.
+/// A column of servers' load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LoadColumn {
-    /// Requests in flight.
+pub enum LoadReportColumn {
+    /// Number of requests in flight.
     InFlight,
-    /// Requests queued.
+    /// Number of queued requests.
     Queued,
-    /// Busy share of the server's cores.
+    /// Share of the server's CPU cores that are busy.
     Utilization,
-    /// Recent service time, milliseconds.
+    /// Recent service time, in milliseconds.
     LatencyMs,
-    /// One that the decision core does not use.
+    /// A column that the decision core does not use.
     Unknown,
 }
 
-impl LoadColumn {
-    /// The column that a settings object names.
-    fn named(name: &Value) -> LoadColumn {
+impl LoadReportColumn {
+    /// Returns the column with the given wire name.
+    fn from_wire_name(name: &Value) -> LoadReportColumn {
         match name.as_str() {
-            Some("outstanding") => LoadColumn::InFlight,
-            Some("backlog") => LoadColumn::Queued,
-            Some("utilization") => LoadColumn::Utilization,
-            Some("recent_ms") => LoadColumn::LatencyMs,
-            _ => LoadColumn::Unknown,
+            Some("outstanding") => LoadReportColumn::InFlight,
+            Some("backlog") => LoadReportColumn::Queued,
+            Some("utilization") => LoadReportColumn::Utilization,
+            Some("recent_ms") => LoadReportColumn::LatencyMs,
+            _ => LoadReportColumn::Unknown,
         }
     }
 }
 
-/// What a settings object says.
+/// The settings of one simulated gateway.
 #[derive(Clone, Debug)]
-pub struct LaunchSettings {
-    /// The settings of the decision core.
+pub struct InstanceSettings {
+    /// Settings of the decision core.
     pub core: Settings,
-    /// The columns of load reports, in their order.
-    pub load_columns: Vec<LoadColumn>,
+    /// Columns of load reports, in the order of their values.
+    pub load_report_columns: Vec<LoadReportColumn>,
 }
 
-/// Reads a settings object.
-pub fn read(info: &Value) -> Result<LaunchSettings, FieldError> {
-    let message: SettingsMessage = fields::read(info)?;
-    Ok(LaunchSettings { core: message.settings()?, load_columns: message.load_columns() })
+/// Parses a settings object.
+pub fn parse(settings: &Value) -> Result<InstanceSettings, FieldError> {
+    let message: SettingsMessage = fields::deserialize(settings)?;
+    Ok(InstanceSettings {
+        core: message.to_core_settings()?,
+        load_report_columns: message.load_report_columns(),
+    })
 }
 
 impl SettingsMessage {
-    /// The decision core's settings.
-    pub fn settings(&self) -> Result<Settings, FieldError> {
+    /// Converts the message to the decision core's settings.
+    pub fn to_core_settings(&self) -> Result<Settings, FieldError> {
         Ok(Settings {
             gateway_index: self.gateway_index as usize,
             gateway_count: self.gateway_count as usize,
             zone: self.zone as u32,
             batch_interval: self.batch_interval,
-            classes: self.classes()?,
-            plans: self.plans.iter().map(PlanMessage::plan).collect(),
+            classes: self.to_core_classes()?,
+            plans: self.plans.iter().map(PlanMessage::to_core_plan).collect(),
             capabilities: self.capabilities(),
-            rules: self.rules.rules(),
+            rules: self.rules.to_core_rules(),
         })
     }
 
-    /// The columns of load reports, in their order.
-    fn load_columns(&self) -> Vec<LoadColumn> {
-        self.load_reports.columns.iter().map(LoadColumn::named).collect()
+    fn load_report_columns(&self) -> Vec<LoadReportColumn> {
+        self.load_reports.columns.iter().map(LoadReportColumn::from_wire_name).collect()
     }
 
-    /// The classes; an error names the one at fault.
-    fn classes(&self) -> Result<Vec<Class>, FieldError> {
+    /// Converts the classes; the path of an error contains the index of the malformed class.
+    fn to_core_classes(&self) -> Result<Vec<Class>, FieldError> {
         let classes = self.classes.iter().enumerate();
-        classes.map(|(index, class)| class.class().map_err(|error| error.below("classes", index))).collect()
+        classes
+            .map(|(index, class)| class.to_core_class().map_err(|error| error.within_list("classes", index)))
+            .collect()
     }
 
-    /// What is allowed, and what it costs.
+    /// Collects the allowed features and their costs from several sections of the message.
     fn capabilities(&self) -> Capabilities {
         Capabilities {
             health_checks: self.limits.health_checks,
@@ -92,15 +96,15 @@
             retry_after: self.limits.retry_after,
             max_retry_after: self.limits.max_retry_after,
             max_attempts: self.limits.max_attempts as u32,
-            gossip_messages_per_s: self.customer_interface.gossip_messages_per_s,
+            gossip_messages_per_s: self.quota_accounting.gossip_messages_per_s,
             gossip_cost: self.costs.gossip,
             health_check_cost: self.costs.health_check,
-            shared_counter: self.customer_interface.shared_counter,
-            counter_call_cost: self.customer_interface.counter_call_cost,
-            counter_timeout: positive(self.customer_interface.counter_timeout),
+            shared_counter: self.quota_accounting.shared_counter,
+            counter_call_cost: self.quota_accounting.counter_call_cost,
+            counter_timeout: nonzero_time(self.quota_accounting.counter_timeout),
             marks_retries: self.clients.marks_retries,
-            usage_report_period: positive(self.customer_interface.usage_report_period),
-            settles_units: self.customer_interface.settles_units,
+            usage_report_period: nonzero_time(self.quota_accounting.usage_report_period),
+            settles_units: self.quota_accounting.settles_units,
             load_reports: match self.load_reports.delivery.as_str() {
                 "answers" => LoadReports::WithResponses,
                 "probe" => LoadReports::WithHealthChecks,
@@ -112,8 +116,8 @@
 }
 
 impl ClassMessage {
-    /// The decision core's class; the path of an error starts at the class.
-    fn class(&self) -> Result<Class, FieldError> {
+    /// Converts the class; the path of an error starts at the class.
+    fn to_core_class(&self) -> Result<Class, FieldError> {
         Ok(Class {
             latency_objective: self.latency_objective,
             deadline: self.deadline,
@@ -124,18 +128,20 @@
         })
     }
 
-    /// Whether a request may run again.
     fn idempotency(&self) -> Result<Idempotency, FieldError> {
         match self.idempotency.as_str() {
             "retryable" => Ok(Idempotency::Idempotent),
-            "dedup" => Ok(Idempotency::IdempotencyKey { scope: self.scope(), window: self.window()? }),
+            "dedup" => Ok(Idempotency::IdempotencyKey {
+                scope: self.deduplication_scope(),
+                window: self.deduplication_window()?,
+            }),
             "fragile" => Ok(Idempotency::NonIdempotent),
             _ => Err(FieldError::new("semantics", "is not known")),
         }
     }
 
-    /// Which servers drop repeats.
-    fn scope(&self) -> DeduplicationScope {
+    /// Returns the set of servers that share their seen idempotency keys.
+    fn deduplication_scope(&self) -> DeduplicationScope {
         match self.deduplication_scope.as_str() {
             "zone" => DeduplicationScope::Zone,
             "cell" => DeduplicationScope::Cell,
@@ -143,16 +149,15 @@
         }
     }
 
-    /// How long they do.
-    fn window(&self) -> Result<Micros, FieldError> {
+    /// Returns how long servers remember an idempotency key.
+    fn deduplication_window(&self) -> Result<Micros, FieldError> {
         let window = fields::micros(&self.deduplication_window);
         window.map_err(|error| FieldError::new("windowUs", &error.to_string()))
     }
 }
 
 impl PlanMessage {
-    /// The decision core's plan.
-    fn plan(&self) -> Plan {
+    fn to_core_plan(&self) -> Plan {
         Plan {
             rate: self.rate,
             burst: self.burst,
@@ -168,8 +173,7 @@
 }
 
 impl RulesMessage {
-    /// The decision core's rules.
-    fn rules(&self) -> ProtocolRules {
+    fn to_core_rules(&self) -> ProtocolRules {
         ProtocolRules {
             response_grace: self.response_grace,
             initial_capacity: self.initial_capacity,
@@ -180,7 +184,7 @@
     }
 }
 
-/// A time that the wire leaves out by 0.
-fn positive(time: Micros) -> Option<Micros> {
+/// Converts the protocol's 0 for an absent time to `None`.
+fn nonzero_time(time: Micros) -> Option<Micros> {
     Some(time).filter(|time| *time > 0)
 }
--- a/crates/simulator-adapter/src/settings/wire_path.rs
+++ b/crates/simulator-adapter/src/settings/wire_path.rs
@@ -1,10 +1,11 @@
-//! Names the field at fault as operators wrote it, where the decision core refuses settings.
+//! Translates the field paths of the decision core's settings errors to those of the settings object that
+//! operators write.
 
 use crate::fields::FieldError;
 use grebehook_core::SettingsError;
 
-/// The fields whose names differ, without the indices of lists: in the core, on the wire.
-const FIELDS: &[(&str, &str)] = &[
+/// Pairs of core path and wire path for fields whose paths differ, without list indices.
+const RENAMED_FIELDS: &[(&str, &str)] = &[
     ("gateway_index", "me"),
     ("gateway_count", "siblings"),
     ("zone", "az"),
@@ -36,47 +37,45 @@
     ("rules.overload_window", "rules.tipAfterUs"),
 ];
 
-/// The wire's path of a field that a [`SettingsError`] names: `classes[0].latency_objective` is `classes[0].aimUs`.
-/// A path that is the same on the wire, or not known, stays as it is.
+/// Returns the wire path for the field path of a [`SettingsError`]: `classes[0].latency_objective` becomes
+/// `classes[0].aimUs`. A path that is unknown or the same in the protocol is returned unchanged.
 pub fn wire_path(core_path: &str) -> String {
-    match Indexed::split(core_path) {
-        Some(Indexed { list, index, field }) => {
+    match IndexedPath::split(core_path) {
+        Some(IndexedPath { list, index, field }) => {
             let path = format!("{list}{field}");
-            match wire_name(&path).split_once('.') {
+            match unindexed_wire_path(&path).split_once('.') {
                 Some((list, field)) => format!("{list}[{index}].{field}"),
                 None => core_path.to_owned(),
             }
         }
-        None => wire_name(core_path).to_owned(),
+        None => unindexed_wire_path(core_path).to_owned(),
     }
 }
 
-/// The wire's path of a field, both without the indices of lists.
-fn wire_name(core_path: &str) -> &str {
-    FIELDS.iter().find(|(core, _)| *core == core_path).map_or(core_path, |(_, wire)| wire)
+/// Returns the wire path for a core path without list indices.
+fn unindexed_wire_path(core_path: &str) -> &str {
+    RENAMED_FIELDS.iter().find(|(core, _)| *core == core_path).map_or(core_path, |(_, wire)| wire)
 }
 
 /// The parts of a path into a list, such as `classes[0].deadline`.
-struct Indexed<'a> {
-    /// The list.
+struct IndexedPath<'a> {
     list: &'a str,
-    /// The index.
     index: &'a str,
-    /// The field, after its point.
+    /// Rest of the path, including the leading dot.
     field: &'a str,
 }
 
-impl<'a> Indexed<'a> {
-    /// The parts of a path; `None` if it has no index.
-    fn split(path: &'a str) -> Option<Indexed<'a>> {
+impl<'a> IndexedPath<'a> {
+    /// Splits a path, or returns `None` if it has no index.
+    fn split(path: &'a str) -> Option<IndexedPath<'a>> {
         let (list, rest) = path.split_once('[')?;
         let (index, field) = rest.split_once(']')?;
-        Some(Indexed { list, index, field })
+        Some(IndexedPath { list, index, field })
     }
 }
 
 impl From<SettingsError> for FieldError {
-    /// Names the field by its path on the wire.
+    /// Converts an error of the decision core, with the path of the field translated to its wire path.
     fn from(error: SettingsError) -> FieldError {
         FieldError { path: wire_path(&error.field), reason: error.reason.to_owned() }
     }
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/simulator-adapter/tests/settings.rs
@@ -1,11 +1,11 @@
-//! The settings object: what is read of it, and how an error names its field.
+//! Tests of the settings object: the values that are parsed from it and the field paths in errors.
 
 use grebehook_core::{DeduplicationScope, Gateway, Idempotency, LoadReports, SettingsError};
 use grebehook_simulator_adapter::fields::FieldError;
-use grebehook_simulator_adapter::settings::{read, wire_path, LaunchSettings, LoadColumn};
+use grebehook_simulator_adapter::settings::{parse, wire_path, InstanceSettings, LoadReportColumn};
 use serde_json::{json, Value};
 
-/// A settings object that can be read.
+/// Returns a settings object that parses.
 fn settings() -> Value {
     json!({
         "az": 1, "me": 0, "siblings": 2, "tickUs": 2000.7, "unheard_of": [1],
@@ -21,19 +21,19 @@
     })
 }
 
-/// The text of the error for settings in which a value was replaced.
-fn error_with(pointer: &str, value: Value) -> String {
+/// Returns the text of the error from parsing settings in which the value at a JSON pointer is replaced.
+fn parse_error_with(pointer: &str, value: Value) -> String {
     let mut settings = settings();
     *settings.pointer_mut(pointer).unwrap() = value;
-    read(&settings).unwrap_err().to_string()
+    parse(&settings).unwrap_err().to_string()
 }
 
 #[test]
-fn known_fields_are_read_and_unknown_ones_ignored() {
-    let LaunchSettings { core: settings, load_columns } = read(&settings()).unwrap();
+fn known_fields_are_parsed_and_unknown_ones_are_ignored() {
+    let InstanceSettings { core: settings, load_report_columns } = parse(&settings()).unwrap();
     assert_eq!((settings.gateway_count, settings.zone, settings.batch_interval), (2, 1, 2_000));
-    let keyed = Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: 1_000_000 };
-    assert_eq!((settings.classes[0].idempotency, settings.plans[0].max_concurrency), (keyed, Some(3)));
+    let idempotency = Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: 1_000_000 };
+    assert_eq!((settings.classes[0].idempotency, settings.plans[0].max_concurrency), (idempotency, Some(3)));
     assert_eq!(
         (settings.capabilities.load_reports, settings.capabilities.gossip_messages_per_s),
         (LoadReports::WithHealthChecks, 40.0)
@@ -43,63 +43,64 @@
             && settings.capabilities.shared_counter
             && !settings.capabilities.polls_discovery
     );
-    assert_eq!(load_columns, [LoadColumn::InFlight, LoadColumn::Unknown]);
+    assert_eq!(load_report_columns, [LoadReportColumn::InFlight, LoadReportColumn::Unknown]);
 }
 
 #[test]
-fn error_names_the_field_by_its_path() {
-    assert_eq!(error_with("/classes/0/aimUs", json!("soon")), "classes[0].aimUs is no number");
-    assert_eq!(error_with("/classes/0/semantics", json!("odd")), "classes[0].semantics is not known");
-    assert_eq!(error_with("/classes/0/windowUs", json!(-1)), "classes[0].windowUs is negative");
-    assert_eq!(error_with("/rules/coldFrom", Value::Null), "rules.coldFrom is no number");
-    assert_eq!(error_with("/plans/0", json!({})), "plans[0].rate is missing");
-    assert!(error_with("/plans", json!(7)).starts_with("plans is not valid: "));
-    let mut lacking = settings();
-    lacking.as_object_mut().unwrap().remove("familyInfo");
-    assert_eq!(read(&lacking).unwrap_err().to_string(), "familyInfo is missing");
-    assert!(read(&json!([])).unwrap_err().to_string().starts_with("the object is not valid: "));
+fn error_contains_the_path_of_the_field() {
+    assert_eq!(parse_error_with("/classes/0/aimUs", json!("soon")), "classes[0].aimUs is no number");
+    assert_eq!(parse_error_with("/classes/0/semantics", json!("odd")), "classes[0].semantics is not known");
+    assert_eq!(parse_error_with("/classes/0/windowUs", json!(-1)), "classes[0].windowUs is negative");
+    assert_eq!(parse_error_with("/rules/coldFrom", Value::Null), "rules.coldFrom is no number");
+    assert_eq!(parse_error_with("/plans/0", json!({})), "plans[0].rate is missing");
+    assert!(parse_error_with("/plans", json!(7)).starts_with("plans is not valid: "));
+    let mut incomplete = settings();
+    incomplete.as_object_mut().unwrap().remove("familyInfo");
+    assert_eq!(parse(&incomplete).unwrap_err().to_string(), "familyInfo is missing");
+    assert!(parse(&json!([])).unwrap_err().to_string().starts_with("the object is not valid: "));
 }
 
 #[test]
-fn optional_fields_of_another_type_count_as_absent() {
-    let mut odd = settings();
-    odd["stats"] = Value::Null;
-    odd["familyInfo"] = json!([1]);
-    odd["limits"]["cancel"] = json!("yes");
-    let LaunchSettings { core: settings, load_columns } = read(&odd).unwrap();
+fn optional_fields_of_the_wrong_type_count_as_absent() {
+    let mut mistyped = settings();
+    mistyped["stats"] = Value::Null;
+    mistyped["familyInfo"] = json!([1]);
+    mistyped["limits"]["cancel"] = json!("yes");
+    let InstanceSettings { core: settings, load_report_columns } = parse(&mistyped).unwrap();
     assert_eq!(
         (settings.capabilities.load_reports, settings.capabilities.gossip_messages_per_s),
         (LoadReports::None, 0.0)
     );
-    assert!(!settings.capabilities.cancellation && load_columns.is_empty());
+    assert!(!settings.capabilities.cancellation && load_report_columns.is_empty());
 }
 
 #[test]
-fn load_columns_are_known_by_their_names_on_the_wire() {
-    let mut named = settings();
-    named["stats"]["columns"] = json!(["recent_ms", "backlog", "utilization", "novel", "outstanding"]);
+fn load_report_columns_are_identified_by_their_wire_names() {
+    let mut with_columns = settings();
+    with_columns["stats"]["columns"] = json!(["recent_ms", "backlog", "utilization", "novel", "outstanding"]);
     let columns = [
-        LoadColumn::LatencyMs,
-        LoadColumn::Queued,
-        LoadColumn::Utilization,
-        LoadColumn::Unknown,
-        LoadColumn::InFlight,
+        LoadReportColumn::LatencyMs,
+        LoadReportColumn::Queued,
+        LoadReportColumn::Utilization,
+        LoadReportColumn::Unknown,
+        LoadReportColumn::InFlight,
     ];
-    assert_eq!(read(&named).unwrap().load_columns, columns);
+    assert_eq!(parse(&with_columns).unwrap().load_report_columns, columns);
 }
 
-/// The core's error for settings in which a value was replaced.
-fn refusal_with(pointer: &str, value: Value) -> SettingsError {
+/// Returns the error of the decision core for settings in which the value at a JSON pointer is replaced.
+fn core_error_with(pointer: &str, value: Value) -> SettingsError {
     let mut settings = settings();
     settings["prices"] = json!({"peer": 0.0, "probe": 0.0});
     settings["familyInfo"]["countFee"] = json!(0.0);
     *settings.pointer_mut(pointer).expect(pointer) = value;
-    Gateway::new(read(&settings).expect("it can be read").core, 1, 0).err().expect(pointer)
+    Gateway::new(parse(&settings).expect("settings parse").core, 1, 0).err().expect(pointer)
 }
 
-/// Every field that the core's check of settings names, by the place of its value on the wire.
+/// Maps every field checked by the decision core from the path in the core's error to the path in the
+/// settings object.
 #[test]
-fn field_that_the_core_refuses_is_named_by_its_path_on_the_wire() {
+fn field_rejected_by_the_core_is_reported_by_its_wire_path() {
     let cases = [
         ("/classes", json!([]), "classes", "classes"),
         ("/plans", json!([]), "plans", "plans"),
@@ -123,12 +124,12 @@
         ("/rules/coldFrom", json!(-1), "rules.initial_capacity", "rules.coldFrom"),
         ("/rules/fallMultiple", json!(-1), "rules.overload_multiple", "rules.fallMultiple"),
     ];
-    for (pointer, value, core_path, on_the_wire) in cases {
-        let refusal = refusal_with(pointer, value);
-        assert_eq!(refusal.field, core_path);
-        assert_eq!(wire_path(&refusal.field), on_the_wire);
-        let error = FieldError::from(refusal.clone());
-        assert_eq!(error.to_string(), format!("{on_the_wire} {}", refusal.reason));
+    for (pointer, value, core_path, expected_wire_path) in cases {
+        let core_error = core_error_with(pointer, value);
+        assert_eq!(core_error.field, core_path);
+        assert_eq!(wire_path(&core_error.field), expected_wire_path);
+        let error = FieldError::from(core_error.clone());
+        assert_eq!(error.to_string(), format!("{expected_wire_path} {}", core_error.reason));
     }
 }
 
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,9 +1,9 @@
-//! The wire, both ways, by example lines.
+//! Tests of the protocol in both directions, with example lines.
 
-use grebehook_simulator_adapter::Host;
+use grebehook_simulator_adapter::InstanceHost;
 use serde_json::{json, Value};
 
-/// A settings object that the decision core accepts.
+/// Returns a settings object that the decision core accepts.
 fn settings() -> Value {
     json!({
         "az": 0, "me": 0, "siblings": 2, "tickUs": 2000, "discovery": "push", "unheard_of": [1],
@@ -21,59 +21,65 @@
     })
 }
 
-/// Plays one batch and returns its actions.
-fn batch(host: &mut Host, at: u64, items: Value) -> Vec<Value> {
-    let line = json!({"atTimeUs": at, "serial": 7, "items": items}).to_string();
-    let reply: Value = serde_json::from_str(&host.batch(&line).expect("a batch")).expect("a reply");
+/// Handles one batch and returns the messages of its reply.
+fn handle_batch(host: &mut InstanceHost, now: u64, items: Value) -> Vec<Value> {
+    let line = json!({"atTimeUs": now, "serial": 7, "items": items}).to_string();
+    let reply: Value =
+        serde_json::from_str(&host.handle_batch(&line).expect("batch is handled")).expect("reply is JSON");
     assert_eq!(reply["serial"], 7);
-    reply["out"].as_array().expect("a list").clone()
+    reply["out"].as_array().expect("'out' is an array").clone()
 }
 
-/// Starts an instance with two servers; the host and the actions of the start.
-fn launch(settings: Value) -> (Host, Vec<Value>) {
-    let mut host = Host::default();
-    let list = json!([[0, 1, null, 1, 0, 0, "10.0.0.1:7000"], [0, 1, 5, 1.5, 0, 1, "node-b"]]);
-    let out = batch(&mut host, 1_000_000, json!([["launch", 3, 99, settings], ["targets", 3, 4, 1, list]]));
+/// Starts an instance with two servers. Returns its host and the messages of the reply.
+fn start_instance(settings: Value) -> (InstanceHost, Vec<Value>) {
+    let mut host = InstanceHost::default();
+    let endpoints = json!([[0, 1, null, 1, 0, 0, "10.0.0.1:7000"], [0, 1, 5, 1.5, 0, 1, "node-b"]]);
+    let out = handle_batch(
+        &mut host,
+        1_000_000,
+        json!([["launch", 3, 99, settings], ["targets", 3, 4, 1, endpoints]]),
+    );
     (host, out)
 }
 
-/// The event of a client's request.
+/// Returns the item for the arrival of a client's request.
 fn request_arrived(id: &str) -> Value {
     json!(["demand", 3, id, 0, 0, "91f03b7c55d20a64", 2000000, 1, 2, 0, 0])
 }
 
-/// The first action of a name.
-fn find_action<'a>(out: &'a [Value], name: &str) -> Option<&'a Value> {
-    out.iter().find(|action| action[0] == name)
+/// Returns the first action with the given wire name.
+fn find_action<'a>(out: &'a [Value], wire_name: &str) -> Option<&'a Value> {
+    out.iter().find(|action| action[0] == wire_name)
 }
 
 #[test]
 fn empty_batch_gets_an_empty_reply() {
-    assert!(batch(&mut Host::default(), 5, json!([])).is_empty());
+    assert!(handle_batch(&mut InstanceHost::default(), 5, json!([])).is_empty());
 }
 
-/// Plays events and answers the counter calls that follow; all actions.
-fn play_with_counter(host: &mut Host, at: u64, items: Value) -> Vec<Value> {
-    let mut out = batch(host, at, items);
+/// Handles a batch and replies to the resulting calls of the shared counter. Returns the messages of both
+/// replies.
+fn handle_batch_and_counter_calls(host: &mut InstanceHost, now: u64, items: Value) -> Vec<Value> {
+    let mut out = handle_batch(host, now, items);
     let calls = out.iter().filter(|action| action[0] == "bump");
     let replies = calls.map(|call| json!(["counterReply", 3, call[2], "OK", call[3], 2150])).collect();
-    out.extend(batch(host, at + 2_000, Value::Array(replies)));
+    out.extend(handle_batch(host, now + 2_000, Value::Array(replies)));
     out
 }
 
 #[test]
-fn request_is_forwarded_under_its_name_on_the_wire() {
-    let (mut host, out) = launch(settings());
+fn request_is_forwarded_under_its_wire_name() {
+    let (mut host, out) = start_instance(settings());
     assert!(find_action(&out, "probe").is_none() && find_action(&out, "wakeAt").is_some());
-    let out = play_with_counter(&mut host, 1_001_000, json!([request_arrived("r-a")]));
-    let send = find_action(&out, "send").expect("sent");
+    let out = handle_batch_and_counter_calls(&mut host, 1_001_000, json!([request_arrived("r-a")]));
+    let send = find_action(&out, "send").expect("request is sent");
     assert_eq!((&send[1], &send[2]), (&json!(3), &json!("r-a")));
     assert!(send[3] == "10.0.0.1:7000" || send[3] == "node-b");
     assert!(send[4].as_u64().is_some_and(|timeout| timeout > 0 && timeout <= 2_000_000));
 }
 
 #[test]
-fn attempt_statuses_of_every_kind_are_read() {
+fn every_attempt_status_is_decoded() {
     for verdict in [
         "OK",
         "INTERNAL",
@@ -84,49 +90,53 @@
         "CANCELLED",
         "TOO_LATE",
     ] {
-        let (mut host, _) = launch(settings());
-        let out = play_with_counter(&mut host, 1_001_000, json!([request_arrived("r-a")]));
-        let server = find_action(&out, "send").expect("sent")[3].clone();
+        let (mut host, _) = start_instance(settings());
+        let out = handle_batch_and_counter_calls(&mut host, 1_001_000, json!([request_arrived("r-a")]));
+        let server = find_action(&out, "send").expect("request is sent")[3].clone();
         let completed =
             json!(["finished", 3, "r-a", 0, server, verdict, 9000, verdict == "OK", 86, 3, [4, 12.5, 1]]);
-        let out = batch(&mut host, 1_010_000, json!([completed]));
+        let out = handle_batch(&mut host, 1_010_000, json!([completed]));
         let answered_or_retried = find_action(&out, "send").is_some() || find_action(&out, "shed").is_some();
         assert_eq!(answered_or_retried, verdict != "OK", "{verdict}: {out:?}");
     }
 }
 
 #[test]
-fn timer_leads_to_health_checks_gossip_and_counter_calls_whose_replies_are_read() {
-    let (mut host, out) = launch(settings());
-    let wake = find_action(&out, "wakeAt").expect("a timer").clone();
-    let many: Vec<_> = (0..30).map(|k| request_arrived(&format!("r-{k}"))).collect();
-    let first =
-        play_with_counter(&mut host, 1_001_000, json!([request_arrived("r-a"), request_arrived("r-b")]));
-    play_with_counter(&mut host, 1_005_000, Value::Array(many));
-    let out = batch(&mut host, wake[2].as_u64().expect("a time"), json!([["due", 3, wake[3]]]));
-    let probe = find_action(&out, "probe").expect("a probe");
-    assert!(probe[2] == "10.0.0.1:7000" || probe[2] == "node-b");
-    let gossip = find_action(&out, "publish").expect("a message");
+fn timer_starts_health_checks_and_gossip_and_all_replies_are_decoded() {
+    let (mut host, out) = start_instance(settings());
+    let timer = find_action(&out, "wakeAt").expect("timer is set").clone();
+    let more_requests: Vec<_> = (0..30).map(|k| request_arrived(&format!("r-{k}"))).collect();
+    let first_out = handle_batch_and_counter_calls(
+        &mut host,
+        1_001_000,
+        json!([request_arrived("r-a"), request_arrived("r-b")]),
+    );
+    handle_batch_and_counter_calls(&mut host, 1_005_000, Value::Array(more_requests));
+    let out =
+        handle_batch(&mut host, timer[2].as_u64().expect("timer has a time"), json!([["due", 3, timer[3]]]));
+    let health_check = find_action(&out, "probe").expect("health check is sent");
+    assert!(health_check[2] == "10.0.0.1:7000" || health_check[2] == "node-b");
+    let gossip = find_action(&out, "publish").expect("gossip is sent");
     assert_eq!(gossip[2], 1);
-    let count = find_action(&first, "bump").expect("a call");
-    assert_eq!((count[2].as_str(), count[3].as_f64()), (Some("91f03b7c55d20a64"), Some(1.0)));
-    assert!(count[4].as_u64().is_some_and(|ttl| ttl <= 60_000_000));
+    let counter_call = find_action(&first_out, "bump").expect("shared counter is called");
+    assert_eq!((counter_call[2].as_str(), counter_call[3].as_f64()), (Some("91f03b7c55d20a64"), Some(1.0)));
+    assert!(counter_call[4].as_u64().is_some_and(|ttl| ttl <= 60_000_000));
     let replies = json!([
-        ["checkResult", 3, 1400, probe[2], "OK", [7, 14.5, 0]],
-        ["counterReply", 3, count[2], "OK", 2, 2150],
-        ["counterReply", 3, count[2], "DEADLINE_EXCEEDED", null, 80000],
+        ["checkResult", 3, 1400, health_check[2], "OK", [7, 14.5, 0]],
+        ["counterReply", 3, counter_call[2], "OK", 2, 2150],
+        ["counterReply", 3, counter_call[2], "DEADLINE_EXCEEDED", null, 80000],
         ["peerData", 3, 1, gossip[3]],
         ["established", 3, "r-a", 0, "node-b", 9250],
         ["gone", 3, "r-b"],
         ["gone", 3, "r-never-seen"],
     ]);
-    assert!(find_action(&batch(&mut host, 1_200_000, replies), "internalError").is_none());
+    assert!(find_action(&handle_batch(&mut host, 1_200_000, replies), "internalError").is_none());
 }
 
 #[test]
-fn unknown_events_are_skipped_and_the_rest_is_played() {
-    let (mut host, _) = launch(settings());
-    let out = play_with_counter(
+fn unknown_events_are_skipped_and_the_others_are_handled() {
+    let (mut host, _) = start_instance(settings());
+    let out = handle_batch_and_counter_calls(
         &mut host,
         1_001_000,
         json!([["novelty", 3, {}], request_arrived("r-a"), request_arrived("r-b")]),
@@ -136,36 +146,36 @@
 
 #[test]
 fn events_of_a_retired_instance_are_ignored() {
-    let (mut host, _) = launch(settings());
-    assert!(batch(&mut host, 1_001_000, json!([["retire", 3], request_arrived("r-a")])).is_empty());
+    let (mut host, _) = start_instance(settings());
+    assert!(handle_batch(&mut host, 1_001_000, json!([["retire", 3], request_arrived("r-a")])).is_empty());
 }
 
 #[test]
-fn refused_settings_are_reported_as_an_internal_error_with_the_field() {
-    let mut bad = settings();
-    bad["plans"][0]["rate"] = json!(-1.0);
-    let (_, out) = launch(bad);
+fn rejected_settings_are_reported_as_an_internal_error_with_the_field() {
+    let mut rejected = settings();
+    rejected["plans"][0]["rate"] = json!(-1.0);
+    let (_, out) = start_instance(rejected);
     assert_eq!(out, [json!(["internalError", 3, "settings: plans[0].rate is negative or not finite"])]);
-    let mut bad = settings();
-    bad["classes"][0]["aimUs"] = json!("soon");
-    let (_, out) = launch(bad);
+    let mut malformed = settings();
+    malformed["classes"][0]["aimUs"] = json!("soon");
+    let (_, out) = start_instance(malformed);
     assert_eq!(out, [json!(["internalError", 3, "settings: classes[0].aimUs is no number"])]);
 }
 
 #[test]
-fn malformed_batch_is_an_error_with_its_number_and_field() {
-    let mut host = Host::default();
-    assert!(host.batch("hello").is_err_and(|error| error.to_string().contains("not a batch")));
-    let error = host.batch("{\"serial\":4,\"items\":[]}").unwrap_err().to_string();
+fn error_of_a_malformed_batch_contains_its_serial_number_and_the_field() {
+    let mut host = InstanceHost::default();
+    assert!(host.handle_batch("hello").is_err_and(|error| error.to_string().contains("not a batch")));
+    let error = host.handle_batch("{\"serial\":4,\"items\":[]}").unwrap_err().to_string();
     assert!(error.contains("batch 4") && error.contains("atTimeUs"), "{error}");
-    let (mut host, _) = launch(settings());
+    let (mut host, _) = start_instance(settings());
     let line = json!({"atTimeUs": 9, "serial": 8, "items": [["demand", 3, 17]]}).to_string();
-    let error = host.batch(&line).unwrap_err().to_string();
+    let error = host.handle_batch(&line).unwrap_err().to_string();
     assert!(error.contains("batch 8") && error.contains("demand") && error.contains("call"), "{error}");
 }
 
-/// Runs the program itself on the given input; its exit code and what it printed.
-fn program(input: &str) -> (Option<i32>, String, String) {
+/// Runs the program on an input. Returns its exit code, standard output and standard error.
+fn run_program(input: &str) -> (Option<i32>, String, String) {
     use std::io::Write;
     use std::process::{Command, Stdio};
     let mut child = Command::new(env!("CARGO_BIN_EXE_grebehook-simulator-adapter"))
@@ -173,19 +183,24 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program starts");
-    child.stdin.take().expect("a pipe").write_all(input.as_bytes()).expect("it reads");
-    let done = child.wait_with_output().expect("it ends");
-    let text = |bytes| String::from_utf8(bytes).expect("text");
-    (done.status.code(), text(done.stdout), text(done.stderr))
+        .expect("program starts");
+    child
+        .stdin
+        .take()
+        .expect("standard input is piped")
+        .write_all(input.as_bytes())
+        .expect("input is written");
+    let output = child.wait_with_output().expect("program exits");
+    let text = |bytes| String::from_utf8(bytes).expect("output is UTF-8");
+    (output.status.code(), text(output.stdout), text(output.stderr))
 }
 
 #[test]
 fn program_succeeds_at_the_end_of_input_and_fails_on_a_malformed_batch() {
-    let (code, out, err) = program("{\"atTimeUs\":5,\"serial\":1,\"items\":[]}\n");
+    let (code, out, err) = run_program("{\"atTimeUs\":5,\"serial\":1,\"items\":[]}\n");
     assert_eq!((code, err.as_str()), (Some(0), ""));
-    assert_eq!(serde_json::from_str::<Value>(&out).expect("a reply"), json!({"serial": 1, "out": []}));
-    let (code, out, err) = program("nonsense\n");
+    assert_eq!(serde_json::from_str::<Value>(&out).expect("reply is JSON"), json!({"serial": 1, "out": []}));
+    let (code, out, err) = run_program("nonsense\n");
     assert_eq!((code, out.as_str()), (Some(1), ""));
     assert!(err.contains("not a batch"), "{err}");
 }
