--- a/crates/simulator-adapter/src/batch.rs
+++ b/crates/simulator-adapter/src/batch.rs
@@ -9,10 +9,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum BatchError {
     /// The line is not valid JSON.
-    #[error("a line is not a batch: {0}")]
+    #[error("input line is not a batch: {0}")]
     NotJson(#[source] serde_json::Error),
     /// The line has no serial number, so no reply can refer to it.
-    #[error("a batch lacks a whole number in 'serial'")]
+    #[error("batch has no unsigned integer in 'serial'")]
     NoSerial,
     /// A field of the envelope is missing or has the wrong type.
     #[error("batch {serial}: '{field}' is missing or of the wrong type")]
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -77,7 +77,7 @@
     /// Logs the name of an unknown event the first time that the event is received.
     fn log_unknown_event(&mut self, event: &str) {
         if self.logged_unknown_events.insert(event.to_owned()) {
-            eprintln!("unknown event '{event}' skipped");
+            eprintln!("unknown event '{event}' ignored");
         }
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -7,13 +7,13 @@
 /// An error that stops the program before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
-    #[error("standard input cannot be read: {0}")]
+    #[error("cannot read standard input: {0}")]
     Input(#[source] io::Error),
     /// An input line is not a valid batch.
     #[error(transparent)]
     Batch(#[from] BatchError),
     /// A reply cannot be written, for example because its reader has exited.
-    #[error("standard output cannot be written: {0}")]
+    #[error("cannot write a reply to standard output: {0}")]
     Output(#[source] io::Error),
 }
 
