--- a/crates/gateway/tests/loopback/clients.rs
+++ b/crates/gateway/tests/loopback/clients.rs
@@ -1,4 +1,4 @@
-//! Client connections: what clients send, and the responses they get.
+//! Client connections: validation of requests, their responses, eviction of connections, and timeouts.
 
 use crate::rig::client::Client;
 use crate::rig::deployment::{Deployment, IDEMPOTENT};
@@ -10,25 +10,25 @@
 };
 use crate::rig::server::{Reply, Server};
 
-/// A socket limit that leaves room for 20 client connections.
-const FEW_SOCKETS: u32 = 80;
+/// Socket limit that leaves room for 20 client connections.
+const LOW_SOCKET_LIMIT: u32 = 80;
 
-/// A gateway before one server that keeps few client connections.
-fn gateway_with_few_sockets(server: &Server) -> GatewayProcess {
-    Deployment::with_server(server).configured_sockets(FEW_SOCKETS).start()
+/// Starts a gateway in front of one server, with room for 20 client connections.
+fn gateway_with_low_socket_limit(server: &Server) -> GatewayProcess {
+    Deployment::with_server(server).configured_sockets(LOW_SOCKET_LIMIT).start()
 }
 
-/// Sends the same request on each of a number of new connections, which stay open.
+/// Opens connections, sends one request on each and leaves them open.
 fn idle_connections(gateway: &GatewayProcess, count: usize, request: impl Fn() -> String) -> Vec<Client> {
-    let served = |_| {
+    let connect_and_call = |_| {
         let mut client = gateway.connect();
         assert_eq!(client.call(&request()).status(), 200);
         client
     };
-    (0..count).map(served).collect()
+    (0..count).map(connect_and_call).collect()
 }
 
-/// Several requests share one connection to the server; the response has headers that the gateway reads.
+/// Several requests share one server connection. The responses have headers that the gateway itself reads.
 #[test]
 fn request_is_forwarded_and_its_response_returned_unchanged() {
     let body: Vec<u8> = (0..60_000u32).map(|position| position as u8).collect();
@@ -55,12 +55,12 @@
     assert_eq!(server.connection_count(), 1);
 }
 
-/// A 429 or 503 would be a decision of the decision core, which never sees a malformed request.
+/// A malformed request is answered before it reaches the decision core, whose rejections are 429 and 503.
 #[test]
 fn malformed_request_gets_a_4xx_other_than_429() {
     let server = Server::healthy();
     let gateway = GatewayProcess::in_front_of(&server);
-    let changes = [
+    let replacements = [
         ("claim-status", "crop-survey"),
         ("X-Call-Class: claim-status\r\n", ""),
         ("basico", "platinum"),
@@ -84,33 +84,33 @@
         ("GET", "POST"),
     ];
     let mut client = gateway.connect();
-    for (from, to) in changes {
-        let code = client.call(&idempotent_request().replacen(from, to, 1)).status();
-        assert!((400..500).contains(&code) && code != 429, "{from} -> {to}: {code}");
+    for (valid, malformed) in replacements {
+        let code = client.call(&idempotent_request().replacen(valid, malformed, 1)).status();
+        assert!((400..500).contains(&code) && code != 429, "{valid} -> {malformed}: {code}");
     }
-    // The start of a further request cannot be found behind a body that is not read.
-    let keyless = client.call(&keyed_request("x").replace("Idempotency-Key: k1\r\n", ""));
-    assert_eq!((keyless.status(), keyless.header("connection")), (400, "close"));
+    // The gateway does not read the body of this request, so it could not find the start of a next one.
+    let without_key = client.call(&keyed_request("x").replace("Idempotency-Key: k1\r\n", ""));
+    assert_eq!((without_key.status(), without_key.header("connection")), (400, "close"));
     let mut client = gateway.connect();
     assert_eq!(client.call(&idempotent_request()).status(), 200);
     assert_eq!(server.next_request().start_line, "GET /api?claim=7 HTTP/1.1");
     assert_eq!(server.unread_events().len(), 0);
 }
 
-/// A client timeout of 0, as of a retry that has used up its time, is well-formed.
+/// A client timeout of 0, such as that of a retry whose time has run out, is well-formed.
 #[test]
 fn request_with_expired_client_timeout_is_rejected_without_an_attempt() {
     let server = Server::healthy();
     let gateway = GatewayProcess::in_front_of(&server);
     let mut client = gateway.connect();
-    let late = client.call(&with_client_timeout(&idempotent_request(), 0));
-    assert!([429, 503].contains(&late.status()), "{}", late.status());
+    let expired = client.call(&with_client_timeout(&idempotent_request(), 0));
+    assert!([429, 503].contains(&expired.status()), "{}", expired.status());
     assert_eq!(client.call(&idempotent_request()).status(), 200);
     server.next_request();
-    assert!(server.unread_events().is_empty(), "a request with no time left was forwarded");
+    assert!(server.unread_events().is_empty(), "a request with an expired client timeout was forwarded");
 }
 
-/// Only requests of the keyed class have an idempotency key.
+/// Only requests of the keyed class have an idempotency key: the gateway adds none.
 #[test]
 fn non_idempotent_request_is_forwarded_without_an_idempotency_key() {
     let server = Server::healthy();
@@ -122,7 +122,7 @@
     assert!(!seen.headers.contains_key("idempotency-key"));
 }
 
-/// The announced length is enough for the response.
+/// The request is rejected because of its announced length, before any of its body is sent.
 #[test]
 fn request_body_over_the_limit_gets_413() {
     let server = Server::healthy();
@@ -132,35 +132,35 @@
     assert!(server.unread_events().is_empty());
 }
 
-/// At the limit of connections a new one replaces the one that has been idle longest.
+/// At the connection limit, a new connection evicts the one that has been idle longest.
 #[test]
 fn connection_idle_longest_is_evicted_when_sockets_run_out() {
     let server = Server::healthy();
-    let gateway = gateway_with_few_sockets(&server);
+    let gateway = gateway_with_low_socket_limit(&server);
     let mut idle = idle_connections(&gateway, 100, idempotent_request);
     assert!(idle[0].response().is_none(), "the first of 100 connections is still open");
     assert_eq!(idle[99].call(&idempotent_request()).status(), 200);
 }
 
-/// A connection that has sent part of a request is evicted after those that have sent nothing.
+/// Connections that have sent nothing are evicted before one that has sent part of a request.
 #[test]
-fn slowly_written_request_is_served_while_silent_connections_are_evicted() {
+fn slowly_written_request_is_served_while_unused_connections_are_evicted() {
     let server = Server::healthy();
-    let gateway = gateway_with_few_sockets(&server);
+    let gateway = gateway_with_low_socket_limit(&server);
     let request = idempotent_request();
     let mut slow = gateway.connect();
-    let mut silent: Vec<Client> = Vec::new();
+    let mut unused: Vec<Client> = Vec::new();
     for piece in request.as_bytes().chunks(request.len().div_ceil(4)) {
         slow.write_bytes(piece);
-        // The piece was sent before this call, so the gateway has read it once this one is answered.
+        // The piece was sent before this call, so the gateway has read it once this call is answered.
         assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
-        silent.extend((0..12).map(|_| gateway.connect()));
+        unused.extend((0..12).map(|_| gateway.connect()));
     }
-    assert_eq!(slow.response().expect("the slow client was closed").status(), 200);
-    assert!(silent[0].response().is_none(), "the first silent connection is still open");
+    assert_eq!(slow.response().expect("a response on the connection of the slow client").status(), 200);
+    assert!(unused[0].response().is_none(), "the first unused connection is still open");
 }
 
-/// The process's descriptor limit is below the configured one, so that `accept` fails with EMFILE.
+/// The descriptor limit of the process is below the configured one, so `accept` fails with `EMFILE`.
 #[test]
 fn idle_connections_are_evicted_when_accept_runs_out_of_descriptors() {
     let server = Server::healthy();
@@ -171,7 +171,7 @@
     assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
 }
 
-/// A client that disconnects while its attempt is in flight has no effect on later requests.
+/// A client that disconnects while an attempt is in flight does not affect later requests.
 #[test]
 fn client_disconnect_during_an_attempt_leaves_the_gateway_serving() {
     let server = Server::start(|n| if n == 0 { Reply::Hang } else { Reply::ok("done") });
@@ -183,7 +183,7 @@
     assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
 }
 
-/// A length that is stated twice could smuggle a second request in the body of the first.
+/// Guards against request smuggling: with two lengths, part of one body could be taken for a second request.
 #[test]
 fn ambiguous_body_length_gets_400_and_closes_the_connection() {
     let server = Server::healthy();
@@ -213,9 +213,9 @@
     assert!(server.unread_events().is_empty());
 }
 
-/// A connection is closed when its request is not complete in time.
+/// A connection whose request is not complete in time is closed, after a 408 if the head has arrived.
 #[test]
-fn silent_connections_and_incomplete_requests_time_out() {
+fn connections_without_a_complete_request_time_out() {
     let server = Server::healthy();
     let gateway = GatewayProcess::in_front_of(&server);
     let starts = ["", "GET /api?cl", "GET /api HTTP/1.1\r\nX-Call-Id: 7\r\n"];
@@ -232,20 +232,20 @@
     assert!(server.unread_events().is_empty());
 }
 
-/// At the limit of connections those that never sent a request are evicted first.
+/// At the connection limit, connections that have sent no request are evicted first.
 #[test]
 fn connections_without_a_request_are_evicted_before_used_ones() {
     let server = Server::healthy();
-    let gateway = gateway_with_few_sockets(&server);
+    let gateway = gateway_with_low_socket_limit(&server);
     let mut used = gateway.connect();
     assert_eq!(used.call(&idempotent_request()).status(), 200);
-    let mut silent: Vec<Client> = (0..100).map(|_| gateway.connect()).collect();
-    assert_eq!(silent[0].read_until_closed(), "");
+    let mut unused: Vec<Client> = (0..100).map(|_| gateway.connect()).collect();
+    assert_eq!(unused[0].read_until_closed(), "");
     assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
     assert_eq!(used.call(&idempotent_request()).status(), 200);
 }
 
-/// What a client sends while its request is in flight is buffered up to a limit and answered in order.
+/// Input that arrives while a request is in flight is buffered up to a limit and answered in order.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let (gate, waiter) = Gate::new();
@@ -284,7 +284,7 @@
     }
 }
 
-/// A request id is free again once its request is answered.
+/// A request id is accepted again once its first request is answered.
 #[test]
 fn duplicate_id_of_a_request_in_flight_gets_409_and_the_first_is_served() {
     let (gate, waiter) = Gate::new();
@@ -293,19 +293,19 @@
         Reply::ok("done")
     });
     let gateway = GatewayProcess::in_front_of(&server);
-    let mut owner = gateway.connect();
+    let mut first = gateway.connect();
     let request = idempotent_request();
-    owner.write(&request);
+    first.write(&request);
     server.next_request();
     assert_eq!(gateway.connect().call(&request).status(), 409);
     gate.release_one();
-    assert_eq!(owner.expect_response().status(), 200);
+    assert_eq!(first.expect_response().status(), 200);
     assert!(server.unread_events().is_empty());
     gate.release_one();
-    assert_eq!(owner.call(&request).status(), 200);
+    assert_eq!(first.call(&request).status(), 200);
 }
 
-/// The connection is not reset before the client has read the error.
+/// The gateway does not reset the connection before the client has read the error.
 #[test]
 fn error_response_is_delivered_while_the_client_still_sends_its_body() {
     let server = Server::healthy();
@@ -316,7 +316,7 @@
     assert!(client.read_until_closed().starts_with("HTTP/1.1 413"));
 }
 
-/// Responses that do not fit in the memory for bodies together are read from their servers one after another.
+/// Responses that together exceed the memory for bodies are read from the server one after another.
 #[test]
 fn large_responses_over_the_body_memory_wait_and_arrive_complete() {
     let body: Vec<u8> = (0..900_000u32).map(|position| (position / 7) as u8).collect();
@@ -331,20 +331,20 @@
     for client in &mut clients {
         let response = client.expect_response();
         assert_eq!((response.status(), response.complete), (200, true));
-        assert!(response.body == body, "the body was changed");
+        assert!(response.body == body, "the response body differs from the one sent");
     }
 }
 
-/// A new connection at the limit evicts one other, and a connection that its client closed is not counted any more.
+/// At the connection limit, each new connection evicts one; those that their clients closed do not count.
 #[test]
 fn one_connection_is_evicted_for_each_new_one() {
     let server = Server::healthy();
-    let gateway = gateway_with_few_sockets(&server);
+    let gateway = gateway_with_low_socket_limit(&server);
     let mut closing = gateway.connect();
     closing.write(&HEALTH_CHECK.replace("Host: a", "Host: a\r\nConnection: close"));
     assert!(closing.read_until_closed().starts_with("HTTP/1.1 200"));
     let mut clients = idle_connections(&gateway, 21, || HEALTH_CHECK.to_owned());
-    // Of 21 connections 20 fit: the first is evicted, the second is not.
+    // Of 21 connections 20 are allowed: the first is evicted, the second is not.
     assert_eq!(clients[0].read_until_closed(), "");
     assert_eq!(clients[1].call(HEALTH_CHECK).status(), 200);
 }
--- a/crates/gateway/tests/loopback/servers.rs
+++ b/crates/gateway/tests/loopback/servers.rs
@@ -1,4 +1,4 @@
-//! Attempts at servers: how they end, what follows, and how their connections are used.
+//! Attempts at servers: their outcomes, retries, and the reuse of server connections.
 
 use crate::rig::deployment::{Deployment, KEYED};
 use crate::rig::endpoint::{Endpoint, REMOTE_ZONE};
@@ -9,19 +9,20 @@
 use crate::rig::unreachable::UnreachableListener;
 use std::time::Duration;
 
-/// A rejection marked as such proves that nothing ran, so that even a keyed request may leave its deduplication scope.
+/// The rejection mark `X-Rejected` proves that the request did not run, so even a keyed request may be
+/// retried outside its deduplication scope.
 #[test]
 fn rejected_attempt_is_retried_in_another_zone() {
-    let full = Server::start(|_| Reply::empty("503 Full\r\nX-Rejected: 1"));
+    let rejecting = Server::start(|_| Reply::empty("503 Full\r\nX-Rejected: 1"));
     let other = Server::healthy();
-    let gateway = Deployment::with_two_zones(full.address, other.address).start();
+    let gateway = Deployment::with_two_zones(rejecting.address, other.address).start();
     let mut client = gateway.connect();
     assert_eq!(client.call(&keyed_request("x")).status(), 200);
-    assert_eq!(full.next_request().body, b"x");
+    assert_eq!(rejecting.next_request().body, b"x");
     assert_eq!(other.next_request().body, b"x");
 }
 
-/// A 503 without the rejection mark may have run, and the client must not be told otherwise.
+/// Without the rejection mark, a 503 or another failure may have run, and the response must not deny that.
 #[test]
 fn keyed_request_that_may_have_run_is_not_retried_outside_its_deduplication_scope() {
     for reply in [
@@ -41,19 +42,21 @@
     }
 }
 
-/// An attempt whose response ends early has failed; an idempotent request is retried.
+/// An attempt whose response is truncated has failed, and an idempotent request is retried.
 #[test]
 fn truncated_response_is_retried_and_never_returned() {
-    let breaks = Server::start(|_| Reply::RawThenClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"));
+    let truncating =
+        Server::start(|_| Reply::RawThenClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"));
     let other = Server::healthy();
-    let gateway = Deployment::with_two_zones(breaks.address, other.address).start();
+    let gateway = Deployment::with_two_zones(truncating.address, other.address).start();
     let response = gateway.connect().call(&idempotent_request());
     assert_eq!((response.status(), response.body), (200, b"done".to_vec()));
-    breaks.next_request();
+    truncating.next_request();
     assert_eq!(other.next_request().start_line, "GET /api?claim=7 HTTP/1.1");
 }
 
-/// The connection to a silent server is closed when the client's time is over, and the client gets its response in time.
+/// The connection to an unresponsive server is closed when the client timeout expires. The client gets its
+/// response in time.
 #[test]
 fn abandoned_attempt_closes_its_connection() {
     let server = Server::silent();
@@ -67,7 +70,7 @@
     assert_eq!(client.expect_response().status(), 429);
 }
 
-/// The server closes each connection after a response without having announced it.
+/// The server closes each connection after one response, without announcing the close.
 #[test]
 fn connection_closed_by_its_server_is_not_reused() {
     let server = Server::start(|_| Reply::ResponseThenClose);
@@ -78,12 +81,12 @@
         served += usize::from(client.call(&keyed_request("x")).status() == 200);
         server.next_request();
     }
-    // Whether the close is seen before the next request is a race, so that some requests may fail.
+    // It is a race whether the gateway sees the close before the next request, so some requests may fail.
     assert!(served >= 1 && server.unread_events().is_empty());
     assert!(server.connection_count() > 1);
 }
 
-/// The gateway closes an idle connection before the server does, so that no request crosses the server's close.
+/// The gateway closes an idle connection before the server does: a request could cross the server's close.
 #[test]
 fn idle_server_connection_is_closed_by_the_gateway() {
     let server = Server::healthy();
@@ -95,7 +98,7 @@
     server.next_request();
 }
 
-/// An attempt that still waits for its connection is not sent to an endpoint that is draining by then.
+/// An attempt that is still connecting is not sent to an endpoint that starts draining meanwhile.
 #[test]
 fn connecting_attempt_moves_when_its_endpoint_starts_draining() {
     let listener = UnreachableListener::bind();
@@ -113,7 +116,8 @@
     server.next_request();
 }
 
-/// A connect timeout proves that nothing ran, so that even a keyed request may leave its deduplication scope.
+/// A connect timeout proves that the request did not run, so even a keyed request may be retried outside its
+/// deduplication scope.
 #[test]
 fn connect_timeout_is_retried_at_another_endpoint() {
     let listener = UnreachableListener::bind();
@@ -123,7 +127,7 @@
     server.next_request();
 }
 
-/// The client's time is over before a connection comes up, so that the response may say that nothing ran.
+/// The client timeout expires before a connection is established, so the response may claim that nothing ran.
 #[test]
 fn keyed_request_never_written_gets_429_instead_of_502() {
     let listener = UnreachableListener::bind();
@@ -132,7 +136,7 @@
     assert_eq!(response.status(), 429);
 }
 
-/// A keyed retry whose connection comes up only after the deduplication window would run twice.
+/// A keyed retry whose connection is established only after the deduplication window could run a second time.
 #[test]
 fn retry_is_abandoned_when_the_deduplication_window_ends_while_connecting() {
     let listener = UnreachableListener::bind();
@@ -149,11 +153,11 @@
     server.next_request();
     deployment.agent.publish(vec![Endpoint::ready("s-2", listener.address())]);
     gate.release_one();
-    // The window is 1.5 s and the client's time two minutes: the response comes when the window is over.
+    // The window is 1.5 s and the client timeout two minutes: the response follows the end of the window.
     assert_eq!(client.expect_response().status(), 502);
 }
 
-/// A server that sends more than one response for a request cannot shift those of later requests.
+/// Surplus bytes or responses from a server do not shift the responses of later requests.
 #[test]
 fn bytes_after_a_response_are_not_taken_for_the_next_response() {
     let server = Server::start(|n| {
@@ -167,12 +171,12 @@
     assert_responses_are_in_order(&server, 30);
 }
 
-/// A response with the number of its request as its body.
+/// Returns a response whose body is the number of its request.
 fn numbered_response(number: usize) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nn{number:03}")
 }
 
-/// Asserts that each of a number of requests on one connection gets the response with its number.
+/// Asserts that each request on one client connection gets the response with its number.
 fn assert_responses_are_in_order(server: &Server, requests: usize) {
     let gateway = GatewayProcess::in_front_of(server);
     let mut client = gateway.connect();
@@ -182,7 +186,7 @@
     }
 }
 
-/// The server sends its response a second time some milliseconds later.
+/// The server sends its response again after some milliseconds.
 #[test]
 fn late_duplicate_response_is_not_taken_for_the_next_response() {
     let server = Server::start(|n| {
@@ -196,7 +200,7 @@
     assert_responses_are_in_order(&server, 20);
 }
 
-/// A response that cannot be relied on is retried for an idempotent request.
+/// An attempt with a malformed response has failed, and an idempotent request is retried.
 #[test]
 fn malformed_response_is_a_failed_attempt() {
     let malformed = [
@@ -208,17 +212,18 @@
         "\u{1}\u{2}noise\r\n\r\n",
     ];
     for text in malformed {
-        let bad = Server::start(move |_| Reply::Raw(text.to_owned()));
+        let invalid = Server::start(move |_| Reply::Raw(text.to_owned()));
         let other = Server::healthy();
-        let gateway = Deployment::with_two_zones(bad.address, other.address).start();
+        let gateway = Deployment::with_two_zones(invalid.address, other.address).start();
         let response = gateway.connect().call(&idempotent_request());
         assert_eq!((response.status(), response.body), (200, b"done".to_vec()), "{text}");
-        bad.next_request();
-        bad.expect_connection_closed();
+        invalid.next_request();
+        invalid.expect_connection_closed();
     }
 }
 
-/// Without a length and without `Connection: close` a response that ends with its connection may be truncated.
+/// A response that ends with its connection, but does not announce that with `Connection: close`, may be
+/// truncated.
 #[test]
 fn response_without_length_is_retried_unless_it_announces_the_close() {
     let unannounced = Server::start(|_| Reply::RawThenClose("HTTP/1.1 200 OK\r\n\r\nhalf"));
@@ -236,34 +241,35 @@
     assert!(announced.unread_events().is_empty());
 }
 
-/// An informational response ahead of the final one is skipped.
+/// An informational response before the final one is skipped.
 #[test]
 fn early_hints_are_not_taken_for_the_response() {
-    let hints = Server::start(|_| {
+    let server = Server::start(|_| {
         let early_hints = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n";
         Reply::Raw(format!("{early_hints}HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"))
     });
-    let gateway = GatewayProcess::in_front_of(&hints);
+    let gateway = GatewayProcess::in_front_of(&server);
     assert_eq!(gateway.connect().call(&idempotent_request()).body, b"whole");
 }
 
-/// An idempotent request is retried before its client's time is over, and the silent attempt's connection is closed.
+/// An idempotent request is retried before its client timeout expires. The connection of the unanswered
+/// attempt is closed.
 #[test]
-fn silent_server_attempt_is_abandoned_in_time_for_a_retry() {
-    let silent = Server::silent();
+fn attempt_at_an_unresponsive_server_is_abandoned_in_time_for_a_retry() {
+    let unresponsive = Server::silent();
     let other = Server::healthy();
-    let gateway = Deployment::with_two_zones(silent.address, other.address).start();
+    let gateway = Deployment::with_two_zones(unresponsive.address, other.address).start();
     assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
-    silent.next_request();
-    silent.expect_connection_closed();
+    unresponsive.next_request();
+    unresponsive.expect_connection_closed();
     other.next_request();
-    // A keyed request stays in its deduplication scope, which has no other server.
-    let gateway = Deployment::with_two_zones(silent.address, other.address).start();
+    // A keyed request may not leave its deduplication scope, which has no other server.
+    let gateway = Deployment::with_two_zones(unresponsive.address, other.address).start();
     assert_eq!(gateway.connect().call(&keyed_request("x")).status(), 502);
     assert!(other.unread_events().is_empty());
 }
 
-/// A charge that no request can have leaves the estimate in force, and the response reaches its client.
+/// A charge that no request can incur leaves the estimated units charged. The response is returned.
 #[test]
 fn implausible_charge_is_ignored_and_the_estimate_kept() {
     for charge in ["21", "1e300", "-4", "inf", "NaN", "many"] {
@@ -271,7 +277,7 @@
             head: ["200 OK\r\nApi-Charge: ", charge].concat().leak(),
             body: b"done".to_vec(),
         });
-        let gateway = gateway_that_settles_charges(&server);
+        let gateway = gateway_with_settlement(&server);
         let mut client = gateway.connect();
         for _ in 0..2 {
             let response = client.call(&idempotent_request());
@@ -281,17 +287,18 @@
     }
 }
 
-/// A gateway before one server whose customers have four units in all, settled by the charge in the response.
-fn gateway_that_settles_charges(server: &Server) -> GatewayProcess {
+/// Starts a gateway in front of one server, with a quota of four units that hardly refills. The charge in a
+/// response replaces the estimated units.
+fn gateway_with_settlement(server: &Server) -> GatewayProcess {
     Deployment::with_server(server).set("/settings/familyInfo/truedUp", true).token_bucket(0.001, 4.0).start()
 }
 
-/// A request estimated at one unit and charged four empties a bucket of four.
+/// A request estimated at one unit and charged four empties a token bucket of four.
 #[test]
 fn charge_in_the_response_replaces_the_estimated_units() {
     let server =
         Server::start(|_| Reply::Response { head: "200 OK\r\nApi-Charge: 4", body: b"done".to_vec() });
-    let gateway = gateway_that_settles_charges(&server);
+    let gateway = gateway_with_settlement(&server);
     let mut client = gateway.connect();
     let request = || idempotent_request().replace("units=2", "units=1");
     assert_eq!(client.call(&request()).status(), 200);
@@ -300,7 +307,7 @@
     assert!(server.unread_events().is_empty(), "a request beyond the quota was forwarded");
 }
 
-/// The forwarded timeout is taken as the request is written, also when its connection has been idle.
+/// The forwarded timeout is computed when the request is written, even on a connection that has been idle.
 #[test]
 fn forwarded_client_timeout_never_exceeds_the_time_left() {
     let server = Server::healthy();
@@ -310,7 +317,7 @@
     for _ in 0..20 {
         assert_eq!(client.call(&idempotent_request()).status(), 200);
         server.next_request_on_any_connection();
-        // The gateway uses the connection of the previous response again only after 20 ms.
+        // The gateway reuses the connection of the previous response only after 20 ms.
         client.call(&with_client_timeout(&idempotent_request(), 100));
         let forwarded = server.next_request_on_any_connection().client_timeout_ms().unwrap();
         assert!(forwarded <= 100);
@@ -318,6 +325,6 @@
     }
     assert!(
         shortest_forwarded <= 85,
-        "at least {shortest_forwarded} ms of 100 were forwarded after an idle time"
+        "the shortest timeout forwarded after an idle time was {shortest_forwarded} ms of 100 ms"
     );
 }
--- a/crates/gateway/tests/loopback/size.rs
+++ b/crates/gateway/tests/loopback/size.rs
@@ -1,4 +1,4 @@
-//! Bodies of more than 64 KiB in both directions: streamed, with backpressure from the receiver.
+//! Bodies of more than 64 KiB, in both directions: they are streamed, with backpressure from the receiver.
 
 use crate::rig::client::Client;
 use crate::rig::deployment::Deployment;
@@ -11,31 +11,30 @@
 use std::thread;
 use std::time::Duration;
 
-/// Bytes in a mebibyte.
+/// Number of bytes in a mebibyte.
 const MIB: usize = 1 << 20;
-/// A short successful response.
+/// Short successful response.
 const DONE: &[u8] = b"HTTP/1.1 200 OK
 Content-Length: 4
 
 done";
 
-/// Bytes in which a gap or a repeat shows.
+/// Returns bytes that reveal a gap or a repetition.
 fn pattern(length: usize) -> Vec<u8> {
     (0..length).map(|position| (position / 251 + position) as u8).collect()
 }
 
-/// A gateway with one client, and a listener as its server, played by the test itself.
+/// A gateway with one client, and a listener on which the test itself acts as the server.
 struct StreamRig {
     /// Accepts the gateway's connections.
     listener: TcpListener,
-    /// The gateway.
     gateway: GatewayProcess,
-    /// A connection of a client.
+    /// Client connection to the gateway.
     client: Client,
 }
 
 impl StreamRig {
-    /// Starts a gateway before a listener, and connects a client.
+    /// Starts a gateway in front of a listener, and connects a client.
     fn start() -> StreamRig {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let gateway = Deployment::with_endpoint(listener.local_addr().unwrap()).start();
@@ -48,7 +47,7 @@
         self.listener.accept().unwrap().0
     }
 
-    /// Sends an idempotent request and returns the connection on which its head has reached the server.
+    /// Sends an idempotent request and returns the server connection, from which its head has been read.
     fn forward_request(&mut self) -> TcpStream {
         self.client.write(&idempotent_request());
         let mut server = self.accept();
@@ -56,14 +55,14 @@
         server
     }
 
-    /// Sends the head of a non-idempotent request with a body of a length.
+    /// Sends the head of a non-idempotent request that announces a body of `body_length` bytes.
     fn write_head(&mut self, body_length: usize) {
         let framing = format!("Content-Length: {body_length}");
         self.client.write(&with_framing(&non_idempotent_request(""), &framing));
     }
 }
 
-/// The client sends the rest of the body once the server has the first part.
+/// The client sends the rest of the body only after the server has received the first part.
 #[test]
 fn long_request_body_is_streamed_to_its_server() {
     let mut rig = StreamRig::start();
@@ -83,13 +82,13 @@
     });
     received.resize(body.len(), 0);
     server.read_exact(&mut received[MIB..]).unwrap();
-    assert!(received == body, "the body changed on its way");
+    assert!(received == body, "the request body differs from the one sent");
     server.write_all(DONE).unwrap();
     let response = sender.join().unwrap().response().unwrap();
     assert_eq!((response.status(), response.header("connection")), (200, ""));
 }
 
-/// A shorter request that is sent later, and uses all of its client's time, ends before the long one.
+/// A short request that is sent later reaches its client timeout before the long body is complete.
 #[test]
 fn client_timeout_of_a_long_body_starts_with_its_last_byte() {
     let mut rig = StreamRig::start();
@@ -100,15 +99,15 @@
     let mut server = rig.accept();
     read_head(&mut server);
     server.read_exact(&mut vec![0; MIB / 2]).unwrap();
-    let late = rig.gateway.connect().call(&with_short_timeout(non_idempotent_request("x")));
-    assert_eq!(late.status(), 502, "no server reads this one");
+    let short = rig.gateway.connect().call(&with_short_timeout(non_idempotent_request("x")));
+    assert_eq!(short.status(), 502, "no server reads the short request");
     rig.client.write_bytes(&pattern(MIB / 2));
     server.read_exact(&mut vec![0; MIB / 2]).unwrap();
     server.write_all(DONE).unwrap();
     assert_eq!(rig.client.response().unwrap().status(), 200);
 }
 
-/// A body of unknown length.
+/// The length of the body is not known in advance.
 #[test]
 fn long_chunked_body_is_forwarded_in_chunks_to_its_end() {
     let server = Server::healthy();
@@ -123,7 +122,7 @@
     assert_eq!(server.next_request().header("transfer-encoding"), "chunked");
 }
 
-/// The server sends the rest of the body once the client has the first part.
+/// The server sends the rest of the body only after the client has received the first part.
 #[test]
 fn long_response_is_streamed_to_its_client() {
     let mut rig = StreamRig::start();
@@ -140,7 +139,7 @@
         server
     });
     received.extend(rig.client.read_bytes(rest.len()));
-    assert!(received == body, "the response changed on its way");
+    assert!(received == body, "the response body differs from the one sent");
     // Both connections are reused.
     let mut server = sender.join().unwrap();
     rig.client.write(&idempotent_request());
@@ -149,7 +148,7 @@
     assert_eq!(rig.client.response().unwrap().body, b"done");
 }
 
-/// The server cannot send a response of 32 MiB into buffers that hold far less.
+/// The server cannot send a response of 32 MiB, since the buffers on the way hold far less.
 #[test]
 fn client_that_reads_nothing_applies_backpressure_to_its_server() {
     let mut rig = StreamRig::start();
@@ -160,7 +159,7 @@
     assert_eq!(blocked.kind(), ErrorKind::WouldBlock, "{blocked}");
 }
 
-/// The response breaks off after part of it has been forwarded, so that no retry is possible.
+/// The response is truncated after part of it has been forwarded, so no retry is possible.
 #[test]
 fn truncated_long_response_reaches_its_client_as_truncated() {
     let mut rig = StreamRig::start();
@@ -173,7 +172,8 @@
     assert!(text.starts_with("HTTP/1.1 200") && !text.ends_with("0\r\n\r\n"));
 }
 
-/// Forwarded bytes are not buffered for a retry; as the server did not run the request, its client may send it again.
+/// Forwarded bytes are not buffered for a retry. As the server did not run the request, the client may send
+/// it again.
 #[test]
 fn partly_forwarded_long_body_is_not_retried() {
     let mut rig = StreamRig::start();
@@ -186,5 +186,5 @@
     assert_eq!((response.status(), response.header("connection")), (429, "close"));
     rig.listener.set_nonblocking(true).unwrap();
     let second_attempt = rig.listener.accept().map(drop);
-    assert_eq!(second_attempt.unwrap_err().kind(), ErrorKind::WouldBlock, "it was retried");
+    assert_eq!(second_attempt.unwrap_err().kind(), ErrorKind::WouldBlock, "the request was retried");
 }
