--- a/crates/gateway/tests/loopback/discovery.rs
+++ b/crates/gateway/tests/loopback/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list from discovery, and gossip of peers.
+//! The endpoint list from discovery, and gossip between peers.
 
 use crate::rig::client::Client;
 use crate::rig::deployment::Deployment;
@@ -10,14 +10,14 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// A change counts as notified this long after a watch has failed.
+/// Time after which a change that a failed watch missed counts as notified.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// The memory of an idle gateway with up to a thousand endpoints.
+/// Memory of an idle gateway with up to a thousand endpoints.
 const IDLE_MEMORY_KIB: u64 = 24 << 10;
-/// The memory that each further thousand endpoints may add.
+/// Memory that each further thousand endpoints may add.
 const MEMORY_PER_1000_ENDPOINTS_KIB: u64 = 4 << 10;
 
-/// Publishes that `s-1` is draining and `s-2` has taken its place.
+/// Publishes that `s-1` is draining and that `s-2` replaces it.
 fn publish_replacement(agent: &DiscoveryAgent, first: &Server, second: &Server) {
     agent.publish(vec![Endpoint::draining("s-1", first.address), Endpoint::ready("s-2", second.address)]);
 }
@@ -27,12 +27,12 @@
     client.call(&idempotent_request()).body
 }
 
-/// A gateway of a fleet of this many, before one server.
+/// Returns a gateway of a fleet of `gateways`, in front of one server.
 fn fleet_deployment(gateways: usize, server: &Server) -> Deployment {
     Deployment::with_server(server).gateway_count(gateways)
 }
 
-/// Discovery publishes a known name with another address.
+/// Discovery publishes a known endpoint with a new address.
 #[test]
 fn endpoint_that_changes_its_address_is_followed() {
     let old = Server::responding_with("old");
@@ -45,7 +45,7 @@
     assert_eq!(response_body(&mut client), b"new");
 }
 
-/// An endpoint in the other zone takes its place.
+/// An endpoint in the other zone replaces one that is draining or removed.
 #[test]
 fn draining_or_removed_endpoint_gets_no_new_requests() {
     for status in [EndpointStatus::Draining, EndpointStatus::Gone] {
@@ -65,8 +65,8 @@
     }
 }
 
-/// The previous list serves while discovery fails. A watch then resumes from its version: all gateways of a fleet fail at
-/// the same time, and the full list is the most expensive call.
+/// The previous list stays in use while discovery fails, and the watch then resumes from the version of that
+/// list: all gateways of a fleet fail at the same time, and a snapshot is the most expensive call.
 #[test]
 fn failed_watch_keeps_the_list_and_resumes_from_its_version() {
     let first = Server::responding_with("first");
@@ -78,13 +78,13 @@
     assert_eq!(response_body(&mut client), b"first");
     deployment.agent.recover(vec![Endpoint::ready("s-2", second.address)]);
     assert_eq!(response_body(&mut client), b"second");
-    assert!(!deployment.agent.snapshot_requested(), "the full list was requested");
+    assert!(!deployment.agent.snapshot_requested(), "a snapshot was requested");
 }
 
-/// A change that a silent watch misses counts as notified after 6 s. With the second that draining takes it must be known
-/// by then in a fleet of any size; the agent answers at once, so that the change arrives with the next call.
+/// A change that an unanswered watch misses counts as notified after 6 s, of which draining takes one second,
+/// in a fleet of any size. The agent answers at once, so the change arrives with the next call.
 #[test]
-fn silent_or_closed_watch_is_reopened_in_time_in_any_fleet_size() {
+fn unanswered_or_closed_watch_is_reopened_in_time_in_any_fleet_size() {
     for gateways in [2, 300] {
         for fault in [WatchFault::Unanswered, WatchFault::CloseConnection] {
             let first = Server::responding_with("first");
@@ -95,13 +95,13 @@
             assert_eq!(response_body(&mut client), b"first");
             deployment.agent.wait_for_calls(1);
             let limit_ms = if fault == WatchFault::CloseConnection { 1_000 } else { 4_000 };
-            let from = Instant::now();
+            let started_at = Instant::now();
             deployment.agent.inject(fault);
             publish_replacement(&deployment.agent, &first, &second);
             assert!(
-                from.elapsed() < Duration::from_millis(limit_ms),
+                started_at.elapsed() < Duration::from_millis(limit_ms),
                 "{gateways} gateways: after {:?}",
-                from.elapsed()
+                started_at.elapsed()
             );
             assert_eq!(response_body(&mut client), b"second");
         }
@@ -110,19 +110,19 @@
 
 /// A service that all gateways poll is given longer to answer, but the retry follows without a backoff.
 #[test]
-fn silent_watch_of_a_polled_service_is_reopened_in_time() {
+fn unanswered_watch_of_a_polled_service_is_reopened_in_time() {
     let first = Server::responding_with("first");
     let second = Server::responding_with("second");
     let deployment = fleet_deployment(300, &first).polled_discovery();
     let gateway = deployment.start();
-    let from = Instant::now();
+    let started_at = Instant::now();
     deployment.agent.inject(WatchFault::Unanswered);
     publish_replacement(&deployment.agent, &first, &second);
-    assert!(from.elapsed() < Duration::from_millis(6_500), "after {:?}", from.elapsed());
+    assert!(started_at.elapsed() < Duration::from_millis(6_500), "after {:?}", started_at.elapsed());
     assert_eq!(response_body(&mut gateway.connect()), b"second");
 }
 
-/// A call that hangs and is closed then leaves no time for a backoff, however many gateways share the service.
+/// A call that hangs before its connection is closed leaves no time for a backoff, in a fleet of any size.
 #[test]
 fn watch_closed_after_a_delay_is_reopened_within_the_notification_deadline() {
     for gateways in [2, 350] {
@@ -131,31 +131,31 @@
         let deployment = fleet_deployment(gateways, &first).polled_discovery();
         let gateway = deployment.start();
         deployment.agent.wait_for_calls(1);
-        let from = Instant::now();
+        let started_at = Instant::now();
         deployment.agent.inject(WatchFault::CloseConnectionAfter(Duration::from_millis(4_500)));
         publish_replacement(&deployment.agent, &first, &second);
-        assert!(from.elapsed() < NOTIFICATION_DEADLINE, "{gateways}: after {:?}", from.elapsed());
+        assert!(started_at.elapsed() < NOTIFICATION_DEADLINE, "{gateways}: after {:?}", started_at.elapsed());
         assert_eq!(response_body(&mut gateway.connect()), b"second");
     }
 }
 
-/// Whether the list is pushed or polled, by few gateways or many, and whether the call before was answered with an error or
-/// left open as discovery recovered.
+/// Covers a list that is pushed or polled, fleets of few and of many gateways, and a previous call that was
+/// answered with an error or is still open when discovery recovers.
 #[test]
-fn list_is_current_within_six_seconds_of_discovery_recovering() {
+fn list_is_current_within_six_seconds_of_discovery_recovery() {
     std::thread::scope(|scope| {
         for polled in [false, true] {
             for gateways in [2, 350] {
                 for refused in [true, false] {
-                    scope.spawn(move || recover_and_measure(polled, gateways, refused));
+                    scope.spawn(move || assert_recovers_in_time(polled, gateways, refused));
                 }
             }
         }
     });
 }
 
-/// Lets discovery fail and recover with a new list, and asserts that the gateway serves from that in time.
-fn recover_and_measure(polled: bool, gateways: usize, refused: bool) {
+/// Makes discovery fail and recover with a new list, and asserts that the gateway uses the new list in time.
+fn assert_recovers_in_time(polled: bool, gateways: usize, refused: bool) {
     let first = Server::responding_with("first");
     let second = Server::responding_with("second");
     let mut deployment = fleet_deployment(gateways, &first);
@@ -167,20 +167,20 @@
     if refused {
         deployment.agent.fail();
     } else {
-        // The call in flight started a moment ago and is never answered.
+        // The call in flight has just started and is never answered.
         deployment.agent.inject(WatchFault::Down);
         deployment.agent.wait_for_calls(1);
         deployment.agent.restore();
     }
-    let from = Instant::now();
+    let started_at = Instant::now();
     deployment.agent.recover(vec![Endpoint::ready("s-2", second.address)]);
-    let took = from.elapsed();
+    let elapsed = started_at.elapsed();
     let case = format!("polled {polled}, {gateways} gateways, refused {refused}");
-    assert!(took < NOTIFICATION_DEADLINE, "{case}: {took:?}");
+    assert!(elapsed < NOTIFICATION_DEADLINE, "{case}: {elapsed:?}");
     assert_eq!(response_body(&mut gateway.connect()), b"second");
 }
 
-/// Changes count as notified as soon as discovery has recovered, though earlier calls stay unanswered.
+/// Changes count as notified once discovery has recovered, even if earlier calls stay unanswered.
 #[test]
 fn changes_during_an_outage_are_known_within_two_seconds_of_recovery() {
     for gateways in [2, 300] {
@@ -192,28 +192,34 @@
         deployment.agent.inject(WatchFault::Down);
         deployment.agent.wait_for_calls(2);
         assert_eq!(response_body(&mut client), b"first");
-        let from = Instant::now();
+        let started_at = Instant::now();
         deployment.agent.restore();
         publish_replacement(&deployment.agent, &first, &second);
-        assert!(from.elapsed() < Duration::from_millis(2_000), "{gateways} gateways: {:?}", from.elapsed());
+        assert!(
+            started_at.elapsed() < Duration::from_millis(2_000),
+            "{gateways} gateways: {:?}",
+            started_at.elapsed()
+        );
         assert_eq!(response_body(&mut client), b"second");
     }
 }
 
-/// All endpoints are known, from the configuration or from discovery, within the least memory that a process is given.
+/// The gateway holds all endpoints, from its configuration or from discovery, within the smallest memory that
+/// a process is given.
 #[test]
 fn fleet_of_1024_gateways_and_1024_endpoints_is_served_within_memory() {
-    serve_large_fleet(1_024, 1_024, IDLE_MEMORY_KIB);
+    assert_large_fleet_is_served(1_024, 1_024, IDLE_MEMORY_KIB);
 }
 
-/// The largest fleet that the operators' terms name.
+/// Covers the largest fleet that the operators specify.
 #[test]
 fn fleet_of_900_gateways_and_3200_endpoints_is_served_within_memory() {
-    serve_large_fleet(900, 3_200, IDLE_MEMORY_KIB + 2 * MEMORY_PER_1000_ENDPOINTS_KIB);
+    assert_large_fleet_is_served(900, 3_200, IDLE_MEMORY_KIB + 2 * MEMORY_PER_1000_ENDPOINTS_KIB);
 }
 
-/// Serves from the configuration's list and from one that replaces it in one step, within a memory limit.
-fn serve_large_fleet(gateways: usize, endpoints: usize, memory_limit_kib: u64) {
+/// Asserts that the gateway serves from the configured list, and from a snapshot that replaces it, within a
+/// memory limit.
+fn assert_large_fleet_is_served(gateways: usize, endpoints: usize, memory_limit_kib: u64) {
     let first = Server::responding_with("first");
     let last = Server::responding_with("last");
     let deployment = Deployment::new(many_endpoints("s", first.address, endpoints))
@@ -237,13 +243,14 @@
     assert!(gateway.resident_kib() < memory_limit_kib, "{} KiB", gateway.resident_kib());
 }
 
-/// Many endpoints at one address.
+/// Returns endpoints with different names and the same address.
 fn many_endpoints(prefix: &str, address: SocketAddr, count: usize) -> Vec<Endpoint> {
     (0..count).map(|number| Endpoint::ready(format!("{prefix}-{number:04}"), address)).collect()
 }
 
-/// Idle clients take all descriptors that clients may have, and more connections queue, while discovery is down. When it
-/// recovers there are descriptors for its calls, the counter, an endpoint and new clients.
+/// While discovery is down, idle clients take all descriptors that clients may have, and further connections
+/// wait in the backlog. The gateway uses at most about half a core. After the recovery, descriptors are left
+/// for calls to discovery and the counter, for an endpoint and for new clients.
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_the_counter_and_endpoints() {
     let first = Server::responding_with("first");
@@ -255,26 +262,26 @@
         .descriptors(256);
     let gateway = deployment.start();
     deployment.agent.inject(WatchFault::Down);
-    let from = Instant::now();
+    let started_at = Instant::now();
     let ticks_before = gateway.cpu_ticks();
     let idle: Vec<Client> = (0..400).map(|_| gateway.connect()).collect();
     deployment.agent.wait_for_calls(3);
-    let elapsed = from.elapsed();
+    let elapsed = started_at.elapsed();
     let ticks_used = gateway.cpu_ticks() - ticks_before;
     assert!(ticks_used as f64 <= 50.0 * elapsed.as_secs_f64() + 50.0, "{ticks_used} ticks in {elapsed:?}");
     deployment.agent.restore();
     let restored_at = Instant::now();
     publish_replacement(&deployment.agent, &first, &second);
-    let known_after = restored_at.elapsed();
-    assert!(known_after < NOTIFICATION_DEADLINE, "after {known_after:?}");
+    let notification_time = restored_at.elapsed();
+    assert!(notification_time < NOTIFICATION_DEADLINE, "after {notification_time:?}");
     let response = gateway.connect().call(&idempotent_request());
     assert_eq!((response.status(), response.body.as_slice()), (200, &b"second"[..]));
     assert!(counter.next_request().start_line.starts_with("POST /v2/numbers/"));
     drop(idle);
 }
 
-/// An answer that is empty, truncated, no list or of an older version than the current one changes nothing and is followed by
-/// another call; an indented list is valid.
+/// A response that is empty, truncated, not a list or of an older version than the current list changes
+/// nothing and is followed by another call. An indented list is valid.
 #[test]
 fn malformed_or_stale_list_is_ignored_and_polled_again() {
     let first = Server::responding_with("first");
@@ -298,7 +305,7 @@
     assert_eq!(response_body(&mut client), b"third");
 }
 
-/// A successful response with a body.
+/// Returns a successful response with a body.
 fn raw_response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK
@@ -309,32 +316,33 @@
     )
 }
 
-/// A full list of one endpoint.
+/// Returns a snapshot with one endpoint.
 fn snapshot(index: u64, name: &str, server: &Server) -> Value {
     json!({"index": index, "snapshot": true, "endpoints": [Endpoint::ready(name, server.address)]})
 }
 
-/// Peers are known by their address; datagrams of other senders, malformed and oversized ones are ignored.
+/// Peers are identified by their address. Datagrams of other senders and malformed or oversized ones are
+/// ignored.
 #[test]
 fn peers_exchange_small_datagrams_and_ignore_malformed_ones() {
     let server = Server::responding_with("first");
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     peer.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-    let own = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let gateway_address = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let gateway = fleet_deployment(2, &server)
         .set("/settings/limits/peers", true)
-        .set("/peer_listen", own.to_string())
-        .set("/peers", json!([own.to_string(), peer.local_addr().unwrap().to_string()]))
+        .set("/peer_listen", gateway_address.to_string())
+        .set("/peers", json!([gateway_address.to_string(), peer.local_addr().unwrap().to_string()]))
         .start();
     let mut data = [0; 2_000];
-    let (length, from) = peer.recv_from(&mut data).expect("no gossip message");
+    let (length, sender) = peer.recv_from(&mut data).expect("a gossip message from the gateway");
     assert!(length > 0 && length <= 256, "{length} bytes");
-    assert_eq!(from, own);
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    for text in [&[1, 0, 0, 9][..], &[0xff; 200], &[7; 1_500], &[]] {
-        peer.send_to(text, own).unwrap();
-        stranger.send_to(text, own).unwrap();
+    assert_eq!(sender, gateway_address);
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
+    for datagram in [&[1, 0, 0, 9][..], &[0xff; 200], &[7; 1_500], &[]] {
+        peer.send_to(datagram, gateway_address).unwrap();
+        unknown_sender.send_to(datagram, gateway_address).unwrap();
     }
     assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
-    peer.recv_from(&mut data).expect("no message after malformed ones");
+    peer.recv_from(&mut data).expect("a gossip message after malformed datagrams");
 }
