--- a/crates/gateway/tests/loopback/departures.rs
+++ b/crates/gateway/tests/loopback/departures.rs
@@ -1,7 +1,7 @@
-//! Clients that disconnect before their request is forwarded: no part of it may reach a server.
+//! Clients that disconnect before their request is forwarded: no part of the request may reach a server.
 //!
-//! In several tests the gateway is paused while its clients disconnect, so that it finds their requests, the ends of their
-//! connections and whatever else has happened meanwhile all at once, as a gateway short of processor time does.
+//! Several tests pause the gateway while clients disconnect. When the gateway resumes, it finds the requests,
+//! the FINs and all other events of the meantime at once, as does a gateway that is short of processor time.
 
 use crate::rig::client::Client;
 use crate::rig::deployment::{Deployment, KEYED};
@@ -19,86 +19,86 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Clients that disconnect in a test.
-const DEPARTURES: usize = 40;
-/// How often a test runs whose outcome depends on the order of two events.
-const REPETITIONS: usize = 10;
-/// Requests of a client that stays, sent after those of the clients that disconnected.
+/// Number of clients that disconnect in a test.
+const DISCONNECTING_CLIENTS: usize = 40;
+/// Number of repetitions of a test whose course depends on the order of two events.
+const RACE_REPETITIONS: usize = 10;
+/// Number of requests of a connected client, sent after the other clients have disconnected.
 const LATER_REQUESTS: usize = 5;
 
-/// A request for a path whose client waits longer than a test takes.
+/// Returns a request for a path, with a client timeout longer than a test takes.
 fn request_for(path: &str) -> String {
     with_client_timeout(&idempotent_request().replace("/api?claim=7", path), 20_000)
 }
 
-/// A gateway before one server whose idempotent requests may take as long as a test does.
-fn patient_gateway(server: &Server) -> GatewayProcess {
+/// Starts a gateway in front of one server, with a deadline longer than any test for idempotent requests.
+fn gateway_with_unlimited_deadline(server: &Server) -> GatewayProcess {
     Deployment::with_server(server).unlimited_deadline().start()
 }
 
-/// Asserts that a client that stays is served, and that the server has received its requests alone.
-fn assert_only_staying_client_is_served(gateway: &GatewayProcess, server: &Server) {
+/// Asserts that a connected client is served, and that the server has received no other requests.
+fn assert_only_connected_client_is_served(gateway: &GatewayProcess, server: &Server) {
     let mut client = gateway.connect();
     for _ in 0..LATER_REQUESTS {
-        let response = client.call(&request_for("/stays"));
+        let response = client.call(&request_for("/connected"));
         assert_eq!(response.status(), 200, "{response:?}");
     }
-    assert_eq!(unread_request_lines(server), vec!["GET /stays HTTP/1.1"; LATER_REQUESTS]);
+    assert_eq!(unread_request_lines(server), vec!["GET /connected HTTP/1.1"; LATER_REQUESTS]);
 }
 
-/// The request lines of the requests that a server has received and no test has read yet.
+/// Returns the request lines of the requests that a server has received and the test has not read yet.
 fn unread_request_lines(server: &Server) -> Vec<String> {
     server.unread_requests().into_iter().map(|request| request.start_line).collect()
 }
 
-/// The connection waited in the listen queue with the request and the client's end.
+/// The request and the client's FIN arrive while the connection is still in the listener's backlog.
 #[test]
 fn request_of_a_client_that_disconnected_before_accept_is_not_forwarded() {
     let server = Server::healthy();
-    let gateway = patient_gateway(&server);
+    let gateway = gateway_with_unlimited_deadline(&server);
     gateway.pause();
     let mut half_closed = Vec::new();
-    for departure in 0..DEPARTURES {
+    for number in 0..DISCONNECTING_CLIENTS {
         let mut client = gateway.connect();
-        client.write(&request_for("/leaves"));
-        if departure % 2 == 0 {
+        client.write(&request_for("/disconnecting"));
+        if number % 2 == 0 {
             client.shutdown_write();
             half_closed.push(client);
         }
     }
-    gateway.wait_for_client_ends(DEPARTURES);
+    gateway.wait_for_client_ends(DISCONNECTING_CLIENTS);
     gateway.resume();
-    assert_only_staying_client_is_served(&gateway, &server);
-    // Clients that closed only their sending half learn that the request was not forwarded.
+    assert_only_connected_client_is_served(&gateway, &server);
+    // Clients that closed only the sending half of their connection learn that the request was not forwarded.
     for mut client in half_closed {
         assert_eq!(client.response().map_or(0, |response| response.status()), 429);
     }
 }
 
-/// On a connection that was used before, the request and the client's end arrive together.
+/// The request and the client's FIN arrive together, on a connection that has been used before.
 #[test]
 fn request_of_a_client_that_disconnected_before_it_was_read_is_not_forwarded() {
     let server = Server::healthy();
-    let gateway = patient_gateway(&server);
-    let mut clients: Vec<Client> = (0..DEPARTURES).map(|_| gateway.connect()).collect();
+    let gateway = gateway_with_unlimited_deadline(&server);
+    let mut clients: Vec<Client> = (0..DISCONNECTING_CLIENTS).map(|_| gateway.connect()).collect();
     for client in &mut clients {
         assert_eq!(client.call(HEALTH_CHECK).status(), 200);
     }
     gateway.pause();
     for mut client in clients {
-        client.write(&request_for("/leaves"));
+        client.write(&request_for("/disconnecting"));
     }
-    gateway.wait_for_client_ends(DEPARTURES);
+    gateway.wait_for_client_ends(DISCONNECTING_CLIENTS);
     gateway.resume();
-    assert_only_staying_client_is_served(&gateway, &server);
+    assert_only_connected_client_is_served(&gateway, &server);
 }
 
-/// Replies as the shared counter with a total within the quota.
+/// Sends the shared counter's reply, with a total that is within the quota.
 fn reply_with_total(counter: &mut TcpStream) {
     counter.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2").unwrap();
 }
 
-/// The request waits for the shared counter, whose reply arrives together with the client's end.
+/// The request waits for the shared counter, whose reply arrives together with the client's FIN.
 #[test]
 fn request_of_a_client_that_disconnected_while_awaiting_the_counter_is_not_forwarded() {
     let server = Server::healthy();
@@ -107,7 +107,7 @@
     let deployment = Deployment::with_server(&server).unlimited_deadline();
     let gateway = deployment.shared_counter(counter_address, 15_000_000).start();
     let mut client = gateway.connect();
-    client.write(&request_for("/leaves"));
+    client.write(&request_for("/disconnecting"));
     let (mut counter, _) = listener.accept().unwrap();
     read_head(&mut counter);
     gateway.pause();
@@ -115,23 +115,23 @@
     drop(client);
     gateway.wait_for_client_ends(1);
     gateway.resume();
-    let mut stays = gateway.connect();
-    stays.write(&for_customer(&request_for("/stays"), 7));
+    let mut connected = gateway.connect();
+    connected.write(&for_customer(&request_for("/connected"), 7));
     read_head(&mut counter);
     reply_with_total(&mut counter);
-    assert_eq!(stays.expect_response().status(), 200);
-    assert_eq!(unread_request_lines(&server), ["GET /stays HTTP/1.1"]);
+    assert_eq!(connected.expect_response().status(), 200);
+    assert_eq!(unread_request_lines(&server), ["GET /connected HTTP/1.1"]);
 }
 
-/// The first attempt fails together with the client's end; which of the two the gateway sees first is up to the system.
+/// The first attempt fails as the client disconnects. Which of the two the gateway sees first is a race.
 #[test]
 fn request_of_a_client_that_disconnected_between_attempts_is_not_retried() {
-    for _ in 0..REPETITIONS {
+    for _ in 0..RACE_REPETITIONS {
         disconnect_between_two_attempts();
     }
 }
 
-/// Fails the first attempt of a request at the moment its client disconnects.
+/// Fails the first attempt of a request as its client disconnects, and asserts that no other attempt follows.
 fn disconnect_between_two_attempts() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let server = Server::healthy();
@@ -142,73 +142,74 @@
     let deployment = Deployment::new(endpoints).unlimited_deadline();
     let gateway = deployment.start();
     let mut client = gateway.connect();
-    client.write(&request_for("/leaves"));
-    let (mut first, _) = listener.accept().unwrap();
-    read_head(&mut first);
+    client.write(&request_for("/disconnecting"));
+    let (mut attempt, _) = listener.accept().unwrap();
+    read_head(&mut attempt);
     deployment.agent.publish(vec![Endpoint::ready("s-2", server.address)]);
     gateway.pause();
-    first.write_all(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").unwrap();
-    drop((first, client, listener));
+    attempt.write_all(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").unwrap();
+    drop((attempt, client, listener));
     gateway.wait_for_client_ends(1);
     gateway.resume();
-    assert_only_staying_client_is_served(&gateway, &server);
+    assert_only_connected_client_is_served(&gateway, &server);
 }
 
-/// The attempt waits for its connection when the client disconnects, whatever else the client had sent by then.
+/// The attempt is still connecting when the client disconnects. By then the client may also have sent part or
+/// all of a next request.
 #[test]
 fn request_of_a_client_that_disconnected_while_connecting_is_not_forwarded() {
     let long_pipelined = format!("{}{}", keyed_request("next"), "x".repeat(40 << 10));
     for pipelined in ["", "POST /ap", &keyed_request("next"), &long_pipelined] {
         let listener = UnreachableListener::bind();
-        let gateway = gateway_that_waits_for(&listener);
-        let mut leaves = gateway.connect();
-        leaves.write(&with_client_timeout(&keyed_request("left"), 20_000));
+        let gateway = gateway_in_front_of_unreachable(&listener);
+        let mut disconnecting = gateway.connect();
+        disconnecting.write(&with_client_timeout(&keyed_request("disconnecting"), 20_000));
         gateway.wait_until_input_read();
-        leaves.write(pipelined);
-        drop(leaves);
-        let (response, server) = serve_staying_client(&gateway, listener);
+        disconnecting.write(pipelined);
+        drop(disconnecting);
+        let (response, server) = serve_connected_client(&gateway, listener);
         assert_eq!(response.status(), 200);
         let bodies: Vec<Vec<u8>> = server.unread_requests().into_iter().map(|request| request.body).collect();
-        assert_eq!(bodies, [b"stays".to_vec()], "behind {} bytes", pipelined.len());
+        assert_eq!(bodies, [b"connected".to_vec()], "behind {} bytes", pipelined.len());
     }
 }
 
-/// The body is too long to be read before it is forwarded: the client's end arrives behind the unread rest.
+/// The body is too long to be read before it is forwarded, so the client's FIN arrives behind unread bytes.
 #[test]
 fn long_body_of_a_client_that_disconnected_while_connecting_is_not_forwarded() {
     let listener = UnreachableListener::bind();
-    let gateway = gateway_that_waits_for(&listener);
-    let mut leaves = gateway.connect();
+    let gateway = gateway_in_front_of_unreachable(&listener);
+    let mut disconnecting = gateway.connect();
     let long_body = "x".repeat(150 << 10);
-    leaves.write(&with_client_timeout(&keyed_request(&long_body), 20_000));
+    disconnecting.write(&with_client_timeout(&keyed_request(&long_body), 20_000));
     let disconnected_at = Instant::now();
-    leaves.shutdown_write();
-    // A rejection or the end of the connection shows that the request is over before any server is reachable.
-    assert!(leaves.response().is_none_or(|response| response.status() == 429));
-    let noticed_after = disconnected_at.elapsed();
-    assert!(noticed_after < Duration::from_secs(10), "noticed after {noticed_after:?}");
-    let (response, server) = serve_staying_client(&gateway, listener);
+    disconnecting.shutdown_write();
+    // A rejection or a closed connection shows that the request has ended before any server is reachable.
+    assert!(disconnecting.response().is_none_or(|response| response.status() == 429));
+    let detection_time = disconnected_at.elapsed();
+    assert!(detection_time < Duration::from_secs(10), "disconnect detected after {detection_time:?}");
+    let (response, server) = serve_connected_client(&gateway, listener);
     assert_eq!(response.status(), 200);
-    assert!(server.next_request_on_any_connection().body == b"stays", "the long body was forwarded");
+    assert!(server.next_request_on_any_connection().body == b"connected", "the long body was forwarded");
     assert_eq!(server.unread_requests().len(), 0);
 }
 
-/// A gateway before one endpoint that is unreachable for now; a keyed request waits for it.
-fn gateway_that_waits_for(listener: &UnreachableListener) -> GatewayProcess {
+/// Starts a gateway in front of one unreachable endpoint, for which a keyed request waits up to 20 s.
+fn gateway_in_front_of_unreachable(listener: &UnreachableListener) -> GatewayProcess {
     let deployment = Deployment::with_endpoint(listener.address()).unlimited_connect_timeout();
     deployment.set(&format!("/settings/classes/{KEYED}/deadlineUs"), 20_000_000).start()
 }
 
-/// Sends a keyed request, lets the endpoint become reachable, and returns the response with the endpoint's server.
-fn serve_staying_client(gateway: &GatewayProcess, listener: UnreachableListener) -> (Message, Server) {
-    let mut stays = gateway.connect();
-    stays.write(&with_client_timeout(&keyed_request("stays"), 20_000));
+/// Sends a keyed request, makes the endpoint reachable, and returns the response and the endpoint's server.
+fn serve_connected_client(gateway: &GatewayProcess, listener: UnreachableListener) -> (Message, Server) {
+    let mut connected = gateway.connect();
+    connected.write(&with_client_timeout(&keyed_request("connected"), 20_000));
     gateway.wait_until_input_read();
     let server = Server::start_on(listener.make_reachable(), |_| Reply::ok("done"));
-    (stays.expect_response(), server)
+    (connected.expect_response(), server)
 }
 
-/// The attempt fails, in either way that allows a retry, after its client has disconnected.
+/// After the client has disconnected, the attempt fails in one of the two ways that allow a retry.
 #[test]
 fn failed_attempt_is_not_retried_after_the_client_disconnected() {
     for failure in ["503 Full\r\nX-Rejected: 1", "500 Error"] {
@@ -222,32 +223,32 @@
         });
         let endpoints = ["s-1", "s-2"].map(|name| Endpoint::ready(name, server.address));
         let gateway = Deployment::new(endpoints.to_vec()).start();
-        let mut leaves = gateway.connect();
-        leaves.write(&idempotent_request());
+        let mut disconnecting = gateway.connect();
+        disconnecting.write(&idempotent_request());
         server.next_request();
-        leaves.shutdown_write();
-        assert!(leaves.response().is_some_and(|response| response.status() >= 400));
+        disconnecting.shutdown_write();
+        assert!(disconnecting.response().is_some_and(|response| response.status() >= 400));
         gate.release_one();
-        // The server's next requests are those of a client that comes later.
-        let mut stays = gateway.connect();
+        // The next requests at the server are those of a client that connects later.
+        let mut connected = gateway.connect();
         for _ in 0..3 {
-            assert_eq!(stays.call(&non_idempotent_request("stays")).status(), 200);
-            assert_eq!(server.next_request_on_any_connection().body, b"stays");
+            assert_eq!(connected.call(&non_idempotent_request("connected")).status(), 200);
+            assert_eq!(server.next_request_on_any_connection().body, b"connected");
         }
     }
 }
 
-/// A client that closes its sending half counts as disconnected, but may still read.
+/// A client that closes the sending half of its connection counts as disconnected, but still gets a response.
 #[test]
 fn half_closed_client_receives_the_outcome_of_its_request() {
     let listener = UnreachableListener::bind();
-    let silent = Server::silent();
-    for (address, status) in [(listener.address(), 429), (silent.address, 502)] {
+    let unresponsive = Server::silent();
+    for (address, status) in [(listener.address(), 429), (unresponsive.address, 502)] {
         let gateway = Deployment::with_endpoint(address).unlimited_connect_timeout().start();
         let mut client = gateway.connect();
         client.write(&non_idempotent_request("x"));
         if status == 502 {
-            silent.next_request();
+            unresponsive.next_request();
         }
         client.shutdown_write();
         assert_eq!(client.expect_response().status(), status);
--- a/crates/gateway/tests/loopback/faults.rs
+++ b/crates/gateway/tests/loopback/faults.rs
@@ -1,4 +1,4 @@
-//! System calls that fail in ways that Linux documents: every request still gets its one response.
+//! System calls that fail in ways that Linux documents: every request still gets exactly one response.
 
 use crate::rig::client::Client;
 use crate::rig::deployment::Deployment;
@@ -8,20 +8,22 @@
 use crate::rig::server::{Reply, Server};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Large enough to be streamed and to fill a socket's buffer.
+/// Length of a body that is streamed and fills a socket's buffer.
 const LONG_RESPONSE_BYTES: usize = 600_000;
 
-/// A gateway before one server whose system calls fail; idempotent requests may take as long as a test does.
-fn deployment_under(faults: &str, server: &Server) -> Deployment {
+/// Returns a gateway in front of one server, with failing system calls and, for idempotent requests, a
+/// deadline longer than any test.
+fn deployment_with_faults(faults: &str, server: &Server) -> Deployment {
     Deployment::with_server(server).unlimited_deadline().faults(faults)
 }
 
-/// A gateway started from [`deployment_under`].
-fn gateway_under(faults: &str, server: &Server) -> GatewayProcess {
-    deployment_under(faults, server).start()
+/// Starts a gateway from [`deployment_with_faults`].
+fn gateway_with_faults(faults: &str, server: &Server) -> GatewayProcess {
+    deployment_with_faults(faults, server).start()
 }
 
-/// A short read is no end of the data and a short write no full socket: the rest follows at once.
+/// A short read does not mean that no data is left, nor a short write that the buffer is full: both continue
+/// at once.
 #[test]
 fn short_reads_and_writes_do_not_delay_requests() {
     for seed in 1..=3 {
@@ -30,7 +32,7 @@
             _ => Reply::ok(format!("response {n}")),
         });
         let faults = format!("read=50 write=50 seed={seed}");
-        let deployment = deployment_under(&faults, &server);
+        let deployment = deployment_with_faults(&faults, &server);
         let gateway = deployment.start();
         deployment.agent.publish(vec![Endpoint::ready("s-2", server.address).in_zone(REMOTE_ZONE)]);
         let mut clients: Vec<Client> = (0..4).map(|_| gateway.connect()).collect();
@@ -45,13 +47,13 @@
     }
 }
 
-/// An `accept` that fails for the connection or the network evicts no idle connection; only a lasting lack of descriptors
-/// does.
+/// Only a lasting lack of descriptors evicts idle connections. An `accept` error of the new connection or of
+/// the network does not.
 #[test]
 fn failing_accept_closes_no_other_connection() {
     for seed in 1..=3 {
         let server = Server::healthy();
-        let gateway = gateway_under(&format!("accept=50 seed={seed}"), &server);
+        let gateway = gateway_with_faults(&format!("accept=50 seed={seed}"), &server);
         let mut idle: Vec<Client> = (0..8).map(|_| gateway.connect()).collect();
         for client in &mut idle {
             assert_eq!(client.call(&idempotent_request()).status(), 200);
@@ -61,33 +63,33 @@
         }
         for client in &mut idle {
             client.write(&idempotent_request());
-            let response = client.response().expect("an idle connection was closed");
+            let response = client.response().expect("a response on a connection that was idle");
             assert_eq!(response.status(), 200);
         }
     }
 }
 
-/// Connections that queue before the listener closes are accepted though `accept` fails meanwhile.
+/// Connections in the backlog are accepted before the listener closes, even if `accept` fails meanwhile.
 #[test]
 fn failing_accept_loses_no_queued_client_during_shutdown() {
     for (seed, kind) in [(1, "accept"), (2, "accept"), (3, "accept_full"), (4, "accept_full")] {
         let server = Server::healthy();
-        let gateway = gateway_under(&format!("{kind}=80 seed={seed}"), &server);
+        let gateway = gateway_with_faults(&format!("{kind}=80 seed={seed}"), &server);
         gateway.pause();
         let mut clients: Vec<Client> = (0..40).map(|_| gateway.connect()).collect();
         clients.iter_mut().for_each(|client| client.write(&idempotent_request()));
         gateway.terminate();
         gateway.resume();
         for client in &mut clients {
-            let response = client.response().expect("closed without a response");
-            // That many at once may be more than one endpoint is sent.
+            let response = client.response().expect("a response before the connection is closed");
+            // So many requests at once may exceed what one endpoint may be sent.
             assert!(matches!(response.status(), 200 | 429), "{kind}, seed {seed}: {}", response.start_line);
         }
         assert!(gateway.wait().success());
     }
 }
 
-/// A temporary lack of resources on the gateway's own machine rejects no request.
+/// A temporary lack of resources on the gateway's own machine does not fail requests.
 #[test]
 fn failing_socket_or_connect_call_fails_no_request() {
     for faults in ["connect=60", "socket=60"] {
@@ -95,7 +97,7 @@
             head: "200 OK\r\nConnection: close",
             body: b"done".to_vec(),
         });
-        let gateway = gateway_under(faults, &server);
+        let gateway = gateway_with_faults(faults, &server);
         let mut client = gateway.connect();
         for n in 0..60 {
             assert_eq!(client.call(&idempotent_request()).status(), 200, "{faults}, request {n}");
@@ -103,20 +105,20 @@
     }
 }
 
-/// Sockets, addresses and descriptors may be unavailable for some seconds when the process starts.
+/// Sockets, addresses and descriptors may be unavailable for some seconds while the process starts.
 #[test]
 fn startup_waits_while_sockets_are_unavailable() {
     let server = Server::healthy();
     for faults in ["socket=100", "bind=100", "descriptor=100"] {
         let start = Instant::now();
-        let gateway = gateway_under(&format!("{faults} for_ms=2000"), &server);
+        let gateway = gateway_with_faults(&format!("{faults} for_ms=2000"), &server);
         assert!(start.elapsed() >= Duration::from_millis(1_900), "{faults} had no effect");
         assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
     }
 }
 
-/// Start times of endpoints come from their wall clocks. Connections to an endpoint that started a moment ago are reused,
-/// those to its previous process are not, whatever the gateway's own wall clock says.
+/// The start times of endpoints come from their wall clocks. Whatever the gateway's wall clock says,
+/// connections to an endpoint that has just started are reused, and those to its previous process are not.
 #[test]
 fn server_connections_are_reused_despite_wall_clock_steps() {
     for faults in ["wall_s=0", "wall_s=3600", "wall_s=-3600", "wall_step_ms=100"] {
@@ -127,7 +129,7 @@
         };
         let deployment = Deployment::new(vec![started(Duration::from_secs(60))])
             .unlimited_deadline()
-            // Without a slow start the endpoint gets requests at once.
+            // Without slow start, the endpoint gets requests at once.
             .set("/settings/rules/coldFrom", 1.0)
             .faults(faults);
         let gateway = deployment.start();
--- a/crates/gateway/tests/loopback/late_reads.rs
+++ b/crates/gateway/tests/loopback/late_reads.rs
@@ -1,4 +1,4 @@
-//! Requests that the gateway reads some time after they arrived: that time is the client's.
+//! Requests that the gateway reads some time after they arrived: that time counts against the client timeout.
 
 use crate::rig::deployment::Deployment;
 use crate::rig::gateway_process::GatewayProcess;
@@ -11,41 +11,41 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// By how much the time forwarded to a server may exceed what is left to the client.
+/// Amount by which the timeout forwarded to a server may exceed the time left to the client.
 const FORWARDED_TIMEOUT_SLACK: Duration = Duration::from_millis(150);
-/// How late after its client's timeout an answer may come.
+/// Delay after the client timeout within which the response may arrive.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
 
-/// Guards against time that a request waits before the gateway reads it: on a connection that is not accepted yet, and on one
-/// that is open.
+/// Guards against a forwarded timeout that ignores how long a request waited before the gateway read it, on
+/// an open connection or on one that was not accepted yet.
 #[test]
 fn time_before_a_request_is_read_counts_against_its_client_timeout() {
-    // Longer than a slow machine takes for the answer.
+    // Longer than a response takes on a slow machine.
     let timeout = Duration::from_secs(60);
     let pause = Duration::from_millis(700);
     let server = Server::healthy();
     let gateway = Deployment::with_server(&server).unlimited_deadline().start();
-    let mut open = gateway.connect();
-    assert_eq!(open.call(HEALTH_CHECK).status(), 200);
+    let mut accepted = gateway.connect();
+    assert_eq!(accepted.call(HEALTH_CHECK).status(), 200);
     gateway.pause();
     let mut queued = gateway.connect();
-    for client in [&mut open, &mut queued] {
+    for client in [&mut accepted, &mut queued] {
         client.write(&with_client_timeout(&idempotent_request(), 60_000));
     }
     let written_at = Instant::now();
     std::thread::sleep(pause);
     let left = timeout - written_at.elapsed() + FORWARDED_TIMEOUT_SLACK;
     gateway.resume();
-    for client in [&mut open, &mut queued] {
+    for client in [&mut accepted, &mut queued] {
         let forwarded = server.next_request().client_timeout_ms().unwrap();
         assert!(Duration::from_millis(forwarded) <= left, "{forwarded} ms with {left:?} left");
         assert_eq!(client.expect_response().status(), 200);
     }
 }
 
-/// A request whose client stopped waiting before it was read is answered, and goes to no server.
+/// A request that is read only after its client timeout is answered, but not forwarded.
 #[test]
-fn request_read_after_its_client_timeout_is_rejected_unsent() {
+fn request_read_after_its_client_timeout_is_rejected_without_an_attempt() {
     let server = Server::healthy();
     let gateway = GatewayProcess::in_front_of(&server);
     let mut client = gateway.connect();
@@ -58,10 +58,10 @@
     assert!(server.unread_requests().is_empty());
 }
 
-/// Guards against time that the last of a long body waits before it is read: its server never answers, and the client gets its
-/// answer in time.
+/// Guards against a client timeout that ignores how long the last part of a long body waited to be read. The
+/// server never responds, and the client gets its response in time.
 #[test]
-fn time_before_the_last_of_a_long_body_is_read_counts_against_its_client_timeout() {
+fn time_before_the_end_of_a_long_body_is_read_counts_against_its_client_timeout() {
     let timeout = Duration::from_millis(1_900);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let gateway = Deployment::with_endpoint(listener.local_addr().unwrap()).start();
