--- a/crates/gateway/tests/loopback/lifecycle.rs
+++ b/crates/gateway/tests/loopback/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, reload, shutdown and restart of the process.
+//! Startup, configuration reload, graceful shutdown and replacement of the process.
 
 use crate::rig::client::Client;
 use crate::rig::deployment::Deployment;
@@ -13,21 +13,21 @@
 use std::io::Read;
 use std::time::{Duration, Instant};
 
-/// The gateway's log line for a configuration that it does not load.
-const RELOAD_REFUSED: &str = "keeping the previous configuration";
-/// The time between two clients that connect one after the other.
+/// Log text for a configuration file that a reload rejects.
+const RELOAD_REJECTED: &str = "keeping the previous configuration";
+/// Interval between the connections of successive clients.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Checks that each of many clients gets its answer.
-fn expect_answers(clients: &mut [Client]) {
+/// Asserts that each client gets a response.
+fn assert_all_answered(clients: &mut [Client]) {
     for client in clients {
         let response = client.expect_response();
-        // That many at once may be more than the one endpoint is sent.
+        // So many requests at once may exceed what the one endpoint may be sent.
         assert!(matches!(response.status(), 200 | 429), "{}", response.start_line);
     }
 }
 
-/// The configuration is no JSON, lacks a part or holds an invalid value.
+/// The configuration is not valid JSON, lacks a field or has an invalid value.
 #[test]
 fn malformed_configuration_exits_with_one_log_line() {
     let valid = Deployment::new(Vec::new()).config_text();
@@ -51,7 +51,7 @@
     }
 }
 
-/// After SIGTERM requests in flight and new ones are answered, and the process exits with success.
+/// After SIGTERM, the process answers requests in flight and new ones, and exits with success.
 #[test]
 fn shutdown_answers_requests_in_flight_and_closes_idle_connections() {
     let (gate, waiter) = Gate::new();
@@ -70,17 +70,17 @@
     busy.write(&idempotent_request());
     server.next_request();
     gateway.terminate();
-    assert!(idle.response().is_none(), "an idle connection stays open");
+    assert!(idle.response().is_none(), "an idle connection was not closed");
     let late = gateway.connect().call(&idempotent_request());
     assert_eq!((late.status(), late.header("connection")), (200, "close"));
     gate.release_one();
-    let response = busy.response().expect("a request in flight got no response");
+    let response = busy.response().expect("a response to the request in flight");
     assert_eq!((response.status(), response.header("connection")), (200, "close"));
     assert!(busy.response().is_none());
     assert!(gateway.wait().success());
 }
 
-/// So is the first request on a connection that was open before the signal.
+/// Also covers the first request on a connection that was opened before the signal.
 #[test]
 fn request_partly_received_at_sigterm_is_answered() {
     let server = Server::healthy();
@@ -92,10 +92,10 @@
     let request = idempotent_request();
     let (start, rest) = request.split_at(40);
     partial.write(start);
-    // The gateway has seen what was connected or written before this call once it is answered.
+    // Once this call is answered, the gateway has processed all earlier connections and input.
     assert_eq!(idle.call(&idempotent_request()).status(), 200);
     gateway.terminate();
-    assert!(idle.response().is_none(), "an idle connection stays open");
+    assert!(idle.response().is_none(), "an idle connection was not closed");
     partial.write(rest);
     unused.write(&idempotent_request());
     for client in [&mut partial, &mut unused] {
@@ -105,7 +105,8 @@
     assert!(gateway.wait().success());
 }
 
-/// Guards against a reset of connections whose handshake ended between the listener's last accept and its close.
+/// Guards against a reset of connections whose handshake ends after the last `accept` of a listener that is
+/// being closed.
 #[test]
 fn client_that_connects_as_the_listener_closes_is_answered_or_refused() {
     let server = Server::healthy();
@@ -117,11 +118,12 @@
         clients.push(client);
         std::thread::sleep(CONNECT_INTERVAL);
     }
-    expect_answers(&mut clients);
+    assert_all_answered(&mut clients);
     assert!(gateway.wait().success());
 }
 
-/// Guards against the same where another process listens at the same address: it gets the clients that one refuses.
+/// Guards against a reset of connections while one of two processes at the same address closes its listener:
+/// the other process accepts the clients that the first one refuses.
 #[test]
 fn clients_are_answered_while_one_of_two_listeners_closes() {
     let server = Server::healthy();
@@ -135,11 +137,11 @@
         clients.push(client);
         std::thread::sleep(CONNECT_INTERVAL);
     }
-    expect_answers(&mut clients);
+    assert_all_answered(&mut clients);
     assert!(closing.wait().success());
 }
 
-/// A system that refuses the packet filter: the listener closes without it.
+/// If the system refuses the packet filter that refuses new handshakes, the listener closes without it.
 #[test]
 fn refused_packet_filter_is_logged_and_the_listener_closes() {
     let server = Server::healthy();
@@ -152,37 +154,37 @@
     }
 }
 
-/// SIGKILL comes 3.7 s after SIGTERM at the earliest, however long the deadlines are. By then a request at a hung server has
-/// its response, whether it came before the signal or after.
+/// SIGKILL follows SIGTERM after 3.7 s at the earliest, however long the deadlines are. By then, requests at
+/// an unresponsive server have their responses, whether they arrived before or after the signal.
 #[test]
-fn shutdown_answers_requests_at_hung_servers_before_sigkill() {
+fn shutdown_answers_requests_at_unresponsive_servers_before_sigkill() {
     let server = Server::silent();
     let gateway = Deployment::with_server(&server).all_deadlines_us(20_000_000).start();
-    let patient = |request: String| with_client_timeout(&request, 20_000);
+    let with_long_timeout = |request: String| with_client_timeout(&request, 20_000);
     let mut retryable = gateway.connect();
     let mut non_idempotent = gateway.connect();
     let mut idle = gateway.connect();
     assert_eq!(idle.call(HEALTH_CHECK).status(), 200);
-    retryable.write(&patient(idempotent_request()));
+    retryable.write(&with_long_timeout(idempotent_request()));
     server.next_request();
-    non_idempotent.write(&patient(non_idempotent_request("x")));
+    non_idempotent.write(&with_long_timeout(non_idempotent_request("x")));
     server.next_request();
     let signaled_at = Instant::now();
     gateway.terminate();
-    assert!(idle.response().is_none(), "an idle connection stays open");
+    assert!(idle.response().is_none(), "an idle connection was not closed");
     let mut late = gateway.connect();
-    late.write(&patient(idempotent_request()));
+    late.write(&with_long_timeout(idempotent_request()));
     server.next_request();
     for (client, status) in [(&mut retryable, 429), (&mut non_idempotent, 502), (&mut late, 429)] {
         assert_eq!(client.expect_response().status(), status);
     }
-    let answered_after = signaled_at.elapsed();
-    assert!(answered_after < Duration::from_millis(3_700), "after {answered_after:?}");
+    let elapsed = signaled_at.elapsed();
+    assert!(elapsed < Duration::from_millis(3_700), "answered after {elapsed:?}");
     assert!(gateway.wait().success());
 }
 
-/// A reload moves the watch to the configured agent, which is asked for its full list though its version is the same; the
-/// previous agent leaves a call open. An invalid file changes nothing.
+/// A reload moves the watch to the newly configured agent while a call to the previous one is open. The new
+/// agent is asked for a snapshot, even though its version is the same. An invalid file changes nothing.
 #[test]
 fn configuration_reload_moves_the_watch_and_ignores_an_invalid_file() {
     let first = Server::responding_with("first");
@@ -191,46 +193,46 @@
     let gateway = previous.start();
     let mut client = gateway.connect();
     assert_eq!(client.call(&idempotent_request()).body, b"first");
-    let next = deployment_learned_from_discovery(&second);
+    let next = deployment_without_configured_endpoints(&second);
     let valid = next.config_text();
     for invalid in ["{", "{}", &valid.replacen("\"classes\"", "\"kinds\"", 1)] {
         gateway.reload_with(invalid);
-        gateway.wait_for_log(RELOAD_REFUSED);
+        gateway.wait_for_log(RELOAD_REJECTED);
         assert_eq!(client.call(&idempotent_request()).body, b"first");
     }
     previous.agent.publish(vec![Endpoint::ready("s-1", first.address)]);
     gateway.reload_with(&valid);
     next.agent.wait_until_watched();
     assert_eq!(client.call(&idempotent_request()).body, b"second");
-    // A shutdown right after a reload is clean, too.
+    // A shutdown that directly follows a reload also exits with success.
     gateway.reload_with(&valid);
     gateway.terminate();
     assert!(gateway.wait().success());
 }
 
-/// A gateway that knows no endpoint from its configuration, and gets one server, `s-2`, from discovery.
-fn deployment_learned_from_discovery(server: &Server) -> Deployment {
+/// Returns a gateway without configured endpoints, which gets one server, `s-2`, from discovery.
+fn deployment_without_configured_endpoints(server: &Server) -> Deployment {
     let agent = DiscoveryAgent::start(vec![Endpoint::ready("s-2", server.address)]);
     Deployment::with_agent(agent, &[])
 }
 
-/// The file is half written when the signal arrives, and complete a moment later without a further signal.
+/// The configuration file is half written when SIGHUP arrives, and is completed without a further signal.
 #[test]
-fn configuration_completed_after_its_signal_is_loaded() {
+fn configuration_completed_after_its_reload_signal_is_loaded() {
     let first = Server::responding_with("first");
     let second = Server::responding_with("second");
     let gateway = GatewayProcess::in_front_of(&first);
-    let next = deployment_learned_from_discovery(&second);
+    let next = deployment_without_configured_endpoints(&second);
     let complete = next.config_text();
     gateway.reload_with(&complete[..complete.len() / 2]);
-    gateway.wait_for_log(RELOAD_REFUSED);
+    gateway.wait_for_log(RELOAD_REJECTED);
     gateway.replace_config_file(&complete);
     next.agent.wait_until_watched();
     assert_eq!(gateway.connect().call(&idempotent_request()).body, b"second");
 }
 
-/// With short deadlines SIGKILL follows soon, so that idle connections have to close while a last request on them can still
-/// be answered.
+/// With short deadlines, SIGKILL follows soon after SIGTERM. Idle connections must close while a last request
+/// on them can still be answered.
 #[test]
 fn idle_connections_close_before_exit_with_short_deadlines() {
     let server = Server::healthy();
@@ -238,7 +240,7 @@
     let mut idle: Vec<Client> = (0..10).map(|_| gateway.connect()).collect();
     assert_eq!(gateway.connect().call(HEALTH_CHECK).status(), 200);
     gateway.terminate();
-    // New connections arrive for 0.4 s after the signal.
+    // New clients connect for 0.4 s after the signal.
     let signaled_at = Instant::now();
     while signaled_at.elapsed() < Duration::from_millis(400) {
         idle.push(gateway.connect());
@@ -251,7 +253,7 @@
     assert!(log.iter().all(|line| !line.contains("still open")), "{log:?}");
 }
 
-/// A new process starts beside the old one, which then drains; every request is served by one of them.
+/// A new process starts beside the old one, which then drains. Every request is served by one of the two.
 #[test]
 fn second_process_on_the_same_address_replaces_the_first() {
     let server = Server::healthy();
@@ -270,8 +272,8 @@
     }
 }
 
-/// While discovery and the counter are silent or fail every call, processes serve from the list in their configuration and
-/// wait for neither.
+/// While discovery and the counter are unresponsive or fail every call, starting processes wait for neither
+/// and serve from the endpoint list in their configuration.
 #[test]
 fn simultaneous_starts_are_ready_without_discovery_or_counter() {
     let server = Server::healthy();
@@ -285,7 +287,7 @@
             .shared_counter(counter.address, 80_000);
         let first = deployment.start();
         deployment.agent.inject(fault);
-        let from = Instant::now();
+        let started_at = Instant::now();
         let start = || {
             let deployment = deployment.clone();
             std::thread::spawn(move || deployment.start())
@@ -297,7 +299,7 @@
             assert_eq!(client.call(HEALTH_CHECK).status(), 200);
             assert_eq!(client.call(&idempotent_request()).body, b"done");
         }
-        assert!(from.elapsed() < Duration::from_secs(10), "ready after {:?}", from.elapsed());
+        assert!(started_at.elapsed() < Duration::from_secs(10), "ready after {:?}", started_at.elapsed());
         drop(first);
     }
 }
--- a/crates/gateway/tests/loopback/takeover.rs
+++ b/crates/gateway/tests/loopback/takeover.rs
@@ -1,8 +1,8 @@
-//! Takeover: a successor process gets the listener and the state of the process that serves.
+//! Takeover: a successor process receives the listener and the state of the serving process.
 //!
-//! Over the control socket in `$TMPDIR` the predecessor sends its listener, the length of its state and the state: the text
-//! that the decision core writes (its `handover` module), whose first line is its version, `grebehook-2`. Both
-//! processes of these tests are of the same build.
+//! Over the control socket in `$TMPDIR`, the predecessor sends its listener, the length of its state and the
+//! state itself: text that the `handover` module of the decision core writes, whose first line is the version
+//! `grebehook-2`. In these tests, both processes are of the same build.
 
 use crate::rig::client::{operator_get, Client};
 use crate::rig::deployment::Deployment;
@@ -15,19 +15,18 @@
 use std::os::unix::net::UnixListener;
 use std::time::{Duration, Instant};
 
-/// How long a process waits for a hand-over.
+/// Time that a starting process waits for a hand-over.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A process that serves, and what its successor is started from.
+/// A serving process, and the deployment of its successor.
 struct Predecessor {
-    /// The process.
     process: GatewayProcess,
-    /// The same deployment at the address of the process.
+    /// The deployment of the process, with the address at which it listens.
     successor: Deployment,
 }
 
 impl Predecessor {
-    /// Starts a process whose control socket is in a folder.
+    /// Starts a process with its control socket in a folder.
     fn start(deployment: Deployment, folder: &TemporaryFolder) -> Predecessor {
         let deployment = deployment.control_folder(folder.path());
         let process = deployment.start();
@@ -36,19 +35,20 @@
     }
 }
 
-/// A gateway before one server that answers operators.
-fn deployment_with_operators(server: &Server) -> Deployment {
+/// Returns a gateway in front of one server, with the operator interface enabled.
+fn deployment_with_operator_interface(server: &Server) -> Deployment {
     Deployment::with_server(server).operator_interface()
 }
 
-/// New connections go to the successor once it has the listener; the predecessor answers its requests in flight.
+/// New connections go to the successor once it has the listener, while the predecessor answers its requests
+/// in flight.
 #[test]
 fn new_clients_are_served_by_the_successor_process() {
     let server = Server::start(|n| if n == 1 { Reply::Hang } else { Reply::ok("done") });
     let folder = TemporaryFolder::create();
     let Predecessor { process: old, successor } =
-        Predecessor::start(deployment_with_operators(&server), &folder);
-    let old_ops = old.operator_address();
+        Predecessor::start(deployment_with_operator_interface(&server), &folder);
+    let old_operator_address = old.operator_address();
     let mut idle = old.connect();
     let mut busy = old.connect();
     assert_eq!(idle.call(&idempotent_request()).status(), 200);
@@ -56,43 +56,43 @@
     busy.write(&non_idempotent_request("in flight"));
     server.next_request();
     let new = successor.start();
-    let new_ops = new.operator_address();
-    assert_eq!(operator_get(new_ops, "/admin/health").status(), 200);
-    assert_eq!(operator_get(old_ops, "/admin/health").status(), 503);
+    let new_operator_address = new.operator_address();
+    assert_eq!(operator_get(new_operator_address, "/admin/health").status(), 200);
+    assert_eq!(operator_get(old_operator_address, "/admin/health").status(), 503);
     for _ in 0..9 {
         assert_eq!(new.connect().call(&idempotent_request()).status(), 200);
     }
-    let stats = String::from_utf8(operator_get(new_ops, "/admin/stats").body).unwrap();
+    let stats = String::from_utf8(operator_get(new_operator_address, "/admin/stats").body).unwrap();
     assert!(stats.contains("{kind=\"claim-status\",result=\"ok\"} 9\n"), "{stats}");
     old.terminate();
-    assert_eq!(busy.response().expect("a request in flight got no response").status(), 502);
-    assert!(idle.response().is_none(), "an idle connection stays open");
+    assert_eq!(busy.response().expect("a response to the request in flight").status(), 502);
+    assert!(idle.response().is_none(), "an idle connection was not closed");
     assert!(old.wait().success());
-    // The successor hands over in turn.
+    // The successor hands over to a third process.
     let third = successor.start();
     new.terminate();
     assert!(new.wait().success());
     assert_eq!(third.connect().call(&idempotent_request()).status(), 200);
 }
 
-/// The successor dies before the predecessor gets SIGTERM.
+/// The successor is killed before the predecessor gets SIGTERM.
 #[test]
-fn predecessor_resumes_when_its_successor_dies() {
+fn predecessor_resumes_when_its_successor_is_killed() {
     let server = Server::healthy();
     let folder = TemporaryFolder::create();
     let Predecessor { process: old, successor } =
-        Predecessor::start(deployment_with_operators(&server), &folder);
+        Predecessor::start(deployment_with_operator_interface(&server), &folder);
     successor.start().kill();
     old.wait_for_log("continuing to accept clients");
     assert_eq!(old.connect().call(&idempotent_request()).status(), 200);
     old.kill();
-    // The control socket of a killed process is ignored.
+    // A starting process ignores the control socket that a killed one left.
     let next = successor.start();
     assert_eq!(next.connect().call(&idempotent_request()).status(), 200);
 }
 
-/// Guards against clients that wait in the queue of a listener that nobody accepts from while a successor that got SIGTERM
-/// answers its open requests.
+/// Guards against clients left waiting in the backlog because neither process accepts, while a successor that
+/// got SIGTERM answers its requests in flight.
 #[test]
 fn predecessor_resumes_while_its_successor_shuts_down() {
     let server = Server::start(|n| if n == 0 { Reply::Hang } else { Reply::ok("done") });
@@ -115,7 +115,8 @@
     assert_eq!(old.connect().call(&idempotent_request()).status(), 200);
 }
 
-/// Guards against clients that connect to the listener of a process that has handed it over and is shutting down.
+/// Guards against clients that can still connect, though no process accepts, because a predecessor that is
+/// shutting down keeps the listener open.
 #[test]
 fn listener_closes_with_the_successor_while_the_predecessor_shuts_down() {
     let server = Server::start(|n| if n == 0 { Reply::Hang } else { Reply::ok("done") });
@@ -130,13 +131,14 @@
     new.terminate();
     let address = new.address;
     assert!(new.wait().success());
-    assert!(Client::connect(address).is_err(), "nobody answers this client");
-    assert!(!old.has_exited(), "refused only once the predecessor had exited");
+    assert!(Client::connect(address).is_err(), "a client connected though no process accepts");
+    assert!(!old.has_exited(), "the predecessor exited before the connection was refused");
     assert_eq!(busy.expect_response().status(), 429);
     assert!(old.wait().success());
 }
 
-/// Guards against a successor that waits for the hand-over of a process that is shutting down, while neither accepts clients.
+/// Guards against a successor that waits for a hand-over by a process that is shutting down, while neither
+/// accepts clients.
 #[test]
 fn successor_does_not_wait_for_a_predecessor_that_shuts_down() {
     let server = Server::start(|n| if n == 0 { Reply::Hang } else { Reply::ok("done") });
@@ -148,15 +150,15 @@
     server.next_request();
     old.terminate();
     old.wait_for_log("no longer accepting clients");
-    let starting_at = Instant::now();
+    let started_at = Instant::now();
     let new = successor.start();
-    let elapsed = starting_at.elapsed();
+    let elapsed = started_at.elapsed();
     assert!(elapsed < HAND_OVER_TIMEOUT, "{elapsed:?}");
     assert_eq!(new.connect().call(&idempotent_request()).status(), 200);
     assert!(!old.has_exited());
 }
 
-/// The successor reads from the `grebehook-2` text what its customers have used of their quota.
+/// The successor reads the quota usage of its customers from the `grebehook-2` text.
 #[test]
 fn quota_usage_is_handed_over_to_the_successor() {
     let server = Server::healthy();
@@ -184,8 +186,8 @@
     assert!(gateway.wait().success());
 }
 
-/// The times in the `grebehook-2` text are moved to the successor's clock: a wall clock that was stepped between the two
-/// starts changes neither the level of a bucket nor the speed at which it fills.
+/// The successor converts the times in the `grebehook-2` text to its own clock. A wall clock step between the
+/// two starts changes neither the level of a token bucket nor its refill rate.
 #[test]
 fn handed_over_quota_is_unaffected_by_wall_clock_steps() {
     for (rate, faults) in [(0.001, "wall_s=3600"), (4.0, "wall_s=-3600")] {
@@ -201,14 +203,15 @@
         if rate > 1.0 {
             let deadline = Instant::now() + Duration::from_secs(10);
             while client.call(&idempotent_request()).status() == 429 {
-                assert!(Instant::now() < deadline, "{faults}: the bucket does not fill");
+                assert!(Instant::now() < deadline, "{faults}: the bucket is not refilled");
                 std::thread::sleep(Duration::from_millis(50));
             }
         }
     }
 }
 
-/// SIGTERM while the predecessor has not yet answered ends the start: a process that is about to stop accepts nobody.
+/// SIGTERM before the predecessor has answered ends the startup: a process that is about to stop must not
+/// accept clients.
 #[test]
 fn sigterm_during_takeover_exits_without_listening() {
     let folder = TemporaryFolder::create();
