--- a/crates/gateway/tests/loopback/servers.rs
+++ b/crates/gateway/tests/loopback/servers.rs
@@ -22,7 +22,7 @@
     assert_eq!(other.next_request().body, b"x");
 }
 
-/// Without the rejection mark, a 503 or another failure may have run, and the response must not deny that.
+/// A request that got a 503 without the rejection mark may have run, and the response must not deny that.
 #[test]
 fn keyed_request_that_may_have_run_is_not_retried_outside_its_deduplication_scope() {
     for reply in [
