--- a/crates/gateway/tests/loopback/syscall_faults.c
+++ b/crates/gateway/tests/loopback/syscall_faults.c
@@ -1,28 +1,31 @@
-// Preloaded into the gateway process: makes system calls fail in ways that Linux documents. Other processes that inherit the
-// environment, such as the shell that starts the gateway, are recognised by their name and left alone.
+// A library that is preloaded into the gateway process and makes system calls fail in ways that Linux
+// documents. Other processes that inherit the environment, such as the shell that starts the gateway, are
+// recognised by their name and not affected.
 //
 // SYSCALL_FAULTS holds "key=number" pairs separated by spaces.
 //
-// Percentage of calls that fail:
-//   accept       for the connection or the network
-//   accept_full  for lack of descriptors or memory
+// Probabilities of faults, in percent of the calls:
+//   accept       accept4 fails with a connection or network error
+//   accept_full  accept4 fails for lack of descriptors or memory
 //   socket, bind, connect
-//   filter       a packet filter is refused, for lack of memory
-//   descriptor   epoll_create1, eventfd and socketpair, for lack of descriptors
+//                the call of this name fails
+//   filter       attaching a packet filter to a socket fails for lack of memory
+//   descriptor   epoll_create1, eventfd and socketpair fail for lack of descriptors or memory
 //   wait         epoll_wait is interrupted (EINTR)
-//   read, write  fewer bytes than asked for are transferred
+//   read, write  recv or send transfers fewer bytes than requested
 //   broken       a connection that the gateway opened breaks at a read or write
 //   hold         a write is delayed by 150 ms, at most once a second
-// As if the process had to wait for a core:
-//   preempt              how many in a thousand socket calls begin late: accept, connect, close, shutdown, reads, writes
-//   preempt_ms           by how much at most
-//   preempt_seed         of these draws
-//   preempt_listener_ms  by how much every close of a listening socket does
+// Scheduling delays, as if the process had to wait for a core:
+//   preempt              how many in a thousand calls of accept4, connect, close, shutdown, recv and send are
+//                        delayed
+//   preempt_ms           the maximum delay, in milliseconds
+//   preempt_seed         the seed of the random choices of these delays
+//   preempt_listener_ms  the delay of every close of a listening socket, in milliseconds
 // Others:
-//   for_ms        faults end this long after the start of the process
-//   seed          of the random draws
-//   wall_s        by how much the wall clock is ahead
-//   wall_step_ms  the wall clock steps by an hour, forward or back, at this interval
+//   for_ms        the faults in percent end this many milliseconds after the first intercepted call
+//   seed          the seed of all other random choices
+//   wall_s        the offset of the wall clock, in seconds
+//   wall_step_ms  the interval at which the wall clock steps by an hour, forward or back, in milliseconds
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -37,19 +40,20 @@
 
 #define REAL(name) static __typeof__(name) *real; if (!real) real = dlsym(RTLD_NEXT, #name)
 
-/* The length of a clock step, the length and the least interval of delayed writes, and the default delay of late calls. */
+/* The length of a clock step, the delay of a write and the minimum time between two such delays, and the
+   default maximum of scheduling delays. */
 enum { HOUR_S = 3600, HOLD_MS = 150, HOLD_EVERY_MS = 1000, PREEMPT_MS = 20 };
 
-/* Whether this process is the gateway; -1 until that is known. */
+/* Whether this process is the gateway; -1 before the first check. */
 static int active = -1;
-/* The state of the random draws. */
+/* The state of the random number generator of faults. */
 static unsigned draw_state;
-/* The state of the draws of late calls, which leave the other draws as they are. */
+/* The state of the random number generator of scheduling delays, which do not change the choice of faults. */
 static unsigned preempt_state;
-/* The monotonic time of the first intercepted call. */
+/* The monotonic time of the first intercepted call, in milliseconds. */
 static long started_ms;
 
-/* The number of a key in SYSCALL_FAULTS, or a default. */
+/* Returns the number of a key in SYSCALL_FAULTS, or a default if the key is missing. */
 static long number(const char *key, long otherwise) {
   const char *at = getenv("SYSCALL_FAULTS");
   size_t length = strlen(key);
@@ -61,17 +65,17 @@
   return otherwise;
 }
 
-/* The real clock_gettime, which the library replaces. */
+/* Calls the real clock_gettime, which the library replaces. */
 static int real_clock(clockid_t clock, struct timespec *time) { REAL(clock_gettime); return real(clock, time); }
 
-/* The monotonic clock in milliseconds. */
+/* Returns the monotonic time in milliseconds. */
 static long monotonic_ms(void) {
   struct timespec now;
   real_clock(CLOCK_MONOTONIC, &now);
   return now.tv_sec * 1000 + now.tv_nsec / 1000000;
 }
 
-/* Whether this process is the gateway; the first call reads the process name and the seed. */
+/* Returns whether this process is the gateway; the first call reads the process name and the seeds. */
 static int is_active(void) {
   if (active < 0) {
     char name[32] = "";
@@ -85,17 +89,16 @@
   return active;
 }
 
-/* The next pseudo-random number of 16 bits of a sequence. */
+/* Returns the next 16-bit pseudo-random number of a generator. */
 static unsigned next(unsigned *state) { *state = *state * 1103515245u + 12345u; return *state >> 16; }
 static unsigned draw(void) { return next(&draw_state); }
 
-/* Waits for some milliseconds. */
 static void sleep_ms(long ms) {
   struct timespec time = {ms / 1000, ms % 1000 * 1000000L};
   nanosleep(&time, 0);
 }
 
-/* Draws whether the process waits for a core before a call; leaves errno as it is. */
+/* Delays a call at random, as if the process had to wait for a core; preserves errno. */
 static void preempt(void) {
   int kept = errno;
   long per_mille = is_active() ? number("preempt", 0) : 0;
@@ -104,7 +107,7 @@
   errno = kept;
 }
 
-/* Delays the close of a listening socket; leaves errno as it is. */
+/* Delays the close of a listening socket; preserves errno. */
 static void preempt_close(int fd) {
   int kept = errno, listens = 0;
   socklen_t length = sizeof listens;
@@ -113,7 +116,7 @@
   errno = kept;
 }
 
-/* Draws whether a call of a kind fails; leaves errno as it is. */
+/* Decides at random whether a fault of a kind occurs; preserves errno. */
 static int fails(const char *kind) {
   int kept = errno;
   if (!is_active()) return 0;
@@ -123,25 +126,26 @@
   return percent && !over && (long)(draw() % 100) < percent;
 }
 
-/* Fails with one of these errors. */
+/* Sets errno to one of the errors at random, and returns -1. */
 static int fail_with(const int *errors, int count) { errno = errors[draw() % count]; return -1; }
 #define FAIL(...) do { static const int errors[] = {__VA_ARGS__}; return fail_with(errors, sizeof errors / sizeof *errors); } while (0)
 
-/* Descriptors of connections that the gateway itself opened. */
+/* Whether the gateway itself opened the connection of each descriptor. */
 enum { MAX_DESCRIPTORS = 4096 };
 static char opened_here[MAX_DESCRIPTORS];
 
 /* Records whether the gateway opened the connection of a descriptor itself. */
 static void note_opened(int fd, int opened) { if (fd >= 0 && fd < MAX_DESCRIPTORS) opened_here[fd] = opened; }
 
-/* Draws whether a connection breaks, for both sides; what was written before is still delivered. */
+/* Decides at random whether a connection that the gateway opened breaks, and if so shuts down both
+   directions; data written before is still delivered. */
 static int breaks(int fd) {
   if (fd < 0 || fd >= MAX_DESCRIPTORS || !opened_here[fd] || !fails("broken")) return 0;
   shutdown(fd, SHUT_RDWR);
   return 1;
 }
 
-/* Draws whether a write is delayed. */
+/* Delays a write at random, unless the previous delay ended less than HOLD_EVERY_MS ago. */
 static void hold(void) {
   static long last_ms;
   if (!fails("hold") || monotonic_ms() - last_ms < HOLD_EVERY_MS) return;
@@ -149,7 +153,8 @@
   last_ms = monotonic_ms();
 }
 
-/* The intercepted calls. Unix sockets and data that is only peeked at are left alone. */
+/* The intercepted calls. Faults exclude the creation, binding and connecting of Unix sockets, and reads that
+   only peek. */
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) { REAL(accept4);
   preempt();
   if (fails("accept")) FAIL(ECONNABORTED, EPROTO, ENETUNREACH, EHOSTUNREACH, ENETDOWN, EINTR);
