--- a/crates/gateway/tests/loopback/counter.rs
+++ b/crates/gateway/tests/loopback/counter.rs
@@ -73,7 +73,7 @@
     let unreachable = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let gateway = deployment(&server, unreachable).start();
     assert_eq!(gateway.connect().call(&patient_request()).status(), 200);
-    let silent = Server::silent();
+    let silent = Server::unresponsive();
     let gateway = deployment(&server, silent.address).shared_counter(silent.address, 80_000).start();
     assert_eq!(gateway.connect().call(&patient_request()).status(), 200);
     silent.next_request();
@@ -104,8 +104,8 @@
 #[test]
 fn connections_to_a_silent_counter_stay_bounded() {
     let server = Server::healthy();
-    let counter = Server::silent();
-    let moved = Server::silent();
+    let counter = Server::unresponsive();
+    let moved = Server::unresponsive();
     let deployment = deployment(&server, counter.address);
     let gateway = deployment.start();
     let _waiting = send_for_customers(&gateway, 1..60);
--- a/crates/gateway/tests/loopback/departures.rs
+++ b/crates/gateway/tests/loopback/departures.rs
@@ -66,7 +66,7 @@
             half_closed.push(client);
         }
     }
-    gateway.wait_for_client_ends(DEPARTURES);
+    gateway.wait_for_half_closed_connections(DEPARTURES);
     gateway.resume();
     assert_only_staying_client_is_served(&gateway, &server);
     // Clients that closed only their sending half learn that the request was not forwarded.
@@ -88,7 +88,7 @@
     for mut client in clients {
         client.write(&request_for("/leaves"));
     }
-    gateway.wait_for_client_ends(DEPARTURES);
+    gateway.wait_for_half_closed_connections(DEPARTURES);
     gateway.resume();
     assert_only_staying_client_is_served(&gateway, &server);
 }
@@ -113,7 +113,7 @@
     gateway.pause();
     reply_with_total(&mut counter);
     drop(client);
-    gateway.wait_for_client_ends(1);
+    gateway.wait_for_half_closed_connections(1);
     gateway.resume();
     let mut stays = gateway.connect();
     stays.write(&for_customer(&request_for("/stays"), 7));
@@ -149,7 +149,7 @@
     gateway.pause();
     first.write_all(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").unwrap();
     drop((first, client, listener));
-    gateway.wait_for_client_ends(1);
+    gateway.wait_for_half_closed_connections(1);
     gateway.resume();
     assert_only_staying_client_is_served(&gateway, &server);
 }
@@ -241,7 +241,7 @@
 #[test]
 fn half_closed_client_receives_the_outcome_of_its_request() {
     let listener = UnreachableListener::bind();
-    let silent = Server::silent();
+    let silent = Server::unresponsive();
     for (address, status) in [(listener.address(), 429), (silent.address, 502)] {
         let gateway = Deployment::with_endpoint(address).unlimited_connect_timeout().start();
         let mut client = gateway.connect();
--- a/crates/gateway/tests/loopback/discovery.rs
+++ b/crates/gateway/tests/loopback/discovery.rs
@@ -48,7 +48,7 @@
 /// An endpoint in the other zone takes its place.
 #[test]
 fn draining_or_removed_endpoint_gets_no_new_requests() {
-    for status in [EndpointStatus::Draining, EndpointStatus::Gone] {
+    for status in [EndpointStatus::Draining, EndpointStatus::Removed] {
         let first = Server::responding_with("first");
         let second = Server::responding_with("second");
         let deployment = Deployment::with_server(&first);
--- a/crates/gateway/tests/loopback/lifecycle.rs
+++ b/crates/gateway/tests/loopback/lifecycle.rs
@@ -156,7 +156,7 @@
 /// its response, whether it came before the signal or after.
 #[test]
 fn shutdown_answers_requests_at_hung_servers_before_sigkill() {
-    let server = Server::silent();
+    let server = Server::unresponsive();
     let gateway = Deployment::with_server(&server).all_deadlines_us(20_000_000).start();
     let patient = |request: String| with_client_timeout(&request, 20_000);
     let mut retryable = gateway.connect();
@@ -276,7 +276,7 @@
 fn simultaneous_starts_are_ready_without_discovery_or_counter() {
     let server = Server::healthy();
     for (fault, counter) in [
-        (WatchFault::Down, Server::silent()),
+        (WatchFault::Down, Server::unresponsive()),
         (WatchFault::CloseConnection, Server::start(|_| Reply::empty("503 Busy"))),
     ] {
         let deployment = Deployment::with_server(&server)
--- a/crates/gateway/tests/loopback/main.rs
+++ b/crates/gateway/tests/loopback/main.rs
@@ -1,4 +1,4 @@
-//! The gateway as a process, its other ends scripted over loopback sockets.
+//! Integration tests that run the gateway as a process against scripted peers on loopback sockets.
 
 mod clients;
 mod counter;
--- a/crates/gateway/tests/loopback/ops.rs
+++ b/crates/gateway/tests/loopback/ops.rs
@@ -66,7 +66,7 @@
 /// Any number of idle connections leaves others served; a malformed or unknown call gets a 4xx.
 #[test]
 fn idle_or_malformed_operator_connections_do_not_block_others() {
-    let server = Server::silent();
+    let server = Server::unresponsive();
     let gateway = gateway_with_operators(&server);
     let ops = gateway.operator_address();
     let idle: Vec<Client> = (0..40).map(|_| Client::connect(ops).unwrap()).collect();
--- a/crates/gateway/tests/loopback/rig/client.rs
+++ b/crates/gateway/tests/loopback/rig/client.rs
@@ -1,37 +1,37 @@
-//! Scripted clients of the gateway, and operators.
+//! Scripted connections of clients and operators to the gateway.
 
 use super::message::{read_message, Message};
 use super::EVENT_TIMEOUT;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-/// A client's connection.
+/// A blocking client connection; reads fail after [`EVENT_TIMEOUT`].
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    /// Connects to an address.
+    /// Opens a connection to the gateway.
     pub fn connect(address: SocketAddr) -> std::io::Result<Client> {
         let stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(EVENT_TIMEOUT))?;
         Ok(Client(BufReader::new(stream)))
     }
 
-    /// Writes a text.
+    /// Sends text unchanged.
     pub fn write(&mut self, text: &str) {
         self.write_bytes(text.as_bytes());
     }
 
-    /// Writes bytes.
+    /// Sends raw bytes unchanged.
     pub fn write_bytes(&mut self, data: &[u8]) {
         self.0.get_mut().write_all(data).unwrap();
     }
 
-    /// Closes the sending half of the connection.
+    /// Shuts down the sending half of the connection.
     pub fn shutdown_write(&self) {
         self.0.get_ref().shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Reads the head of a response and the first bytes of its body.
+    /// Skips the head of a response and returns the first `length` bytes of its body.
     pub fn read_body_start(&mut self, length: usize) -> Vec<u8> {
         let mut line = String::new();
         while line != "\r\n" {
@@ -41,41 +41,45 @@
         self.read_bytes(length)
     }
 
-    /// Reads a number of bytes.
+    /// Reads exactly `length` bytes.
     pub fn read_bytes(&mut self, length: usize) -> Vec<u8> {
         let mut data = vec![0; length];
         self.0.read_exact(&mut data).unwrap();
         data
     }
 
-    /// The next response; `None` if the gateway closed the connection first.
+    /// Reads the next response; returns `None` if the gateway closes the connection first.
     pub fn response(&mut self) -> Option<Message> {
         read_message(&mut self.0)
     }
 
-    /// The next response, which must come.
+    /// Reads the next response; panics if the gateway closes the connection first.
     pub fn expect_response(&mut self) -> Message {
-        self.response().expect("the connection was closed without a response")
+        self.response().expect("the gateway closed the connection without a response")
     }
 
-    /// Waits until the gateway closes the connection, and returns what came before.
+    /// Waits until the gateway closes or resets the connection, and returns the data received before that.
     pub fn read_until_closed(&mut self) -> String {
         let mut text = Vec::new();
         if let Err(error) = self.0.read_to_end(&mut text) {
-            assert_eq!(error.kind(), ErrorKind::ConnectionReset, "not closed: {error}");
+            assert_eq!(
+                error.kind(),
+                ErrorKind::ConnectionReset,
+                "the gateway did not close the connection: {error}"
+            );
         }
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    /// Sends a request and waits for its response.
+    /// Sends a request and returns its response.
     pub fn call(&mut self, request: &str) -> Message {
         self.write(request);
         self.expect_response()
     }
 }
 
-/// One call of the operators.
+/// Sends one GET request to the operator interface on a connection of its own.
 pub fn operator_get(address: SocketAddr, path: &str) -> Message {
     let request = format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n");
-    Client::connect(address).expect("the operator interface accepts no connection").call(&request)
+    Client::connect(address).expect("cannot connect to the operator interface").call(&request)
 }
--- a/crates/gateway/tests/loopback/rig/deployment.rs
+++ b/crates/gateway/tests/loopback/rig/deployment.rs
@@ -1,4 +1,4 @@
-//! A gateway's configuration, endpoints and discovery agent, from which tests start gateway processes.
+//! The configuration, endpoints and discovery agent with which tests start gateway processes.
 
 use super::discovery_agent::DiscoveryAgent;
 use super::endpoint::{Endpoint, REMOTE_ZONE};
@@ -10,153 +10,155 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The number of the class of idempotent requests.
+/// The index of the class of idempotent requests in the configuration.
 pub const IDEMPOTENT: usize = 0;
-/// The number of the class of requests with an idempotency key.
+/// The index of the class of requests with an idempotency key in the configuration.
 pub const KEYED: usize = 1;
-/// The number of the class of requests that must never run twice.
+/// The index of the class of requests that must never run twice in the configuration.
 pub const NON_IDEMPOTENT: usize = 2;
 
-/// A deadline longer than any test.
-const UNREACHABLE_DEADLINE_US: u64 = 100_000_000;
-/// A connect timeout longer than any test.
-const UNREACHABLE_CONNECT_TIMEOUT_US: u64 = 60_000_000;
+/// A deadline longer than any test, in microseconds.
+const UNLIMITED_DEADLINE_US: u64 = 100_000_000;
+/// A connect timeout longer than any test, in microseconds.
+const UNLIMITED_CONNECT_TIMEOUT_US: u64 = 60_000_000;
 
-/// A configuration under construction, with its discovery agent and the environment of its processes.
+/// A builder of gateway processes with their configuration, discovery agent and process environment.
 #[derive(Clone)]
 pub struct Deployment {
     /// The agent that serves the endpoint list.
     pub agent: DiscoveryAgent,
-    /// The gateway's configuration.
+    /// The gateway's configuration file as JSON.
     config: Value,
-    /// How its processes are started.
     launch: Launch,
 }
 
 impl Deployment {
-    /// A gateway that knows these endpoints from its configuration and from discovery.
+    /// Creates a deployment that lists these endpoints both in its configuration and in discovery.
     pub fn new(endpoints: Vec<Endpoint>) -> Deployment {
         Deployment::with_agent(DiscoveryAgent::start(endpoints.clone()), &endpoints)
     }
 
-    /// A gateway with an existing agent, which knows these endpoints from its configuration.
-    pub fn with_agent(agent: DiscoveryAgent, known: &[Endpoint]) -> Deployment {
-        let config = configuration(agent.address, known);
+    /// Creates a deployment with an existing agent, and with these endpoints in its configuration.
+    pub fn with_agent(agent: DiscoveryAgent, initial_endpoints: &[Endpoint]) -> Deployment {
+        let config = configuration(agent.address, initial_endpoints);
         Deployment { agent, config, launch: Launch::default() }
     }
 
-    /// A gateway before one endpoint, `s-1`, in its own zone.
+    /// Creates a deployment with one endpoint, `s-1`, in the gateway's own zone.
     pub fn with_endpoint(address: SocketAddr) -> Deployment {
         Deployment::new(vec![Endpoint::ready("s-1", address)])
     }
 
-    /// A gateway before one server, `s-1`, in its own zone.
+    /// Creates a deployment with one server, `s-1`, in the gateway's own zone.
     pub fn with_server(server: &Server) -> Deployment {
         Deployment::with_endpoint(server.address)
     }
 
-    /// A gateway before `s-1` in its own zone and `s-2` in the other one.
+    /// Creates a deployment with `s-1` in the gateway's own zone and `s-2` in the other zone.
     pub fn with_two_zones(local: SocketAddr, remote: SocketAddr) -> Deployment {
         let remote = Endpoint::ready("s-2", remote).in_zone(REMOTE_ZONE);
         Deployment::new(vec![Endpoint::ready("s-1", local), remote])
     }
 
-    /// Sets the value that a JSON pointer names in the configuration.
+    /// Sets the configuration value at a JSON pointer.
     pub fn set(mut self, pointer: &str, value: impl Into<Value>) -> Deployment {
-        let (parent, key) = pointer.rsplit_once('/').expect("a JSON pointer");
-        self.config.pointer_mut(parent).expect("a part of the configuration")[key] = value.into();
+        let (parent, key) = pointer.rsplit_once('/').expect("the JSON pointer has no '/'");
+        self.config.pointer_mut(parent).expect("the configuration has no parent of this setting")[key] =
+            value.into();
         self
     }
 
-    /// Sets the deadline and the latency objective of a class.
+    /// Sets the deadline and the latency objective of a class, in microseconds.
     pub fn deadline_us(self, class: usize, deadline_us: u64) -> Deployment {
         self.set(&format!("/settings/classes/{class}/aimUs"), deadline_us)
             .set(&format!("/settings/classes/{class}/deadlineUs"), deadline_us)
     }
 
-    /// Sets the deadline and the latency objective of all classes.
+    /// Sets the deadline and the latency objective of all classes, in microseconds.
     pub fn all_deadlines_us(self, deadline_us: u64) -> Deployment {
         [IDEMPOTENT, KEYED, NON_IDEMPOTENT]
             .into_iter()
             .fold(self, |deployment, class| deployment.deadline_us(class, deadline_us))
     }
 
-    /// Lets an idempotent request take as long as a test does.
+    /// Gives idempotent requests a deadline that no test reaches.
     pub fn unlimited_deadline(self) -> Deployment {
-        self.deadline_us(IDEMPOTENT, UNREACHABLE_DEADLINE_US)
+        self.deadline_us(IDEMPOTENT, UNLIMITED_DEADLINE_US)
     }
 
-    /// Lets an attempt wait for its connection as long as a test takes.
+    /// Gives attempts a connect timeout that no test reaches.
     pub fn unlimited_connect_timeout(self) -> Deployment {
-        self.set("/settings/limits/connectTimeoutUs", UNREACHABLE_CONNECT_TIMEOUT_US)
+        self.set("/settings/limits/connectTimeoutUs", UNLIMITED_CONNECT_TIMEOUT_US)
     }
 
-    /// Adds a shared counter and the time that a request waits for its reply.
+    /// Enables a shared counter; a request waits `reply_timeout_us` microseconds for its reply.
     pub fn shared_counter(self, counter: SocketAddr, reply_timeout_us: u64) -> Deployment {
         self.set("/counter", counter.to_string())
             .set("/settings/familyInfo/sharedCounter", true)
             .set("/settings/familyInfo/countLimitUs", reply_timeout_us)
     }
 
-    /// Sets the refill rate per second and the depth of each customer's token bucket.
+    /// Sets the refill rate of each customer's token bucket in units per second, and its depth in units.
     pub fn token_bucket(self, rate: f64, depth: f64) -> Deployment {
         self.set("/settings/plans/0/rate", rate).set("/settings/plans/0/depth", depth)
     }
 
-    /// Sets how many gateways the fleet has.
+    /// Sets the number of gateways in the fleet.
     pub fn gateway_count(self, gateways: usize) -> Deployment {
         self.set("/settings/siblings", gateways)
     }
 
-    /// Makes the gateway poll a shared discovery service instead of an agent that pushes changes.
+    /// Configures the gateway to poll a shared discovery service instead of watching an agent that pushes
+    /// changes.
     pub fn polled_discovery(self) -> Deployment {
         self.set("/settings/discovery", "ask")
     }
 
-    /// Sets the resource limit that the configuration states for descriptors.
+    /// Sets the descriptor limit in the configuration.
     pub fn configured_sockets(self, sockets: u32) -> Deployment {
         self.set("/limits/sockets", sockets)
     }
 
-    /// Lets the gateway answer operators on a port of its own.
+    /// Enables the operator interface on a port that the system picks.
     pub fn operator_interface(self) -> Deployment {
         self.set("/ops", "127.0.0.1:0")
     }
 
-    /// Sets the address at which clients connect.
+    /// Sets the address on which the gateway listens for clients.
     pub fn listen(self, address: SocketAddr) -> Deployment {
         self.set("/listen", address.to_string())
     }
 
-    /// Limits the descriptors of the processes, whatever the configuration says.
+    /// Sets the descriptor limit that the system enforces on the processes, whatever the configuration
+    /// states.
     pub fn descriptors(mut self, descriptors: u32) -> Deployment {
-        self.launch.descriptors = descriptors;
+        self.launch.descriptor_limit = descriptors;
         self
     }
 
-    /// Starts the processes with a folder for their control sockets.
+    /// Sets the folder for the control sockets of the processes.
     pub fn control_folder(mut self, folder: &Path) -> Deployment {
         self.launch.control_folder = Some(folder.to_owned());
         self
     }
 
-    /// Starts the processes with failing system calls, as `syscall_faults.c` describes them.
+    /// Injects system call faults into the processes, in the format described in `syscall_faults.c`.
     pub fn faults(mut self, faults: impl Into<String>) -> Deployment {
         self.launch.faults = Some(faults.into());
         self
     }
 
-    /// The text of the configuration.
+    /// Returns the configuration file as JSON text.
     pub fn config_text(&self) -> String {
         self.config.to_string()
     }
 
-    /// How its processes are started.
+    /// Returns the launch options of the processes.
     pub fn launch(&self) -> &Launch {
         &self.launch
     }
 
-    /// Starts a gateway and waits until it listens.
+    /// Starts a gateway process and waits until it accepts clients.
     pub fn start(&self) -> GatewayProcess {
         GatewayProcess::start(&self.config_text(), &self.launch)
     }
--- a/crates/gateway/tests/loopback/rig/discovery_agent.rs
+++ b/crates/gateway/tests/loopback/rig/discovery_agent.rs
@@ -1,4 +1,4 @@
-//! A scripted discovery agent: it serves a versioned endpoint list and watches of its changes.
+//! A scripted discovery agent that serves a versioned endpoint list and watches of its changes.
 
 use super::endpoint::Endpoint;
 use super::message::read_message;
@@ -10,54 +10,53 @@
 use std::thread;
 use std::time::Duration;
 
-/// By how much the list's version rises when a fully new list replaces it: more than one, so that a watch of the version
-/// before gets a snapshot.
+/// The increase of the list's version when [`DiscoveryAgent::recover`] replaces the whole list; greater than
+/// one, so that a watch from the previous version gets a snapshot.
 const SNAPSHOT_INDEX_STEP: u64 = 10;
 
-/// What an agent does with a call instead of answering it.
+/// A fault that an agent injects instead of answering a call.
 #[derive(Clone, PartialEq)]
 pub enum WatchFault {
-    /// Leaves the open call unanswered for ever.
+    /// Never answers the open call.
     Unanswered,
-    /// Leaves all calls unanswered until [`DiscoveryAgent::restore`].
+    /// Answers no call until [`DiscoveryAgent::restore`].
     Down,
     /// Closes the connection of the open call.
     CloseConnection,
     /// Closes the connection of the open call after a delay.
     CloseConnectionAfter(Duration),
-    /// Answers the open call with this text alone.
+    /// Writes this text unchanged as the answer to the open call.
     RawResponse(String),
 }
 
-/// The list and the state of its service.
+/// The endpoint list, the injected faults and the calls received.
 #[derive(Default)]
 struct AgentState {
     /// The version of the list.
     index: u64,
-    /// The endpoints.
     endpoints: Vec<Endpoint>,
-    /// What the last version changed.
+    /// The endpoints that changed in the current version.
     last_change: Vec<Endpoint>,
-    /// Whether all calls are answered with an error.
+    /// Whether all calls are answered with status 500.
     failing: bool,
-    /// What happens to the next call.
+    /// The fault injected into the next call.
     fault: Option<WatchFault>,
-    /// The paths of all calls so far.
+    /// The paths of all calls received.
     calls: Vec<String>,
 }
 
-/// How the agent ends a call.
+/// How the agent handles a call.
 enum Outcome {
     /// Writes this text.
     Respond(String),
-    /// Writes nothing and closes the connection after a delay.
+    /// Closes the connection after a delay without writing anything.
     CloseAfter(Duration),
-    /// Writes nothing until the caller closes the connection.
+    /// Writes nothing and waits until the caller closes the connection.
     Hang,
 }
 
 impl AgentState {
-    /// The answer to a call that knows the list of a version, or none.
+    /// Returns the answer to a call: a delta if the caller has the previous version, else a snapshot.
     fn response(&self, known_index: Option<u64>) -> String {
         let mut status = "200 OK";
         let body = match known_index {
@@ -72,12 +71,12 @@
         format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
     }
 
-    /// A list message of the current version.
+    /// Returns a list message of the current version.
     fn list(&self, snapshot: bool, endpoints: &[Endpoint]) -> Value {
         json!({"index": self.index, "snapshot": snapshot, "endpoints": endpoints})
     }
 
-    /// Takes the fault of the next call; an agent that is down stays so.
+    /// Takes the fault for the next call; [`WatchFault::Down`] persists.
     fn take_fault(&mut self) -> Option<WatchFault> {
         if self.fault == Some(WatchFault::Down) {
             return self.fault.clone();
@@ -85,29 +84,29 @@
         self.fault.take()
     }
 
-    /// Whether a call has asked for what follows the version of the list.
+    /// Returns whether a call has requested a watch from this version of the list.
     fn is_watched_from(&self, index: u64) -> bool {
         let watch = format!("index={index}&");
         self.calls.iter().any(|call| call.contains(&watch))
     }
 
-    /// Whether a call has asked for the full list.
+    /// Returns whether a call has requested the full list.
     fn snapshot_requested(&self) -> bool {
         self.calls.iter().any(|call| !call.contains("index="))
     }
 }
 
-/// A handle on a scripted discovery agent, which serves for as long as the test program runs.
+/// A handle to a scripted discovery agent, whose threads serve until the test program exits.
 #[derive(Clone)]
 pub struct DiscoveryAgent {
-    /// Where it listens.
+    /// The address on which the agent listens.
     pub address: SocketAddr,
-    /// The list, and the signal that something has changed.
+    /// The state, and the condition variable that is notified of each change.
     state: Arc<(Mutex<AgentState>, Condvar)>,
 }
 
 impl DiscoveryAgent {
-    /// Starts an agent with these endpoints.
+    /// Starts an agent whose list has these endpoints.
     pub fn start(endpoints: Vec<Endpoint>) -> DiscoveryAgent {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -142,7 +141,8 @@
         }
     }
 
-    /// Records a call and waits, if it is a watch, until there is something to answer or a fault to show.
+    /// Records a call and returns how to handle it. A watch waits for a change of the list or an injected
+    /// fault.
     fn outcome(&self, path: String) -> Outcome {
         let known_index = known_index(&path);
         let (lock, changed) = &*self.state;
@@ -164,37 +164,37 @@
         }
     }
 
-    /// Waits until a condition holds; `awaited` names what the gateway should have asked for.
+    /// Waits until a condition holds; `awaited` describes the expected call in the message of a failure.
     fn wait_until(&self, awaited: &str, condition: impl Fn(&AgentState) -> bool) {
         let (lock, changed) = &*self.state;
         let state = lock.lock().unwrap();
         let (_state, wait) =
             changed.wait_timeout_while(state, EVENT_TIMEOUT, |state| !condition(state)).unwrap();
-        assert!(!wait.timed_out(), "discovery was never asked {awaited}");
+        assert!(!wait.timed_out(), "the discovery agent did not receive {awaited}");
     }
 
-    /// Changes the state and wakes all calls that wait.
+    /// Changes the state and wakes all waiting threads.
     fn update<R>(&self, change: impl FnOnce(&mut AgentState) -> R) -> R {
         let result = change(&mut self.state.0.lock().unwrap());
         self.state.1.notify_all();
         result
     }
 
-    /// Waits until the gateway has asked for the full list and watches from there.
+    /// Waits until the gateway has requested the full list and then a watch.
     pub fn wait_until_watched(&self) {
-        self.wait_until("for the full list", |state| {
+        self.wait_until("a call for the full list first", |state| {
             state.calls.first().is_some_and(|call| !call.contains("index="))
         });
-        self.wait_until("for what follows", |state| state.calls.iter().any(|call| call.contains("index=")));
+        self.wait_until("a watch", |state| state.calls.iter().any(|call| call.contains("index=")));
     }
 
-    /// Publishes changed endpoints as the next version and waits until the gateway watches from there.
+    /// Publishes changed endpoints as the next version and waits until the gateway watches from it.
     pub fn publish(&self, changed: Vec<Endpoint>) {
         self.publish_and(changed, || {});
     }
 
-    /// As [`DiscoveryAgent::publish`], and calls a function at the moment in which the list changes: before that no call
-    /// is answered with the new list.
+    /// Publishes like [`DiscoveryAgent::publish`], and calls `record` under the lock right before the list
+    /// changes, so that no call is answered with the new list before `record` has run.
     pub fn publish_and(&self, changed: Vec<Endpoint>, record: impl FnOnce()) {
         let index = self.update(|state| {
             record();
@@ -204,41 +204,44 @@
             state.last_change = changed;
             state.index
         });
-        self.wait_until("for what follows a change", |state| state.is_watched_from(index));
+        self.wait_until("a watch from the published version", |state| state.is_watched_from(index));
     }
 
-    /// Shows a fault to the open call, or the next one, and waits until that has happened.
+    /// Injects a fault into the open call, or else the next one, and waits until a call has taken it.
     pub fn inject(&self, fault: WatchFault) {
         self.update(|state| state.fault = Some(fault));
-        self.wait_until("anything", |state| state.fault.is_none() || state.fault == Some(WatchFault::Down));
+        self.wait_until("a call for the injected fault", |state| {
+            state.fault.is_none() || state.fault == Some(WatchFault::Down)
+        });
     }
 
-    /// Waits for a number of further calls.
+    /// Waits for `count` further calls.
     pub fn wait_for_calls(&self, count: usize) {
         let before = self.state.0.lock().unwrap().calls.len();
-        self.wait_until("again", |state| state.calls.len() >= before + count);
+        self.wait_until("the further calls", |state| state.calls.len() >= before + count);
     }
 
-    /// Answers calls again after [`WatchFault::Down`].
+    /// Resumes answering calls after [`WatchFault::Down`].
     pub fn restore(&self) {
         self.update(|state| state.fault = None);
     }
 
-    /// Answers with errors until [`DiscoveryAgent::recover`]; waits until the gateway has retried.
+    /// Answers calls with errors until [`DiscoveryAgent::recover`]; waits for two further calls, so that the
+    /// gateway has retried.
     pub fn fail(&self) {
         let calls = self.update(|state| {
             state.failing = true;
             state.calls.len()
         });
-        self.wait_until("again after an error", |state| state.calls.len() > calls + 1);
+        self.wait_until("a retry after an error", |state| state.calls.len() > calls + 1);
     }
 
-    /// Whether the gateway has ever asked for the full list.
+    /// Returns whether the gateway has ever requested the full list.
     pub fn snapshot_requested(&self) -> bool {
         self.state.0.lock().unwrap().snapshot_requested()
     }
 
-    /// Answers again, with a new list; waits until the gateway watches from there.
+    /// Resumes answering calls, with a new list; waits until the gateway watches from its version.
     pub fn recover(&self, endpoints: Vec<Endpoint>) {
         let index = self.update(|state| {
             state.failing = false;
@@ -246,11 +249,11 @@
             state.endpoints = endpoints;
             state.index
         });
-        self.wait_until("for what follows the new list", |state| state.is_watched_from(index));
+        self.wait_until("a watch from the new list", |state| state.is_watched_from(index));
     }
 }
 
-/// The version of the list that a call says it knows.
+/// Returns the list version that a call states in its query; `None` for a call for the full list.
 fn known_index(path: &str) -> Option<u64> {
     let (_, query) = path.split_once("index=")?;
     query.split('&').next()?.parse().ok()
--- a/crates/gateway/tests/loopback/rig/endpoint.rs
+++ b/crates/gateway/tests/loopback/rig/endpoint.rs
@@ -1,4 +1,4 @@
-//! Entries of the endpoint list as discovery and the configuration write them.
+//! Entries of the endpoint list in the JSON form of discovery and the configuration.
 
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -9,43 +9,43 @@
 /// The other zone of the deployment.
 pub const REMOTE_ZONE: &str = "room-b";
 
-/// Whether an endpoint takes requests.
+/// The availability of an endpoint.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EndpointStatus {
-    /// It takes requests.
+    /// The endpoint takes requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The endpoint finishes the requests it has and takes no new ones.
     Draining,
-    /// It has left.
-    Gone,
+    /// The endpoint has been removed from the list.
+    #[serde(rename = "gone")]
+    Removed,
 }
 
-/// An endpoint in the form of the wire.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, Serialize)]
 pub struct Endpoint {
-    /// Its name, by which a change finds the previous entry.
+    /// The unique name by which a change replaces the previous entry.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// The zone it is in.
+    /// The zone in which the endpoint runs.
     pub zone: &'static str,
-    /// The kind of endpoint.
     #[serde(rename = "type")]
     kind: &'static str,
-    /// The service it belongs to.
+    /// The service to which the endpoint belongs.
     group: u32,
-    /// Whether it takes requests.
+    /// The availability for new requests.
     pub status: EndpointStatus,
-    /// Its share of the load relative to others.
+    /// The share of the load relative to other endpoints.
     weight: f64,
-    /// When its process started, in milliseconds since the epoch.
+    /// The start time of the endpoint's process, in milliseconds since the epoch.
     #[serde(rename = "since_ms")]
     started_at_ms: u64,
 }
 
 impl Endpoint {
-    /// An endpoint in the gateway's own zone that takes requests.
+    /// Creates an endpoint in the gateway's own zone that takes requests.
     pub fn ready(name: impl Into<String>, address: SocketAddr) -> Endpoint {
         Endpoint {
             name: name.into(),
@@ -59,22 +59,22 @@
         }
     }
 
-    /// An endpoint in the gateway's own zone that is shutting down.
+    /// Creates an endpoint in the gateway's own zone that takes no new requests.
     pub fn draining(name: impl Into<String>, address: SocketAddr) -> Endpoint {
         Endpoint::ready(name, address).with_status(EndpointStatus::Draining)
     }
 
-    /// The same endpoint with another status.
+    /// Returns the endpoint with another status.
     pub fn with_status(self, status: EndpointStatus) -> Endpoint {
         Endpoint { status, ..self }
     }
 
-    /// The same endpoint in another zone.
+    /// Returns the endpoint in another zone.
     pub fn in_zone(self, zone: &'static str) -> Endpoint {
         Endpoint { zone, ..self }
     }
 
-    /// The same endpoint, started at a time since the epoch.
+    /// Returns the endpoint with this start time of its process.
     pub fn started_at(self, since_epoch: Duration) -> Endpoint {
         Endpoint { started_at_ms: since_epoch.as_millis() as u64, ..self }
     }
--- a/crates/gateway/tests/loopback/rig/fault_library.rs
+++ b/crates/gateway/tests/loopback/rig/fault_library.rs
@@ -1,16 +1,18 @@
-//! Builds the preloaded library `syscall_faults.c`, which makes the gateway's system calls fail, once for each run of the
-//! tests. It is written in C, which the linker's compiler builds anyway, so that the workspace stays without unsafe code.
+//! Builds the preloaded library `syscall_faults.c`, which makes system calls of the gateway fail, once per
+//! run of the test program. The library is written in C to keep the workspace free of unsafe code; the C
+//! compiler is needed for linking anyway.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// Faults that the whole test program runs under, in the form of [`SPECIFICATION`].
-pub const ALL_TESTS: &str = "GREBEHOOK_TEST_FAULTS";
-/// What the library reads: `key=number` pairs, described in `syscall_faults.c`.
-pub const SPECIFICATION: &str = "SYSCALL_FAULTS";
+/// The environment variable of the test program with the faults of all tests that set none of their own, in
+/// the format of [`FAULTS_VARIABLE`].
+pub const DEFAULT_FAULTS_VARIABLE: &str = "GREBEHOOK_TEST_FAULTS";
+/// The environment variable that the library reads: `key=number` pairs, described in `syscall_faults.c`.
+pub const FAULTS_VARIABLE: &str = "SYSCALL_FAULTS";
 
-/// The path of the library, which the first call builds.
+/// Returns the path of the library; the first call builds it.
 pub fn path() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -23,7 +25,7 @@
             .args([&library, &source])
             .arg("-ldl")
             .status()
-            .expect("no C compiler");
+            .expect("cannot run the C compiler");
         assert!(built.success(), "the fault library does not compile");
         library
     })
--- a/crates/gateway/tests/loopback/rig/files.rs
+++ b/crates/gateway/tests/loopback/rig/files.rs
@@ -1,18 +1,18 @@
-//! Files and folders of the gateway processes under test.
+//! Configuration files and temporary folders of the gateway processes under test.
 
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Numbers the files and folders of this test program.
+/// The number in the next unique name of a file or folder.
 static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
 
-/// A name that no other file of a test has.
+/// Returns a name that is unique among the files and folders of the running test programs.
 fn unique_name() -> String {
     format!("grebehook-{}-{}", std::process::id(), NEXT_NUMBER.fetch_add(1, Ordering::SeqCst))
 }
 
-/// Writes a configuration to a new file.
+/// Writes a configuration to a new file and returns the file's path.
 pub fn write_config(text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(unique_name()).with_extension("json");
     std::fs::write(&path, text).unwrap();
@@ -23,8 +23,8 @@
 pub struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
-    /// Creates a folder. A test program that was killed may have left one of the same name, if this process has got
-    /// its process number.
+    /// Creates a folder under a name that does not exist yet. A killed test program that had the same process
+    /// id may have left folders behind.
     pub fn create() -> TemporaryFolder {
         loop {
             let path = std::env::temp_dir().join(unique_name());
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Where it is.
+    /// Returns the path of the folder.
     pub fn path(&self) -> &Path {
         &self.0
     }
--- a/crates/gateway/tests/loopback/rig/gate.rs
+++ b/crates/gateway/tests/loopback/rig/gate.rs
@@ -1,29 +1,29 @@
-//! Holds a scripted server's reply until a test releases it.
+//! A gate that holds the replies of a scripted server until a test releases them.
 
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Mutex;
 
-/// Releases replies, one at a time.
+/// The test's side of a gate, which releases replies one at a time.
 pub struct Gate(Sender<()>);
 
-/// Waits for releases, in the server's script.
+/// The server's side of a gate, which waits for releases.
 pub struct GateWaiter(Mutex<Receiver<()>>);
 
 impl Gate {
-    /// A closed gate and the side that waits for it.
+    /// Creates both sides of a closed gate.
     pub fn new() -> (Gate, GateWaiter) {
         let (sender, receiver) = channel();
         (Gate(sender), GateWaiter(Mutex::new(receiver)))
     }
 
-    /// Lets one waiting reply, or the next, go on.
+    /// Releases one waiting reply, or the next one if none waits.
     pub fn release_one(&self) {
         self.0.send(()).unwrap();
     }
 }
 
 impl GateWaiter {
-    /// Waits for a release.
+    /// Blocks until the test releases a reply.
     pub fn wait(&self) {
         self.0.lock().unwrap().recv().unwrap();
     }
--- a/crates/gateway/tests/loopback/rig/gateway_process.rs
+++ b/crates/gateway/tests/loopback/rig/gateway_process.rs
@@ -1,4 +1,4 @@
-//! A gateway process: its log, its signals, and what the system says of it.
+//! A gateway process: its log, its signals, and its state in `/proc`.
 
 use super::client::Client;
 use super::deployment::Deployment;
@@ -15,25 +15,24 @@
 use std::thread;
 use std::time::Instant;
 
-/// Linux's code in `/proc/net/tcp` for a connection whose remote side has sent its end and whose local side is open.
+/// The code in Linux's `/proc/net/tcp` for a connection that the remote side has closed and the local side
+/// has not.
 const CLOSE_WAIT: &str = "08";
-/// The fields of `/proc/PID/stat` for user and system time, counted from the process state.
+/// The fields of `/proc/PID/stat` for user and system time, counted from the process state as field 0.
 const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
 
 /// A running gateway, killed when dropped.
 pub struct GatewayProcess {
-    /// The process.
     child: Child,
-    /// Its configuration file.
     config_file: PathBuf,
-    /// Lines of its log that no test has read yet.
+    /// The log lines that no test has read yet.
     log_lines: Receiver<String>,
-    /// Where clients connect.
+    /// The address on which the gateway accepts clients.
     pub address: SocketAddr,
 }
 
 impl GatewayProcess {
-    /// Starts a gateway and waits until it listens.
+    /// Starts a gateway process and waits until it accepts clients.
     pub fn start(config: &str, launch: &Launch) -> GatewayProcess {
         let config_file = write_config(config);
         let mut child = launch.spawn(&config_file);
@@ -51,28 +50,30 @@
         gateway
     }
 
-    /// Starts a gateway with the usual configuration before one server.
+    /// Starts a gateway with the default configuration and one server.
     pub fn in_front_of(server: &Server) -> GatewayProcess {
         Deployment::with_server(server).start()
     }
 
-    /// Waits for a line of the log with this text.
+    /// Waits for a log line that contains this text, and returns the line; skips the lines before it.
     pub fn wait_for_log(&self, text: &str) -> String {
         loop {
             let line = self.log_lines.recv_timeout(EVENT_TIMEOUT);
-            let line = line.unwrap_or_else(|error| panic!("no '{text}' in the log: {error}"));
+            let line =
+                line.unwrap_or_else(|error| panic!("no log line of the gateway contains '{text}': {error}"));
             if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// Waits for a line of the log with this text and an address at its end.
+    /// Waits for a log line that contains this text, and returns the address at the end of the line.
     fn wait_for_logged_address(&self, text: &str) -> SocketAddr {
         self.wait_for_log(text).trim().rsplit('=').next().unwrap().parse().unwrap()
     }
 
-    /// Where operators call, if the configuration has them answered.
+    /// Waits for the log line with the address of the operator interface, which the configuration must
+    /// enable.
     pub fn operator_address(&self) -> SocketAddr {
         self.wait_for_logged_address("answering operators")
     }
@@ -83,35 +84,36 @@
         self.signal("-HUP");
     }
 
-    /// Replaces the configuration file atomically without a signal.
+    /// Replaces the configuration file atomically without sending a signal.
     pub fn replace_config_file(&self, config: &str) {
         std::fs::rename(write_config(config), &self.config_file).unwrap();
     }
 
-    /// A new client connection.
+    /// Opens a client connection.
     pub fn connect(&self) -> Client {
-        Client::connect(self.address).expect("the gateway accepts no connection")
+        Client::connect(self.address).expect("cannot connect to the gateway")
     }
 
-    /// Waits until the gateway has read what was sent before: it answers a request on a new connection then.
+    /// Waits until the gateway has read all data sent before this call, by which time it answers a request on
+    /// a new connection.
     pub fn wait_until_input_read(&self) {
         assert_eq!(self.connect().call(UNKNOWN_PATH).status(), 400);
     }
 
-    /// Processor time used, in the system's ticks of 10 ms.
+    /// Returns the processor time used by the process, in system ticks of 10 ms.
     pub fn cpu_ticks(&self) -> u64 {
         let stat = self.stat_fields();
         CPU_TIME_FIELDS.iter().map(|&field| stat[field].parse::<u64>().unwrap()).sum()
     }
 
-    /// Resident memory in KiB.
+    /// Returns the resident memory of the process in KiB.
     pub fn resident_kib(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
         line.split_whitespace().next().unwrap().parse().unwrap()
     }
 
-    /// Sends SIGTERM.
+    /// Sends SIGTERM, which starts a graceful shutdown.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
@@ -121,7 +123,8 @@
         self.signal("-INT");
     }
 
-    /// Stops the process until [`GatewayProcess::resume`], and waits until it has stopped.
+    /// Suspends the process with SIGSTOP until [`GatewayProcess::resume`]; returns once the process has
+    /// stopped.
     pub fn pause(&self) {
         self.signal("-STOP");
         while self.state() != "T" {
@@ -129,22 +132,21 @@
         }
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process with SIGCONT.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Sends a signal.
     fn signal(&self, name: &str) {
         send_signal(&self.child, name);
     }
 
-    /// Whether the process has exited.
+    /// Returns whether the process has exited and is a zombie.
     pub fn has_exited(&self) -> bool {
         self.state() == "Z"
     }
 
-    /// Kills the process, unless it has already exited, and then with success.
+    /// Kills the process unless it has already exited; panics if it has exited with an error.
     pub fn kill_unless_exited(mut self) {
         match self.child.try_wait().unwrap() {
             Some(status) => assert!(status.success(), "the gateway exited with {status}"),
@@ -152,34 +154,35 @@
         }
     }
 
-    /// Kills the process.
+    /// Kills the process with SIGKILL.
     pub fn kill(mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Waits until the process exits.
+    /// Waits until the process exits, and returns its exit status.
     pub fn wait(mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
 
-    /// Waits until the process exits with success, and returns the lines of its log that no test has read yet.
+    /// Waits until the process exits, and returns the log lines that no test has read yet; panics if it exits
+    /// with an error.
     pub fn log_until_exit(&mut self) -> Vec<String> {
         assert!(self.child.wait().unwrap().success());
         self.log_lines.iter().collect()
     }
 
-    /// Waits until the ends of this many client connections have arrived while the gateway's side is still open: a
-    /// busy machine delivers what was sent over loopback some time later.
-    pub fn wait_for_client_ends(&self, count: usize) {
+    /// Waits until at least `count` client connections are closed by the client but not yet by the gateway: a
+    /// busy machine delivers data and the end of a connection over loopback with a delay.
+    pub fn wait_for_half_closed_connections(&self, count: usize) {
         let deadline = Instant::now() + EVENT_TIMEOUT;
         while self.connections_in(CLOSE_WAIT) < count {
-            assert!(Instant::now() < deadline, "the ends of {count} clients did not arrive");
+            assert!(Instant::now() < deadline, "fewer than {count} connections became half-closed");
             thread::yield_now();
         }
     }
 
-    /// The number of connections at its address in a state of `/proc/net/tcp`.
+    /// Returns the number of connections at the gateway's port in a state of `/proc/net/tcp`.
     fn connections_in(&self, state: &str) -> usize {
         let port = format!(":{:04X}", self.address.port());
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
@@ -187,12 +190,12 @@
         rows.filter(|row| row.len() > 3 && row[1].ends_with(&port) && row[3] == state).count()
     }
 
-    /// The state letter of the process in `/proc/PID/stat`.
+    /// Returns the state letter of the process in `/proc/PID/stat`.
     fn state(&self) -> String {
         self.stat_fields().swap_remove(0)
     }
 
-    /// The fields of `/proc/PID/stat` from the process state on.
+    /// Returns the fields of `/proc/PID/stat` from the process state on.
     fn stat_fields(&self) -> Vec<String> {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let (_, fields) = text.rsplit_once(')').unwrap();
--- a/crates/gateway/tests/loopback/rig/launch.rs
+++ b/crates/gateway/tests/loopback/rig/launch.rs
@@ -1,36 +1,37 @@
-//! Starts the gateway program with a configuration file, a descriptor limit and failing system calls.
+//! Starts the gateway program with a configuration file, a descriptor limit and injected system call faults.
 
 use super::fault_library;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// How a process is started.
+/// The launch options of a gateway process.
 #[derive(Clone)]
 pub struct Launch {
-    /// The process's limit of open descriptors.
-    pub descriptors: u32,
-    /// The folder for the process's control socket; the system's one if none is given.
+    /// The maximum number of open descriptors, set with `ulimit`.
+    pub descriptor_limit: u32,
+    /// The folder for the control socket; the system's default folder if `None`.
     pub control_folder: Option<PathBuf>,
-    /// The system calls that fail; those of [`fault_library::ALL_TESTS`] if none are given.
+    /// The system call faults; those of [`fault_library::DEFAULT_FAULTS_VARIABLE`] if `None`.
     pub faults: Option<String>,
 }
 
 impl Default for Launch {
     fn default() -> Launch {
-        Launch { descriptors: 1_024, control_folder: None, faults: None }
+        Launch { descriptor_limit: 1_024, control_folder: None, faults: None }
     }
 }
 
 impl Launch {
-    /// Starts the program with its error output piped.
+    /// Starts the gateway program with its standard error piped.
     pub fn spawn(&self, config_file: &Path) -> Child {
         let program = env!("CARGO_BIN_EXE_grebehook");
         let mut command = Command::new("/bin/sh");
-        command.args(["-c", &format!("ulimit -n {}; exec {program}", self.descriptors)]);
+        command.args(["-c", &format!("ulimit -n {}; exec {program}", self.descriptor_limit)]);
         command.env_remove("TMPDIR").envs(self.control_folder.as_ref().map(|folder| ("TMPDIR", folder)));
-        let faults = self.faults.clone().or_else(|| std::env::var(fault_library::ALL_TESTS).ok());
+        let faults =
+            self.faults.clone().or_else(|| std::env::var(fault_library::DEFAULT_FAULTS_VARIABLE).ok());
         if let Some(faults) = faults {
-            command.env(fault_library::SPECIFICATION, faults).env("LD_PRELOAD", fault_library::path());
+            command.env(fault_library::FAULTS_VARIABLE, faults).env("LD_PRELOAD", fault_library::path());
         }
         command.env("GW_CONFIG", config_file).stderr(Stdio::piped()).spawn().unwrap()
     }
--- a/crates/gateway/tests/loopback/rig/message.rs
+++ b/crates/gateway/tests/loopback/rig/message.rs
@@ -1,4 +1,4 @@
-//! HTTP messages as clients, servers and the discovery agent read them.
+//! Reading of HTTP messages by the scripted clients, servers and discovery agent.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read};
@@ -9,32 +9,32 @@
 pub struct Message {
     /// The request line or status line.
     pub start_line: String,
-    /// Header values by name in lower case.
+    /// The header values, keyed by the lower-case header name.
     pub headers: HashMap<String, String>,
-    /// The body, as far as it arrived; empty for a chunked one.
+    /// The received part of the body; empty if the body is chunked.
     pub body: Vec<u8>,
-    /// Whether the body has the announced length.
+    /// Whether the body has the length stated in `Content-Length`.
     pub complete: bool,
 }
 
 impl Message {
-    /// The value of a header, empty if there is none.
+    /// Returns the value of a header, or an empty string if the header is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// How long the client of a request waits, in milliseconds.
+    /// Returns the client timeout of a request in milliseconds.
     pub fn client_timeout_ms(&self) -> Option<u64> {
         self.header("x-budget-ms").parse().ok()
     }
 
-    /// The status code of a response, 0 if its status line is malformed.
+    /// Returns the status code of a response, or 0 if the status line is malformed.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
     }
 }
 
-/// Reads one message; `None` if the connection ended before its head did.
+/// Reads one message; returns `None` if the connection ends before the message's head does.
 pub fn read_message(stream: &mut BufReader<impl Read>) -> Option<Message> {
     let mut message = Message::default();
     while message.start_line.is_empty() {
@@ -49,14 +49,15 @@
     Some(message)
 }
 
-/// Reads one line of a head without its end; `None` if the connection ended before the line did.
+/// Reads one line of a head without its line break; returns `None` if the connection ends before the line
+/// does.
 fn read_line(stream: &mut BufReader<impl Read>) -> Option<String> {
     let mut line = String::new();
     stream.read_line(&mut line).ok()?;
     line.ends_with('\n').then(|| line.trim_end().to_owned())
 }
 
-/// Reads the head of a message byte by byte, so that no byte of its body is consumed.
+/// Reads the head of a message byte by byte, so that no byte of the body is consumed.
 pub fn read_head(stream: &mut TcpStream) -> String {
     let mut head = Vec::new();
     let mut byte = [0];
--- a/crates/gateway/tests/loopback/rig/mod.rs
+++ b/crates/gateway/tests/loopback/rig/mod.rs
@@ -1,7 +1,9 @@
-//! The gateway as a process and its scripted peers, all on loopback ports that the system picks.
+//! The test rig: the gateway as a process and its scripted clients, servers and discovery agent, all on
+//! loopback ports that the system picks.
 //!
 //! A [`Deployment`](deployment::Deployment) holds a configuration and a discovery agent and starts
-//! [`GatewayProcess`](gateway_process::GatewayProcess)es from them. Tests wait for events, not for time to pass.
+//! [`GatewayProcess`](gateway_process::GatewayProcess)es from them. Tests wait for events instead of fixed
+//! times.
 
 pub mod client;
 pub mod deployment;
@@ -21,5 +23,5 @@
 
 use std::time::Duration;
 
-/// How long a peer waits for an expected event; only a failing test waits so long.
+/// The time after which an expected event counts as missing; only a failing test waits this long.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/gateway/tests/loopback/rig/request.rs
+++ b/crates/gateway/tests/loopback/rig/request.rs
@@ -1,23 +1,23 @@
-//! The requests that clients send.
+//! The texts of requests that test clients send.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The health check of load balancers, answered without a server.
+/// The health check of a load balancer, which the gateway answers itself.
 pub const HEALTH_CHECK: &str = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
-/// A request that is answered with 400 without a server.
+/// A request that the gateway answers itself with 400.
 pub const UNKNOWN_PATH: &str = "GET /other HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// The client time-out of requests, unless a test changes it.
+/// The client timeout of requests, unless a test changes it.
 const DEFAULT_TIMEOUT_HEADER: &str = "X-Budget-Ms: 1900";
 /// The customer of requests, unless a test changes it.
 const DEFAULT_CUSTOMER: &str = "00000000b4d65521";
 
-/// Numbers the requests of this test program.
-static NEXT_REQUEST: AtomicUsize = AtomicUsize::new(0);
+/// The id of the next request of this test program.
+static NEXT_REQUEST_ID: AtomicUsize = AtomicUsize::new(0);
 
-/// The headers that all requests have.
+/// Returns the headers that all requests have, with a new request id.
 fn common_headers(class: &str) -> String {
-    let id = NEXT_REQUEST.fetch_add(1, Ordering::SeqCst);
+    let id = NEXT_REQUEST_ID.fetch_add(1, Ordering::SeqCst);
     format!(
         "X-Call-Id: {id:016x}\r\nX-Call-Class: {class}\r\nApi-Plan: basico\r\n\
          Api-Customer: {DEFAULT_CUSTOMER}\r\n{DEFAULT_TIMEOUT_HEADER}\r\n\
@@ -25,26 +25,26 @@
     )
 }
 
-/// A request that is safe to retry.
+/// Returns a request that is safe to retry.
 pub fn idempotent_request() -> String {
     format!("GET /api?claim=7 HTTP/1.1\r\n{}\r\n", common_headers("claim-status"))
 }
 
-/// A request with an idempotency key.
+/// Returns a request with an idempotency key.
 pub fn keyed_request(body: &str) -> String {
     let common = common_headers("loss-notice");
     let length = body.len();
     format!("POST /api HTTP/1.1\r\n{common}Idempotency-Key: k1\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// A request that must never run twice.
+/// Returns a request that must never run twice.
 pub fn non_idempotent_request(body: &str) -> String {
     let common = common_headers("payout");
     let length = body.len();
     format!("POST /api HTTP/1.1\r\n{common}Content-Length: {length}\r\n\r\n{body}")
 }
 
-/// Changes how long the client of a request waits.
+/// Returns the request with another client timeout.
 pub fn with_client_timeout(request: &str, timeout_ms: u64) -> String {
     request.replace(DEFAULT_TIMEOUT_HEADER, &format!("X-Budget-Ms: {timeout_ms}"))
 }
@@ -54,7 +54,7 @@
     request.replace(DEFAULT_CUSTOMER, &format!("{customer:016x}"))
 }
 
-/// Changes the header of a request without a body that says how long its body is.
+/// Returns a request without a body with another header line in place of `Content-Length: 0`.
 pub fn with_framing(request: &str, framing: &str) -> String {
     request.replace("Content-Length: 0", framing)
 }
--- a/crates/gateway/tests/loopback/rig/server.rs
+++ b/crates/gateway/tests/loopback/rig/server.rs
@@ -1,4 +1,4 @@
-//! Scripted servers behind the gateway; the shared counter is one of them.
+//! Scripted HTTP servers, which act as the servers behind the gateway and as the shared counter.
 
 use super::message::{read_message, Message};
 use super::EVENT_TIMEOUT;
@@ -11,45 +11,43 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a server does with a request.
+/// The scripted reaction of a server to a request.
 pub enum Reply {
     /// Sends a response with a body.
     Response {
-        /// The status code and reason, and further header lines.
+        /// The status code, the reason phrase and any further header lines.
         head: &'static str,
-        /// The body.
         body: Vec<u8>,
     },
-    /// Writes this text as it is.
+    /// Writes this text unchanged.
     Raw(String),
-    /// Writes this text twice, unless a busy machine stretches the delay to more than double.
+    /// Writes this text twice, unless a busy machine stretches the delay to twice its length or more.
     RawTwice {
-        /// The text.
         text: String,
         /// The time between the two writes.
         delay: Duration,
     },
-    /// Writes this text and closes the connection.
+    /// Writes this text unchanged and closes the connection.
     RawThenClose(&'static str),
-    /// Sends a response, then closes the connection without having announced it.
+    /// Sends a response without `Connection: close`, then closes the connection.
     ResponseThenClose,
-    /// Writes nothing until the gateway closes the connection.
+    /// Writes nothing and waits until the gateway closes the connection.
     Hang,
 }
 
 impl Reply {
-    /// A successful response with this body.
+    /// Returns a response with status 200 and this body.
     pub fn ok(body: impl Into<Vec<u8>>) -> Reply {
         Reply::Response { head: "200 OK", body: body.into() }
     }
 
-    /// A response with a status, further header lines and no body.
+    /// Returns a response without a body; `head` has the status and any further header lines.
     pub fn empty(head: &'static str) -> Reply {
         Reply::Response { head, body: Vec::new() }
     }
 }
 
-/// What a server observed.
+/// An event that a server observed.
 #[derive(Debug)]
 pub enum ServerEvent {
     /// A request arrived.
@@ -58,40 +56,41 @@
     ConnectionClosed,
 }
 
-/// A scripted server.
+/// A scripted server, whose threads serve until the test program exits.
 pub struct Server {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// How many connections it has accepted.
+    /// The number of accepted connections.
     connections: Arc<AtomicUsize>,
-    /// What it observed and no test has read yet.
+    /// The events that no test has read yet.
     events: Receiver<ServerEvent>,
 }
 
-/// What the connections of one server share.
-struct Shared<S> {
-    /// Receives what is observed.
+/// State shared by the connections of one server.
+struct SharedState<S> {
+    /// The channel to [`Server::events`].
     events: Sender<ServerEvent>,
-    /// Requests received so far.
+    /// The number of requests received.
     requests: AtomicUsize,
-    /// Chooses the reply by the number of the request, from 0.
+    /// The function that maps the number of a request, counted from 0, to the reply.
     script: S,
 }
 
 impl Server {
-    /// Starts a server that replies to request 0, 1, ... as its script says.
+    /// Starts a server; `script` maps the number of a request, counted from 0 over all connections, to the
+    /// reply.
     pub fn start(script: impl Fn(usize) -> Reply + Send + Sync + 'static) -> Server {
         Server::start_on(TcpListener::bind("127.0.0.1:0").unwrap(), script)
     }
 
-    /// Starts a server on an existing listener.
+    /// Starts a server like [`Server::start`] on an existing listener.
     pub fn start_on(
         listener: TcpListener,
         script: impl Fn(usize) -> Reply + Send + Sync + 'static,
     ) -> Server {
         let address = listener.local_addr().unwrap();
         let (sender, events) = channel();
-        let shared = Arc::new(Shared { events: sender, requests: AtomicUsize::new(0), script });
+        let shared = Arc::new(SharedState { events: sender, requests: AtomicUsize::new(0), script });
         let connections = Arc::new(AtomicUsize::new(0));
         let accepted = connections.clone();
         thread::spawn(move || {
@@ -114,22 +113,22 @@
         Server::responding_with("done")
     }
 
-    /// Starts a server that never responds.
-    pub fn silent() -> Server {
+    /// Starts a server that accepts connections and never responds.
+    pub fn unresponsive() -> Server {
         Server::start(|_| Reply::Hang)
     }
 
-    /// How many connections it has accepted.
+    /// Returns the number of connections that the server has accepted.
     pub fn connection_count(&self) -> usize {
         self.connections.load(Ordering::SeqCst)
     }
 
     /// Waits for the next event.
     pub fn next_event(&self) -> ServerEvent {
-        self.events.recv_timeout(EVENT_TIMEOUT).expect("the server observed nothing")
+        self.events.recv_timeout(EVENT_TIMEOUT).expect("the server observed no further event")
     }
 
-    /// Waits for the next event, which must be a request.
+    /// Waits for the next event and returns its request; panics if a connection was closed instead.
     pub fn next_request(&self) -> Message {
         match self.next_event() {
             ServerEvent::Request(message) => message,
@@ -137,7 +136,7 @@
         }
     }
 
-    /// Waits for the next request, passing over closed connections.
+    /// Waits for the next request, ignoring closed connections.
     pub fn next_request_on_any_connection(&self) -> Message {
         loop {
             if let ServerEvent::Request(message) = self.next_event() {
@@ -146,21 +145,21 @@
         }
     }
 
-    /// Waits for the next event, which must be the end of a connection.
+    /// Waits for the next event; panics unless it is a closed connection.
     pub fn expect_connection_closed(&self) {
         let event = self.next_event();
         assert!(
             matches!(event, ServerEvent::ConnectionClosed),
-            "{event:?} where the end of a connection was expected"
+            "{event:?} where a closed connection was expected"
         );
     }
 
-    /// The events that no test has read yet.
+    /// Returns the events that no test has read yet, without waiting.
     pub fn unread_events(&self) -> Vec<ServerEvent> {
         self.events.try_iter().collect()
     }
 
-    /// The requests among the events that no test has read yet.
+    /// Returns the requests among the events that no test has read yet, without waiting.
     pub fn unread_requests(&self) -> Vec<Message> {
         let requests = self.events.try_iter().filter_map(|event| match event {
             ServerEvent::Request(message) => Some(message),
@@ -170,8 +169,8 @@
     }
 }
 
-impl<S: Fn(usize) -> Reply> Shared<S> {
-    /// Replies to the requests of one connection.
+impl<S: Fn(usize) -> Reply> SharedState<S> {
+    /// Serves the requests of one connection.
     fn serve(&self, stream: TcpStream) {
         stream.set_nodelay(true).unwrap();
         let mut writer = stream.try_clone().unwrap();
@@ -187,7 +186,8 @@
     }
 }
 
-/// Sends a reply; `Break` if the server closes the connection then. Write errors are ignored: the gateway may have closed the connection.
+/// Sends a reply; returns `Break` if the server is to close the connection afterwards. Write errors are
+/// ignored, as the gateway may have closed the connection.
 fn send_reply(reply: Reply, reader: &mut BufReader<TcpStream>, writer: &mut TcpStream) -> ControlFlow<()> {
     match reply {
         Reply::Response { head, body } => {
@@ -214,7 +214,7 @@
     ControlFlow::Continue(())
 }
 
-/// Writes a text, and once more after the delay if that took less than twice as long as asked.
+/// Writes a text, and again after `delay` unless the wait took twice that time or longer.
 fn write_twice(writer: &mut TcpStream, text: &str, delay: Duration) {
     let _ = writer.write_all(text.as_bytes());
     let first_write = Instant::now();
--- a/crates/gateway/tests/loopback/rig/timestamped_stream.rs
+++ b/crates/gateway/tests/loopback/rig/timestamped_stream.rs
@@ -1,4 +1,4 @@
-//! A connection that knows when the system received its data, however late the thread that reads it gets a core.
+//! A connection that reports when the kernel received its data, however late the reading thread is scheduled.
 
 use nix::cmsg_space;
 use nix::sys::socket::sockopt::ReceiveTimestampns;
@@ -9,26 +9,25 @@
 use std::os::fd::AsRawFd;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// An accepted connection.
+/// An accepted connection with kernel receive timestamps.
 pub struct TimestampedStream {
-    /// The connection.
     stream: TcpStream,
-    /// When the system received the data that was read last.
+    /// The time at which the kernel received the data that was read last.
     received_at: Instant,
 }
 
-/// Has the system record when it receives the data of connections to a listener.
-pub fn record_receive_times(listener: &TcpListener) {
+/// Enables kernel receive timestamps on the connections that a listener accepts.
+pub fn enable_receive_timestamps(listener: &TcpListener) {
     setsockopt(listener, ReceiveTimestampns, &true).unwrap();
 }
 
 impl TimestampedStream {
-    /// A connection to a listener of [`record_receive_times`].
+    /// Wraps a connection whose listener has passed through [`enable_receive_timestamps`].
     pub fn new(stream: TcpStream) -> TimestampedStream {
         TimestampedStream { stream, received_at: Instant::now() }
     }
 
-    /// When the system received the data that was read last.
+    /// Returns the time at which the kernel received the data that was read last.
     pub fn received_at(&self) -> Instant {
         self.received_at
     }
@@ -50,7 +49,7 @@
     }
 }
 
-/// How long ago a time of the wall clock was.
+/// Returns the time elapsed since a time of the wall clock.
 fn age(time: TimeSpec) -> Duration {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     since_epoch.saturating_sub(time.into())
--- a/crates/gateway/tests/loopback/rig/unreachable.rs
+++ b/crates/gateway/tests/loopback/rig/unreachable.rs
@@ -1,16 +1,15 @@
-//! A listener that accepts no connection until a test lets it.
+//! A listener whose connections stay in progress until a test makes it reachable.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// How long a connection attempt may take before the backlog counts as full.
+/// The duration of a connection attempt after which the backlog counts as full.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A listener whose backlog is full: connections to it stay in progress.
+/// A listener whose backlog is full, so that connections to it stay in progress.
 pub struct UnreachableListener {
-    /// The listener.
     listener: TcpListener,
-    /// The connections that fill its backlog.
+    /// The connections that fill the backlog.
     backlog: Vec<TcpStream>,
 }
 
@@ -24,12 +23,13 @@
         UnreachableListener { listener, backlog }
     }
 
-    /// Where it listens.
+    /// Returns the address on which the listener is bound.
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// Closes the connections that fill the backlog, so that others come up.
+    /// Closes the connections that fill the backlog, so that connections in progress can be established, and
+    /// returns the listener.
     pub fn make_reachable(self) -> TcpListener {
         drop(self.backlog);
         self.listener
--- a/crates/gateway/tests/loopback/servers.rs
+++ b/crates/gateway/tests/loopback/servers.rs
@@ -56,7 +56,7 @@
 /// The connection to a silent server is closed when the client's time is over, and the client gets its response in time.
 #[test]
 fn abandoned_attempt_closes_its_connection() {
-    let server = Server::silent();
+    let server = Server::unresponsive();
     let gateway = GatewayProcess::in_front_of(&server);
     let mut client = gateway.connect();
     let response = client.call(&with_client_timeout(&keyed_request("x"), 200));
@@ -250,7 +250,7 @@
 /// An idempotent request is retried before its client's time is over, and the silent attempt's connection is closed.
 #[test]
 fn silent_server_attempt_is_abandoned_in_time_for_a_retry() {
-    let silent = Server::silent();
+    let silent = Server::unresponsive();
     let other = Server::healthy();
     let gateway = Deployment::with_two_zones(silent.address, other.address).start();
     assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
--- a/crates/gateway/tests/loopback/soak/server.rs
+++ b/crates/gateway/tests/loopback/soak/server.rs
@@ -2,7 +2,7 @@
 
 use super::record::{Receipt, Record};
 use crate::rig::message::read_message;
-use crate::rig::timestamped_stream::{record_receive_times, TimestampedStream};
+use crate::rig::timestamped_stream::{enable_receive_timestamps, TimestampedStream};
 use fastrand::Rng;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -47,7 +47,7 @@
 /// Starts a server.
 pub fn start_server(number: usize, record: Arc<Record>, seed: u64) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    record_receive_times(&listener);
+    enable_receive_timestamps(&listener);
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         for (connection, stream) in listener.incoming().enumerate() {
