--- a/crates/gateway/tests/loopback/soak/checks.rs
+++ b/crates/gateway/tests/loopback/soak/checks.rs
@@ -1,42 +1,40 @@
-//! Checks what a run of the soak observed against the operators' terms.
+//! Checks of the observations of a soak run against the operators' requirements.
 
-use super::plan::{zone, Plan, CLASSES, DEDUPLICATION_WINDOW, HOLD};
-use super::record::{ClientRequest, Drain, Receipt, Record, RequestEnd};
+use super::plan::{zone, Plan, CLASSES, DEDUPLICATION_WINDOW, WRITE_DELAY};
+use super::record::{ClientRequest, Drain, ReceivedAttempt, Record, RequestOutcome};
 use crate::rig::deployment::{KEYED, NON_IDEMPOTENT};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How late after its client's timeout a response may come.
+/// The time after the client timeout by which a response must have arrived.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
-/// By how much the forwarded timeout may exceed the time left.
+/// The time by which the forwarded timeout may exceed the client's remaining time.
 const FORWARDED_TIMEOUT_GRACE: Duration = Duration::from_millis(150);
-/// How long after a drain was published an attempt may still start.
+/// The time after the publication of a drain during which an attempt may still start.
 const DRAIN_GRACE: Duration = Duration::from_millis(1_050);
-/// How long after its client disconnected an attempt may still start.
+/// The time after the client's disconnection during which an attempt may still start.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
-/// By how much every time limit is longer on sockets.
+/// The tolerance that is added to a time limit when it is measured on sockets.
 const SOCKET_GRACE: Duration = Duration::from_millis(50);
-/// By how much the rig may hold a write longer than the terms have it: its sleep ends late.
-const HOLD_OVERRUN: Duration = Duration::from_millis(50);
-/// What a busy machine may add to a time that a client's thread measures.
+/// The time by which a delayed write may exceed [`WRITE_DELAY`], as the sleep behind the delay ends late.
+const WRITE_DELAY_OVERRUN: Duration = Duration::from_millis(50);
+/// The time that a busy machine may add to a duration that a client thread measures.
 const MEASUREMENT_GRACE: Duration = Duration::from_millis(150);
 
-/// What a run observed, and what was drawn for it.
+/// The observations of a run and its random plan.
 struct Run<'a> {
-    /// What it observed.
     record: &'a Record,
-    /// What was drawn for it.
     plan: &'a Plan,
 }
 
-/// The violations of the terms in a run.
+/// Returns descriptions of the violations of the requirements in a run.
 pub fn violations(record: &Record, plan: &Plan) -> Vec<String> {
     let run = Run { record, plan };
     let requests = record.requests.lock().unwrap();
-    let receipts = record.receipts.lock().unwrap();
-    let mut by_request: HashMap<&str, Vec<&Receipt>> = HashMap::new();
-    for receipt in receipts.iter() {
-        by_request.entry(&receipt.request_id).or_default().push(receipt);
+    let all_attempts = record.attempts.lock().unwrap();
+    let mut by_request: HashMap<&str, Vec<&ReceivedAttempt>> = HashMap::new();
+    for attempt in all_attempts.iter() {
+        by_request.entry(&attempt.request_id).or_default().push(attempt);
     }
     let mut violations = Vec::new();
     for request in requests.iter() {
@@ -44,66 +42,72 @@
         let found = request_violations(request, &attempts, &run);
         if !found.is_empty() {
             violations.extend(found);
-            let connected = record.since_signal(request.connected_at);
-            let written = record.since_signal(request.written_at);
-            attempts.sort_by_key(|receipt| receipt.first_byte_at);
+            let connected = record.time_since_signal(request.connected_at);
+            let written = record.time_since_signal(request.written_at);
+            attempts.sort_by_key(|attempt| attempt.first_byte_at);
             violations.push(format!(
                 "  {request:?}, connected {connected:?} and written {written:?} after the signal to stop, \
                  attempts {attempts:#?}"
             ));
         }
     }
-    violations.extend(receipts.iter().flat_map(|receipt| drain_violations(receipt, record)));
+    violations.extend(all_attempts.iter().flat_map(|attempt| drain_violations(attempt, record)));
     violations
 }
 
-/// The violations of one request.
-fn request_violations(request: &ClientRequest, attempts: &[&Receipt], run: &Run<'_>) -> Vec<String> {
-    let mut violations = end_violations(request, attempts, run.plan.is_crowded());
+/// Returns the violations of the requirements by one request and its attempts.
+fn request_violations(request: &ClientRequest, attempts: &[&ReceivedAttempt], run: &Run<'_>) -> Vec<String> {
+    let mut violations = outcome_violations(request, attempts, run.plan.exhausts_descriptors());
     violations.extend(duplicate_runs(request, attempts));
-    violations.extend(attempts.iter().flat_map(|receipt| attempt_violations(request, receipt, run)));
+    violations.extend(attempts.iter().flat_map(|attempt| attempt_violations(request, attempt, run)));
     let class = CLASSES[request.class];
     violations.into_iter().map(|violation| format!("{violation}: {}, {class}", request.id)).collect()
 }
 
-/// One final response, in time, that promises nothing untrue.
-fn end_violations(request: &ClientRequest, attempts: &[&Receipt], crowded: bool) -> Vec<String> {
-    let may_have_run = attempts.iter().any(|receipt| !receipt.rejected);
+/// Checks that a request got one final response, in time, whose status agrees with the attempts that servers
+/// received.
+fn outcome_violations(
+    request: &ClientRequest,
+    attempts: &[&ReceivedAttempt],
+    descriptors_exhausted: bool,
+) -> Vec<String> {
+    let may_have_run = attempts.iter().any(|attempt| !attempt.rejected);
     let mut violations = Vec::new();
-    match request.end {
-        RequestEnd::Response { status, complete, at } => {
+    match request.outcome {
+        RequestOutcome::Response { status, complete, at } => {
             let latest = request.written_at + request.timeout + RESPONSE_GRACE + MEASUREMENT_GRACE;
             if at > latest {
                 let elapsed = at - request.written_at;
                 violations.push(format!("lost (response after {elapsed:?} of {:?})", request.timeout));
             }
             if matches!(status, 429 | 503) && may_have_run && request.class == NON_IDEMPOTENT {
-                violations.push("rejected though it may have run".to_owned());
+                violations.push("rejected although an attempt may have run".to_owned());
             }
             if status == 200 && complete && !may_have_run {
-                violations.push("successful response without a server".to_owned());
+                violations.push("successful response although no attempt can have run".to_owned());
             }
         }
-        RequestEnd::Closed if !attempts.is_empty() => {
-            violations.push("lost (forwarded, and closed without a response)".to_owned());
+        RequestOutcome::Closed if !attempts.is_empty() => {
+            violations.push("lost (forwarded, then closed without a response)".to_owned());
         }
-        // Where idle clients use up the descriptors new connections may be closed unread.
-        RequestEnd::Closed if request.first_on_connection && !crowded => {
+        // While idle clients exhaust the descriptors, new connections may be closed unread.
+        RequestOutcome::Closed if request.first_on_connection && !descriptors_exhausted => {
             violations.push("lost (closed on a new connection)".to_owned());
         }
-        // The close crossed the request, which its client sends again.
-        RequestEnd::Closed | RequestEnd::Disconnected(_) => {}
+        // The close of an idle connection crossed the request, which a client sends again.
+        RequestOutcome::Closed | RequestOutcome::Disconnected(_) => {}
     }
     violations
 }
 
-/// Runs after the first that may have had an effect, where the class allows none.
-fn duplicate_runs(request: &ClientRequest, attempts: &[&Receipt]) -> Vec<String> {
+/// Returns a violation for each attempt after the first that may have run, where the class allows no further
+/// one.
+fn duplicate_runs(request: &ClientRequest, attempts: &[&ReceivedAttempt]) -> Vec<String> {
     let mut in_order = attempts.to_vec();
-    in_order.sort_by_key(|receipt| receipt.first_byte_at);
-    let mut attempts = in_order.into_iter().skip_while(|receipt| receipt.rejected);
+    in_order.sort_by_key(|attempt| attempt.first_byte_at);
+    let mut attempts = in_order.into_iter().skip_while(|attempt| attempt.rejected);
     let Some(first) = attempts.next() else { return Vec::new() };
-    let is_duplicate = |later: &&Receipt| {
+    let is_duplicate = |later: &&ReceivedAttempt| {
         let window = DEDUPLICATION_WINDOW + SOCKET_GRACE;
         let outside_scope = zone(later.server) != zone(first.server);
         let after_window = later.first_byte_at > first.first_byte_at + window;
@@ -112,59 +116,62 @@
     attempts.filter(is_duplicate).map(|_| "duplicate".to_owned()).collect()
 }
 
-/// No more time forwarded than is left, and no attempt for a client that has disconnected.
-fn attempt_violations(request: &ClientRequest, receipt: &Receipt, run: &Run<'_>) -> Vec<String> {
+/// Checks that the forwarded timeout is at most the client's remaining time, and that no attempt starts after
+/// the client has disconnected.
+fn attempt_violations(request: &ClientRequest, attempt: &ReceivedAttempt, run: &Run<'_>) -> Vec<String> {
     let mut violations = Vec::new();
     let times_out_at = request.written_at + request.timeout;
-    let left = times_out_at.saturating_duration_since(receipt.complete_at);
-    if receipt.forwarded_timeout > left + forwarded_timeout_grace(request, receipt, run) {
-        violations.push(format!("forwarded timeout {:?} with {left:?} left", receipt.forwarded_timeout));
+    let left = times_out_at.saturating_duration_since(attempt.complete_at);
+    if attempt.forwarded_timeout > left + forwarded_timeout_grace(request, attempt, run) {
+        violations.push(format!("forwarded timeout {:?} with {left:?} left", attempt.forwarded_timeout));
     }
-    if let RequestEnd::Disconnected(at) = request.end {
-        if receipt.first_byte_at > at + disconnect_grace(at, receipt, run) {
-            let late = receipt.first_byte_at - at;
+    if let RequestOutcome::Disconnected(at) = request.outcome {
+        if attempt.first_byte_at > at + disconnect_grace(at, attempt, run) {
+            let late = attempt.first_byte_at - at;
             violations.push(format!("lost (attempt {late:?} after its client disconnected)"));
         }
     }
     violations
 }
 
-/// By how much the forwarded timeout may exceed the time left. The terms' slack covers a hold-up of 0.15 s, but not that
-/// the rig holds a write a little longer, or delays the same call or pauses the process beside.
-fn forwarded_timeout_grace(request: &ClientRequest, receipt: &Receipt, run: &Run<'_>) -> Duration {
-    if !run.plan.holds_writes() {
+/// Returns the time by which the forwarded timeout may exceed the client's remaining time. The tolerance in
+/// the requirements covers a write delay of 0.15 s, but not the overrun of that delay, nor a scheduling delay
+/// of the same call or a pause of the process in addition.
+fn forwarded_timeout_grace(request: &ClientRequest, attempt: &ReceivedAttempt, run: &Run<'_>) -> Duration {
+    if !run.plan.delays_writes() {
         return FORWARDED_TIMEOUT_GRACE;
     }
     FORWARDED_TIMEOUT_GRACE
-        + HOLD_OVERRUN
-        + run.plan.max_late_call()
-        + run.record.paused_between(request.written_at, receipt.complete_at)
+        + WRITE_DELAY_OVERRUN
+        + run.plan.max_call_delay()
+        + run.record.paused_between(request.written_at, attempt.complete_at)
 }
 
-/// How long after its client disconnected an attempt may still start: the terms do not count a hold-up within the write
-/// itself, before which no look at the client can be, nor a pause of the process.
-fn disconnect_grace(disconnected_at: Instant, receipt: &Receipt, run: &Run<'_>) -> Duration {
-    if run.plan.holds_writes() {
-        return DISCONNECT_GRACE + HOLD;
+/// Returns the time after the client's disconnection during which an attempt may still start. The
+/// requirements exclude a delay within the write itself, during which the gateway cannot check the client,
+/// and a pause of the process.
+fn disconnect_grace(disconnected_at: Instant, attempt: &ReceivedAttempt, run: &Run<'_>) -> Duration {
+    if run.plan.delays_writes() {
+        return DISCONNECT_GRACE + WRITE_DELAY;
     }
-    DISCONNECT_GRACE + run.record.paused_between(disconnected_at, receipt.first_byte_at)
+    DISCONNECT_GRACE + run.record.paused_between(disconnected_at, attempt.first_byte_at)
 }
 
-/// The drains during which an attempt must not have started.
-fn drain_violations(receipt: &Receipt, record: &Record) -> Vec<String> {
-    let process_started_at = record.process_at(receipt.first_byte_at).map(|process| process.started_at);
+/// Returns a violation for each drain during which an attempt must not have started.
+fn drain_violations(attempt: &ReceivedAttempt, record: &Record) -> Vec<String> {
+    let process_started_at = record.process_at(attempt.first_byte_at).map(|process| process.started_at);
     let violation = |drain: &Drain| {
-        // What the agent knows counts as notified from the start of a new process.
+        // A drain published before the start of a process counts as notified at that start.
         let notified_at =
             process_started_at.map_or(drain.published_at, |started| started.max(drain.published_at));
-        let late = receipt.first_byte_at > notified_at + DRAIN_GRACE;
-        let during_drain = drain.ended_at.is_none_or(|ended_at| receipt.first_byte_at < ended_at);
-        (drain.server == receipt.server && late && during_drain).then(|| {
-            let after = receipt.first_byte_at - notified_at;
-            let before_end = drain.ended_at.map(|ended_at| ended_at - receipt.first_byte_at);
+        let late = attempt.first_byte_at > notified_at + DRAIN_GRACE;
+        let during_drain = drain.ended_at.is_none_or(|ended_at| attempt.first_byte_at < ended_at);
+        (drain.server == attempt.server && late && during_drain).then(|| {
+            let after = attempt.first_byte_at - notified_at;
+            let before_end = drain.ended_at.map(|ended_at| ended_at - attempt.first_byte_at);
             format!(
-                "drain: {} forwarded {after:?} after and {before_end:?} before the end",
-                receipt.request_id
+                "drain: {} forwarded {after:?} after the notification and {before_end:?} before the end",
+                attempt.request_id
             )
         })
     };
--- a/crates/gateway/tests/loopback/soak/client.rs
+++ b/crates/gateway/tests/loopback/soak/client.rs
@@ -1,7 +1,8 @@
-//! The clients of the soak: they send requests, some in two parts, disconnect as is drawn, and record what they saw.
+//! The clients of the soak, which send requests, some in two parts, disconnect at random, and record the
+//! outcomes.
 
 use super::plan::{milliseconds, CLASSES};
-use super::record::{ClientRequest, Record, RequestEnd};
+use super::record::{ClientRequest, Record, RequestOutcome};
 use crate::rig::message::read_message;
 use crate::rig::request::{idempotent_request, keyed_request, non_idempotent_request, with_client_timeout};
 use fastrand::Rng;
@@ -12,20 +13,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The probability that a request is written in two parts.
+/// The probability that a request is written in two parts, in percent.
 const SPLIT_PERCENT: u8 = 10;
-/// The probability that a client disconnects before its response.
+/// The probability that a client disconnects before it reads the response, in percent.
 const DISCONNECT_PERCENT: u8 = 8;
-/// How long a client waits beyond its timeout before it takes a response for missing.
+/// The time beyond its timeout after which a client treats a response as missing.
 const READ_GRACE: Duration = Duration::from_secs(5);
 
-/// A client, which uses a connection for as long as it is open.
+/// A client that reuses its connection for as long as it is open.
 pub struct SoakClient {
-    /// Where the gateway listens.
+    /// The address on which the gateway listens.
     pub address: SocketAddr,
-    /// What the run observed.
+    /// The record that receives the outcomes of requests.
     pub record: Arc<Record>,
-    /// The source of its draws.
+    /// The random number generator of this client.
     pub rng: Rng,
     /// The deadline of all classes.
     pub deadline: Duration,
@@ -35,28 +36,25 @@
 
 /// A connection to the gateway.
 pub struct Connection {
-    /// The stream.
     stream: BufReader<TcpStream>,
-    /// When it had been established.
+    /// The time at which the connection had been established.
     connected_at: Instant,
-    /// Whether no request was sent on it yet.
+    /// Whether no request has been sent on the connection yet.
     is_new: bool,
 }
 
-/// A request about to be sent.
-struct DrawnRequest {
-    /// Its id.
+/// A randomly generated request that has not been sent yet.
+struct GeneratedRequest {
     id: String,
-    /// The number of its class.
+    /// The index of the request's class.
     class: usize,
-    /// How long its client waits.
+    /// The client timeout.
     timeout: Duration,
-    /// Its text.
     text: String,
 }
 
 impl Connection {
-    /// Connects to the gateway.
+    /// Connects to the gateway; returns `None` if that fails.
     fn open(address: SocketAddr) -> Option<Connection> {
         let stream = TcpStream::connect(address).ok()?;
         let connected_at = Instant::now();
@@ -66,35 +64,36 @@
 }
 
 impl SoakClient {
-    /// Sends one request after another until told to stop.
+    /// Sends one request after another until `stop` is set.
     pub fn run(&mut self, stop: &AtomicBool) {
         while !stop.load(Ordering::SeqCst) {
             self.send_request();
         }
     }
 
-    /// Sends a request and records its end; `None` if it could not be written.
+    /// Sends a request and records its outcome; returns `None` if the request could not be written.
     fn send_request(&mut self) -> Option<()> {
         thread::sleep(Duration::from_millis(self.rng.u64(..30)));
         let mut connection = self.connection.take().or_else(|| Connection::open(self.address))?;
-        let request = self.draw_request();
+        let request = self.generate_request();
         self.write(connection.stream.get_mut(), &request.text).ok()?;
         let written_at = Instant::now();
         let connected_at = connection.connected_at;
         let first_on_connection = connection.is_new;
-        let end = if self.rng.u8(..100) < DISCONNECT_PERCENT {
+        let outcome = if self.rng.u8(..100) < DISCONNECT_PERCENT {
             self.disconnect(connection)
         } else {
             self.read_response(connection, request.timeout)
         };
-        let DrawnRequest { id, class, timeout, .. } = request;
-        let sent = ClientRequest { id, class, timeout, connected_at, written_at, first_on_connection, end };
+        let GeneratedRequest { id, class, timeout, .. } = request;
+        let sent =
+            ClientRequest { id, class, timeout, connected_at, written_at, first_on_connection, outcome };
         self.record.requests.lock().unwrap().push(sent);
         Some(())
     }
 
-    /// Draws a request with a client timeout of half the deadline or more.
-    fn draw_request(&mut self) -> DrawnRequest {
+    /// Generates a random request whose client timeout is between half the deadline and the deadline.
+    fn generate_request(&mut self) -> GeneratedRequest {
         let class = self.rng.usize(..CLASSES.len());
         let body = "b".repeat(self.rng.usize(..3_000));
         let text = match class {
@@ -105,10 +104,10 @@
         let timeout_ms = milliseconds(self.deadline.mul_f64(0.5 + 0.5 * self.rng.f64()));
         let text = with_client_timeout(&text, timeout_ms);
         let id = text.split("X-Call-Id: ").nth(1).unwrap().split('\r').next().unwrap().to_owned();
-        DrawnRequest { id, class, timeout: Duration::from_millis(timeout_ms), text }
+        GeneratedRequest { id, class, timeout: Duration::from_millis(timeout_ms), text }
     }
 
-    /// Writes a request, in some cases in two parts with a pause between them.
+    /// Writes a request, in some cases in two parts with a wait between them.
     fn write(&mut self, stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
         let is_split = self.rng.u8(..100) < SPLIT_PERCENT;
         let split_at = if is_split { self.rng.usize(..text.len()) } else { 0 };
@@ -120,22 +119,22 @@
         stream.write_all(rest)
     }
 
-    /// Disconnects after some milliseconds.
-    fn disconnect(&mut self, connection: Connection) -> RequestEnd {
+    /// Closes the connection after less than 100 ms without reading a response.
+    fn disconnect(&mut self, connection: Connection) -> RequestOutcome {
         thread::sleep(Duration::from_millis(self.rng.u64(..100)));
         drop(connection);
-        RequestEnd::Disconnected(Instant::now())
+        RequestOutcome::Disconnected(Instant::now())
     }
 
-    /// Reads the response, and keeps the connection if it stays open.
-    fn read_response(&mut self, mut connection: Connection, timeout: Duration) -> RequestEnd {
+    /// Reads the response, and keeps the connection if the gateway leaves it open.
+    fn read_response(&mut self, mut connection: Connection, timeout: Duration) -> RequestOutcome {
         connection.stream.get_ref().set_read_timeout(Some(timeout + READ_GRACE)).unwrap();
         let response = read_message(&mut connection.stream).filter(|response| response.status() > 0);
-        let Some(response) = response else { return RequestEnd::Closed };
+        let Some(response) = response else { return RequestOutcome::Closed };
         let at = Instant::now();
         if response.header("connection") != "close" && response.complete {
             self.connection = Some(Connection { is_new: false, ..connection });
         }
-        RequestEnd::Response { status: response.status(), complete: response.complete, at }
+        RequestOutcome::Response { status: response.status(), complete: response.complete, at }
     }
 }
--- a/crates/gateway/tests/loopback/soak/mod.rs
+++ b/crates/gateway/tests/loopback/soak/mod.rs
@@ -1,8 +1,9 @@
-//! A soak: a gateway serves misbehaving clients before misbehaving servers under failing system calls, clock steps, pauses,
-//! drains and series of signals, through two processes. Clients use open connections until SIGKILL, which comes as early as
-//! the operators' terms allow. What it observes is checked against these terms, not against the gateway's decisions.
+//! A soak test: two gateway processes, one after the other, serve misbehaving clients and use misbehaving
+//! servers under failing system calls, clock steps, pauses, drains and series of signals. Clients reuse open
+//! connections until SIGKILL, which is sent as early as the operators' requirements allow. The observations
+//! are checked against these requirements, not against the gateway's own decisions.
 //!
-//! `SOAK_SEEDS=1-50` runs those seeds; without it a few are run.
+//! `SOAK_SEEDS=1-50` runs those seeds; without the variable a few default seeds are run.
 
 mod checks;
 mod client;
@@ -27,42 +28,39 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The seeds that are run by default.
+/// The seeds that are run if `SOAK_SEEDS` is not set.
 const DEFAULT_SEEDS: RangeInclusive<u64> = 1..=16;
-/// Seeds run in parallel.
-const PARALLEL_SEEDS: usize = 4;
-/// Clients of a run.
+/// The number of seeds that are run in parallel.
+const PARALLEL_RUNS: usize = 4;
+/// The number of clients of a run.
 const CLIENTS: usize = 8;
-/// Gateway processes of a run, one after another.
+/// The number of gateway processes of a run, one after another.
 const PROCESSES: usize = 2;
-/// How long a process serves before its first signal to stop.
+/// The time that a process serves before its first signal to stop.
 const SERVICE_TIME: Duration = Duration::from_millis(2_500);
-/// How long a process is paused at a time.
+/// The duration of each pause of a process.
 const PAUSE: Duration = Duration::from_millis(100);
-/// SIGKILL comes this long after the longest deadline since SIGTERM.
+/// The time between SIGTERM and SIGKILL that is added to the longest deadline.
 const KILL_GRACE: Duration = Duration::from_millis(700);
 
 /// The run of one seed.
 struct SoakRun {
-    /// The source of the run's draws.
     rng: Rng,
-    /// What was drawn at its start.
     plan: Plan,
-    /// What it observes.
     record: Arc<Record>,
-    /// The servers, all ready.
+    /// The servers with the status ready.
     endpoints: Vec<Endpoint>,
-    /// The gateway's configuration.
+    /// The deployment of the current process.
     deployment: Deployment,
-    /// Tells the clients to stop.
+    /// Set when the clients are to stop.
     stop: Arc<AtomicBool>,
 }
 
 impl SoakRun {
-    /// Draws a plan, and starts servers and discovery.
+    /// Chooses a random plan, and starts the servers and the discovery agent.
     fn prepare(seed: u64) -> SoakRun {
         let mut rng = Rng::with_seed(seed);
-        let plan = Plan::draw(&mut rng, seed);
+        let plan = Plan::random(&mut rng, seed);
         let record = Arc::new(Record::default());
         let mut endpoint = |number: usize| {
             let address = start_server(number, record.clone(), rng.u64(..));
@@ -73,7 +71,7 @@
         SoakRun { rng, plan, record, endpoints, deployment, stop: Arc::default() }
     }
 
-    /// Runs one process after another, and returns the violations of the terms.
+    /// Runs one process after another, and returns the violations of the requirements.
     fn run(mut self, seed: u64) -> Vec<String> {
         let mut clients: Vec<JoinHandle<()>> = Vec::new();
         for _ in 0..PROCESSES {
@@ -86,7 +84,7 @@
                 clients.push(self.start_client(gateway.address));
             }
             let successor = self.deployment.clone().listen(gateway.address);
-            self.disturb(&gateway);
+            self.inject_disruptions(&gateway);
             self.stop(gateway);
             self.deployment = successor;
         }
@@ -95,7 +93,7 @@
         self.report(seed)
     }
 
-    /// Starts a client.
+    /// Starts a client that sends requests until the run stops.
     fn start_client(&mut self, address: SocketAddr) -> JoinHandle<()> {
         let mut client = SoakClient {
             address,
@@ -108,17 +106,17 @@
         thread::spawn(move || client.run(&stop))
     }
 
-    /// Disturbs a process from time to time while it serves.
-    fn disturb(&mut self, gateway: &GatewayProcess) {
+    /// Injects disruptions at random intervals while a process serves.
+    fn inject_disruptions(&mut self, gateway: &GatewayProcess) {
         let start = Instant::now();
         while start.elapsed() < SERVICE_TIME {
             thread::sleep(Duration::from_millis(self.rng.u64(50..500)));
-            self.disturb_once(gateway);
+            self.inject_disruption(gateway);
         }
     }
 
     /// Changes the endpoint list, fails the watch, reloads the configuration or pauses the process.
-    fn disturb_once(&mut self, gateway: &GatewayProcess) {
+    fn inject_disruption(&mut self, gateway: &GatewayProcess) {
         let number = self.rng.usize(1..SERVERS);
         let endpoint = self.endpoints[number].clone();
         let agent = &self.deployment.agent;
@@ -147,10 +145,10 @@
         }
     }
 
-    /// Stops a process with a series of signals, and kills it as early as the terms allow.
+    /// Stops a process with a series of signals, and kills it as early as the requirements allow.
     fn stop(&mut self, gateway: GatewayProcess) {
         let signaled_at = Instant::now();
-        self.record.process_signaled(signaled_at);
+        self.record.stop_signal_sent(signaled_at);
         gateway.terminate();
         let kill_at = signaled_at + self.plan.deadline + KILL_GRACE;
         for _ in 0..self.rng.usize(..4) {
@@ -168,41 +166,46 @@
         gateway.kill_unless_exited();
     }
 
-    /// Prints what was observed, and returns the violations of the terms.
+    /// Prints a summary of the run, and returns the violations of the requirements.
     fn report(&self, seed: u64) -> Vec<String> {
         let violations = violations(&self.record, &self.plan);
         let requests = self.record.requests.lock().unwrap().len();
-        let receipts = self.record.receipts.lock().unwrap().len();
+        let attempts = self.record.attempts.lock().unwrap().len();
         let faults = &self.plan.faults;
-        eprintln!("seed {seed} ({faults}): {requests} requests, {receipts} receipts, {violations:?}");
+        eprintln!(
+            "seed {seed} ({faults}): {requests} requests, {attempts} attempts received, {violations:?}"
+        );
         violations
     }
 }
 
-/// The seeds to run, from the environment or the default.
+/// Returns the seeds to run from `SOAK_SEEDS`, or the default seeds.
 fn seeds() -> RangeInclusive<u64> {
     let Ok(text) = std::env::var("SOAK_SEEDS") else { return DEFAULT_SEEDS };
     let (from, to) = text.split_once('-').unwrap_or((&text, &text));
-    from.parse().expect("a seed")..=to.parse().expect("a seed")
+    from.parse().expect("SOAK_SEEDS: the first seed is not a number")
+        ..=to.parse().expect("SOAK_SEEDS: the last seed is not a number")
 }
 
-/// Runs all seeds before it reports what violated the terms.
+/// Guards against lost, duplicate or wrongly rejected requests, excessive forwarded timeouts and attempts at
+/// draining servers while system calls, clients and servers fail. Runs all seeds before it reports the
+/// violations.
 #[test]
-fn the_terms_hold_through_failing_system_calls_signals_and_bad_peers() {
+fn requirements_hold_under_failing_system_calls_signals_and_misbehaving_peers() {
     let seeds = Mutex::new(seeds());
     let next_seed = || seeds.lock().unwrap().next();
-    let broken = Mutex::new(Vec::new());
+    let all_violations = Mutex::new(Vec::new());
     thread::scope(|scope| {
-        for _ in 0..PARALLEL_SEEDS {
+        for _ in 0..PARALLEL_RUNS {
             scope.spawn(|| {
                 while let Some(seed) = next_seed() {
                     let violations = SoakRun::prepare(seed).run(seed);
-                    let named = violations.into_iter().map(|violation| format!("seed {seed}: {violation}"));
-                    broken.lock().unwrap().extend(named);
+                    let labeled = violations.into_iter().map(|violation| format!("seed {seed}: {violation}"));
+                    all_violations.lock().unwrap().extend(labeled);
                 }
             });
         }
     });
-    let broken = broken.into_inner().unwrap();
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    let all_violations = all_violations.into_inner().unwrap();
+    assert!(all_violations.is_empty(), "{}", all_violations.join("\n"));
 }
--- a/crates/gateway/tests/loopback/soak/plan.rs
+++ b/crates/gateway/tests/loopback/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What is drawn for a run of the soak: failing system calls, deadlines, limits and idle connections.
+//! The random plan of a run of the soak: failing system calls, deadlines, limits and idle connections.
 
 use crate::rig::deployment::Deployment;
 use crate::rig::endpoint::{LOCAL_ZONE, REMOTE_ZONE};
@@ -7,17 +7,18 @@
 
 /// The number of servers; the first half is in the gateway's own zone.
 pub const SERVERS: usize = 4;
-/// The names of the request classes.
+/// The names of the request classes, in the order of their indices.
 pub const CLASSES: [&str; 3] = ["claim-status", "loss-notice", "payout"];
-/// How long servers remember an idempotency key.
+/// The time for which servers remember an idempotency key.
 pub const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// The probability of each kind of fault.
+/// The probability with which a plan includes each fault, in percent.
 const FAULT_PERCENT: u8 = 30;
-/// The probability of idle connections that use up the descriptors.
-const CROWD_PERCENT: u8 = 25;
-/// Kinds of faults, as `syscall_faults.c` describes them.
-const FAULT_KINDS: [&str; 11] = [
+/// The probability of idle connections that exhaust the descriptors, in percent.
+const DESCRIPTOR_EXHAUSTION_PERCENT: u8 = 25;
+/// The faults, each of which a plan includes with a probability of [`FAULT_PERCENT`], in the format described
+/// in `syscall_faults.c`.
+const FAULTS: [&str; 11] = [
     "read=10 write=10",
     "wait=10",
     "accept=20",
@@ -31,67 +32,71 @@
     "wall_step_ms=300",
 ];
 
-/// Waits for a core before system calls, as `syscall_faults.c` describes them.
-const LATE_CALL_KINDS: [&str; 2] = ["preempt=10 preempt_ms=60", "preempt=20 preempt_ms=30"];
-/// A wait for a core before the listener closes.
-const LATE_CLOSE: &str = "preempt_listener_ms=20";
-/// Separates the draws of waits for a core from all others of a seed.
-const PREEMPTION_STREAM: u64 = 1 << 32;
-/// Faults that all seeds run under beside those that they draw.
-const COMMON_FAULTS: &str = "SOAK_FAULTS";
+/// Scheduling delays before system calls, of which at most one is chosen, in the format described in
+/// `syscall_faults.c`.
+const CALL_DELAY_FAULTS: [&str; 2] = ["preempt=10 preempt_ms=60", "preempt=20 preempt_ms=30"];
+/// A scheduling delay before the listener is closed.
+const LISTENER_CLOSE_DELAY_FAULT: &str = "preempt_listener_ms=20";
+/// The bit set in the seed of the scheduling delays, which separates their random choices from all others of
+/// a run.
+const PREEMPTION_SEED_BIT: u64 = 1 << 32;
+/// The environment variable with faults that all seeds run under in addition to those of their plans.
+const COMMON_FAULTS_VARIABLE: &str = "SOAK_FAULTS";
 
-/// By how much the fault `hold` delays a write.
-pub const HOLD: Duration = Duration::from_millis(150);
+/// The delay of a write by the fault `hold`.
+pub const WRITE_DELAY: Duration = Duration::from_millis(150);
 
-/// What is drawn for a run.
+/// The randomly chosen parameters of a run.
 pub struct Plan {
-    /// The system calls that fail.
+    /// The system call faults, in the format described in `syscall_faults.c`.
     pub faults: String,
     /// The deadline of all classes.
     pub deadline: Duration,
-    /// The limit of descriptors of the gateway.
-    pub descriptors: u32,
-    /// The number of idle connections beside the clients.
+    /// The maximum number of open descriptors of the gateway.
+    pub descriptor_limit: u32,
+    /// The number of idle connections in addition to those of the clients.
     pub idle_connections: usize,
 }
 
 impl Plan {
-    /// Draws a plan; the system calls have a seed of their own.
-    pub fn draw(rng: &mut Rng, seed: u64) -> Plan {
-        let chosen: Vec<&str> = FAULT_KINDS.into_iter().filter(|_| rng.u8(..100) < FAULT_PERCENT).collect();
-        let crowded = rng.u8(..100) < CROWD_PERCENT;
-        let common = std::env::var(COMMON_FAULTS).unwrap_or_default();
-        let preemption = draw_preemption(seed);
+    /// Chooses a random plan. The faults contain `seed`, from which the system calls that fail are chosen.
+    pub fn random(rng: &mut Rng, seed: u64) -> Plan {
+        let chosen: Vec<&str> = FAULTS.into_iter().filter(|_| rng.u8(..100) < FAULT_PERCENT).collect();
+        let descriptors_exhausted = rng.u8(..100) < DESCRIPTOR_EXHAUSTION_PERCENT;
+        let common = std::env::var(COMMON_FAULTS_VARIABLE).unwrap_or_default();
+        let preemption = random_preemption(seed);
         let faults = format!("{common} {preemption} {} seed={seed}", chosen.join(" "));
         Plan {
             faults: faults.trim_start().to_owned(),
             deadline: Duration::from_millis(rng.choice([100, 300, 800, 1_500]).unwrap()),
-            descriptors: if crowded { 256 } else { 1_024 },
-            idle_connections: if crowded { 300 } else { 0 },
+            descriptor_limit: if descriptors_exhausted { 256 } else { 1_024 },
+            idle_connections: if descriptors_exhausted { 300 } else { 0 },
         }
     }
 
-    /// Whether writes are delayed by [`HOLD`].
-    pub fn holds_writes(&self) -> bool {
+    /// Returns whether the plan has the fault that delays writes by [`WRITE_DELAY`].
+    pub fn delays_writes(&self) -> bool {
         self.faults.contains("hold=")
     }
 
-    /// By how much a system call may begin late.
-    pub fn max_late_call(&self) -> Duration {
+    /// Returns the maximum scheduling delay before a system call.
+    pub fn max_call_delay(&self) -> Duration {
         let milliseconds = self.faults.split(' ').find_map(|fault| fault.strip_prefix("preempt_ms="));
-        Duration::from_millis(milliseconds.map_or(0, |text| text.parse().expect("a number")))
+        Duration::from_millis(
+            milliseconds.map_or(0, |text| text.parse().expect("preempt_ms is not a number")),
+        )
     }
 
-    /// Whether idle connections use up the descriptors.
-    pub fn is_crowded(&self) -> bool {
+    /// Returns whether idle connections exhaust the descriptors.
+    pub fn exhausts_descriptors(&self) -> bool {
         self.idle_connections > 0
     }
 
     /// Configures a gateway for this plan.
     pub fn configure(&self, deployment: Deployment) -> Deployment {
         let deployment = deployment
-            .configured_sockets(self.descriptors)
-            .descriptors(self.descriptors)
+            .configured_sockets(self.descriptor_limit)
+            .descriptors(self.descriptor_limit)
             .faults(&*self.faults)
             .set("/settings/limits/mayProbe", false);
         (0..CLASSES.len()).fold(deployment, |deployment, class| {
@@ -104,20 +109,20 @@
     }
 }
 
-/// Draws how the process waits for a core.
-fn draw_preemption(seed: u64) -> String {
-    let mut rng = Rng::with_seed(PREEMPTION_STREAM | seed);
-    let late_calls = if rng.u8(..100) < FAULT_PERCENT { rng.choice(LATE_CALL_KINDS).unwrap() } else { "" };
-    let late_close = if rng.u8(..100) < FAULT_PERCENT { LATE_CLOSE } else { "" };
-    format!("{late_calls} {late_close} preempt_seed={seed}")
+/// Chooses random scheduling delays.
+fn random_preemption(seed: u64) -> String {
+    let mut rng = Rng::with_seed(PREEMPTION_SEED_BIT | seed);
+    let call_delays = if rng.u8(..100) < FAULT_PERCENT { rng.choice(CALL_DELAY_FAULTS).unwrap() } else { "" };
+    let listener_close_delay = if rng.u8(..100) < FAULT_PERCENT { LISTENER_CLOSE_DELAY_FAULT } else { "" };
+    format!("{call_delays} {listener_close_delay} preempt_seed={seed}")
 }
 
-/// A duration in milliseconds.
+/// Returns a duration in whole milliseconds.
 pub fn milliseconds(duration: Duration) -> u64 {
     duration.as_millis() as u64
 }
 
-/// The zone of a server.
+/// Returns the zone of the server with this number.
 pub fn zone(server: usize) -> &'static str {
     if server < SERVERS / 2 {
         LOCAL_ZONE
--- a/crates/gateway/tests/loopback/soak/record.rs
+++ b/crates/gateway/tests/loopback/soak/record.rs
@@ -1,120 +1,119 @@
-//! What a run of the soak observed, from outside the gateway.
+//! The observations of a run of the soak, made outside the gateway.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// A request that reached a server completely.
+/// An attempt that a server received completely.
 #[derive(Debug)]
-pub struct Receipt {
-    /// The id of the request.
+pub struct ReceivedAttempt {
+    /// The value of the request's `X-Call-Id` header.
     pub request_id: String,
     /// The number of the server.
     pub server: usize,
-    /// When the server's machine received its first byte.
+    /// The time at which the server's kernel received the first byte.
     pub first_byte_at: Instant,
-    /// When the server's machine had received it completely.
+    /// The time at which the server's kernel had received the whole attempt.
     pub complete_at: Instant,
-    /// How long the client waits according to the gateway.
+    /// The remaining client timeout that the gateway forwarded.
     pub forwarded_timeout: Duration,
-    /// Whether the server's response proves that it did not run.
+    /// Whether the server's response proves that the request did not run.
     pub rejected: bool,
 }
 
-/// How a request ended for its client.
+/// The outcome of a request as its client saw it.
 #[derive(Debug)]
-pub enum RequestEnd {
-    /// The client got a response.
+pub enum RequestOutcome {
+    /// The client received a response.
     Response {
-        /// Its status code.
         status: u16,
-        /// Whether its body had the announced length.
+        /// Whether the body had the length stated in `Content-Length`.
         complete: bool,
-        /// When it had arrived.
+        /// The time at which the response had been read.
         at: Instant,
     },
     /// The gateway closed the connection without a response.
     Closed,
-    /// The client disconnected at this time.
+    /// The client disconnected at this time before it read a response.
     Disconnected(Instant),
 }
 
 /// A request as its client saw it.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// Its id.
+    /// The value of the `X-Call-Id` header.
     pub id: String,
-    /// The number of its class.
+    /// The index of the request's class.
     pub class: usize,
-    /// How long its client waits.
+    /// The client timeout.
     pub timeout: Duration,
-    /// When its connection had been established.
+    /// The time at which the connection had been established.
     pub connected_at: Instant,
-    /// When its last byte had been written.
+    /// The time at which the last byte had been written.
     pub written_at: Instant,
-    /// Whether it is the first request on its connection.
+    /// Whether the request is the first on its connection.
     pub first_on_connection: bool,
-    /// How it ended.
-    pub end: RequestEnd,
+    /// The response, or the way in which the connection ended without one.
+    pub outcome: RequestOutcome,
 }
 
-/// A time during which discovery published a server as draining.
+/// A period during which the discovery agent published a server as draining.
 pub struct Drain {
     /// The number of the server.
     pub server: usize,
-    /// When the change was published.
+    /// The time right before the server was published as draining.
     pub published_at: Instant,
-    /// When the server was published as ready again.
+    /// The time at which the server was published as ready again, if it was.
     pub ended_at: Option<Instant>,
 }
 
-/// A time during which the gateway process was stopped.
+/// A period during which the gateway process was paused.
 #[derive(Clone, Copy, Debug)]
 pub struct Pause {
-    /// When it was about to be stopped.
+    /// The time right before the process was paused.
     pub from: Instant,
-    /// When it ran again.
+    /// The time right after the process was resumed.
     pub to: Instant,
 }
 
 impl Pause {
-    /// How much of an interval it covers.
+    /// Returns the length of the overlap with an interval.
     fn overlap(&self, from: Instant, to: Instant) -> Duration {
         self.to.min(to).saturating_duration_since(self.from.max(from))
     }
 }
 
-/// One gateway process.
+/// The lifetime of one gateway process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessRun {
-    /// When it was started.
+    /// The time right before the process was started.
     pub started_at: Instant,
-    /// When it got its first signal to stop.
+    /// The time right before the first signal to stop was sent, if one was.
     pub signaled_at: Option<Instant>,
 }
 
-/// All that a run observed.
+/// All observations of a run.
 #[derive(Default)]
 pub struct Record {
-    /// The requests that reached servers.
-    pub receipts: Mutex<Vec<Receipt>>,
-    /// The requests that clients sent.
+    /// The attempts that servers received completely.
+    pub attempts: Mutex<Vec<ReceivedAttempt>>,
+    /// The requests that clients wrote completely.
     pub requests: Mutex<Vec<ClientRequest>>,
-    /// The drains.
+    /// The published drains of servers.
     pub drains: Mutex<Vec<Drain>>,
     /// The pauses of gateway processes.
     pub pauses: Mutex<Vec<Pause>>,
-    /// The gateway processes in their order.
+    /// The gateway processes in the order of their start.
     pub processes: Mutex<Vec<ProcessRun>>,
 }
 
 impl Record {
-    /// Records that a server is published as draining.
+    /// Records that a server is about to be published as draining.
     pub fn drain_started(&self, server: usize) {
         let drain = Drain { server, published_at: Instant::now(), ended_at: None };
         self.drains.lock().unwrap().push(drain);
     }
 
-    /// Records that a server has been published as ready.
+    /// Records that a server is published as ready again.
     pub fn drain_ended(&self, server: usize) {
         let mut drains = self.drains.lock().unwrap();
         let open = drains.iter_mut().filter(|drain| drain.server == server && drain.ended_at.is_none());
@@ -127,25 +126,25 @@
         self.processes.lock().unwrap().push(process);
     }
 
-    /// Records that the running process gets its first signal to stop.
-    pub fn process_signaled(&self, signaled_at: Instant) {
+    /// Records that the running process is about to get its first signal to stop.
+    pub fn stop_signal_sent(&self, signaled_at: Instant) {
         for process in self.processes.lock().unwrap().iter_mut() {
             process.signaled_at.get_or_insert(signaled_at);
         }
     }
 
-    /// How long the gateway was stopped in an interval.
+    /// Returns the total time that the gateway was paused in an interval.
     pub fn paused_between(&self, from: Instant, to: Instant) -> Duration {
         self.pauses.lock().unwrap().iter().map(|pause| pause.overlap(from, to)).sum()
     }
 
-    /// The process that was running at a time.
+    /// Returns the last process that was started at or before a time.
     pub fn process_at(&self, at: Instant) -> Option<ProcessRun> {
         self.processes.lock().unwrap().iter().rfind(|process| process.started_at <= at).copied()
     }
 
-    /// How long after the signal to stop a time was, if the process had got it.
-    pub fn since_signal(&self, at: Instant) -> Option<Duration> {
+    /// Returns the time since the signal to stop the process of that time, or `None` if it had not been sent.
+    pub fn time_since_signal(&self, at: Instant) -> Option<Duration> {
         self.process_at(at)?.signaled_at.and_then(|signaled_at| at.checked_duration_since(signaled_at))
     }
 }
--- a/crates/gateway/tests/loopback/soak/server.rs
+++ b/crates/gateway/tests/loopback/soak/server.rs
@@ -1,6 +1,6 @@
-//! The servers of the soak: they record what reaches them and respond as is drawn.
+//! The servers of the soak, which record the attempts that they receive and behave at random.
 
-use super::record::{Receipt, Record};
+use super::record::{ReceivedAttempt, Record};
 use crate::rig::message::read_message;
 use crate::rig::timestamped_stream::{enable_receive_timestamps, TimestampedStream};
 use fastrand::Rng;
@@ -10,29 +10,30 @@
 use std::thread;
 use std::time::Duration;
 
-/// The forwarded timeout of a request without one: longer than any client waits, so that the checks name it.
+/// The timeout recorded for an attempt without one: longer than any client timeout, so that the checks report
+/// it.
 const MISSING_TIMEOUT_MS: u64 = u64::MAX / 2;
 
-/// What a server does with a request.
+/// The reaction of a server to an attempt.
 #[derive(Clone, Copy, PartialEq)]
 enum Behaviour {
-    /// Rejects it with the mark that proves that it did not run.
+    /// Responds with the header that proves that the request did not run.
     Reject,
-    /// Responds with an error.
+    /// Responds with status 500.
     Fail,
-    /// Closes the connection.
+    /// Closes the connection without a response.
     Close,
-    /// Closes the connection within the response.
+    /// Closes the connection in the middle of the response body.
     Truncate,
-    /// Leaves it unanswered until the gateway closes the connection.
+    /// Writes nothing and waits until the gateway closes the connection or sends more data.
     Hang,
-    /// Responds after some milliseconds.
+    /// Responds with status 200 after less than 20 ms.
     Respond,
 }
 
 impl Behaviour {
-    /// Draws a behaviour.
-    fn draw(rng: &mut Rng) -> Behaviour {
+    /// Chooses a behaviour at random, in most cases a successful response.
+    fn random(rng: &mut Rng) -> Behaviour {
         match rng.u8(..100) {
             0..8 => Behaviour::Reject,
             8..14 => Behaviour::Fail,
@@ -44,7 +45,7 @@
     }
 }
 
-/// Starts a server.
+/// Starts a server on a port that the system picks, and returns its address.
 pub fn start_server(number: usize, record: Arc<Record>, seed: u64) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     enable_receive_timestamps(&listener);
@@ -59,7 +60,7 @@
     address
 }
 
-/// Serves one connection.
+/// Serves one connection until its end or a behaviour that closes it.
 fn serve(server: usize, stream: TcpStream, record: &Record, mut rng: Rng) {
     stream.set_nodelay(true).unwrap();
     let mut writer = stream.try_clone().unwrap();
@@ -67,10 +68,10 @@
     while reader.fill_buf().is_ok_and(|data| !data.is_empty()) {
         let first_byte_at = reader.get_ref().received_at();
         let Some(message) = read_message(&mut reader).filter(|message| message.complete) else { return };
-        let behaviour = Behaviour::draw(&mut rng);
+        let behaviour = Behaviour::random(&mut rng);
         let timeout_ms = message.client_timeout_ms().unwrap_or(MISSING_TIMEOUT_MS);
         let request_id = message.header("x-call-id").to_owned();
-        record.receipts.lock().unwrap().push(Receipt {
+        record.attempts.lock().unwrap().push(ReceivedAttempt {
             request_id: request_id.clone(),
             server,
             first_byte_at,
@@ -100,7 +101,7 @@
     }
 }
 
-/// Responds after some milliseconds with the id of the request as the body.
+/// Responds after less than 20 ms with the id of the request as the body.
 fn respond(writer: &mut TcpStream, request_id: &str, rng: &mut Rng) -> std::io::Result<()> {
     thread::sleep(Duration::from_millis(rng.u64(..20)));
     let length = request_id.len();
