--- a/crates/gateway/tests/loopback/counter.rs
+++ b/crates/gateway/tests/loopback/counter.rs
@@ -77,7 +77,7 @@
     let unreachable = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let gateway = deployment(&server, unreachable).start();
     assert_eq!(gateway.connect().call(&request_with_long_timeout()).status(), 200);
-    let unresponsive = Server::silent();
+    let unresponsive = Server::unresponsive();
     let gateway =
         deployment(&server, unresponsive.address).shared_counter(unresponsive.address, 80_000).start();
     assert_eq!(gateway.connect().call(&request_with_long_timeout()).status(), 200);
@@ -109,8 +109,8 @@
 #[test]
 fn connections_to_an_unresponsive_counter_stay_bounded() {
     let server = Server::healthy();
-    let previous = Server::silent();
-    let current = Server::silent();
+    let previous = Server::unresponsive();
+    let current = Server::unresponsive();
     let deployment = deployment(&server, previous.address);
     let gateway = deployment.start();
     let _waiting = send_for_customers(&gateway, 1..60);
--- a/crates/gateway/tests/loopback/servers.rs
+++ b/crates/gateway/tests/loopback/servers.rs
@@ -59,7 +59,7 @@
 /// response in time.
 #[test]
 fn abandoned_attempt_closes_its_connection() {
-    let server = Server::silent();
+    let server = Server::unresponsive();
     let gateway = GatewayProcess::in_front_of(&server);
     let mut client = gateway.connect();
     let response = client.call(&with_client_timeout(&keyed_request("x"), 200));
@@ -256,7 +256,7 @@
 /// attempt is closed.
 #[test]
 fn attempt_at_an_unresponsive_server_is_abandoned_in_time_for_a_retry() {
-    let unresponsive = Server::silent();
+    let unresponsive = Server::unresponsive();
     let other = Server::healthy();
     let gateway = Deployment::with_two_zones(unresponsive.address, other.address).start();
     assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
