--- a/crates/core/src/admission/client_timeouts.rs
+++ b/crates/core/src/admission/client_timeouts.rs
@@ -1,4 +1,4 @@
-//! The typical client timeout of each class. A request with a much shorter timeout is taken for a retry:
+//! The typical client timeout of each class. A request with a much shorter timeout is assumed to be a retry:
 //! earlier tries have used up the rest of the client's time.
 
 use crate::api::{Class, Micros};
@@ -6,10 +6,10 @@
 
 /// Quantile of the client timeouts that is the typical one: most requests are first tries.
 const TYPICAL_TIMEOUT_QUANTILE: f64 = 0.7;
-/// Step of the running quantile, as a share of the class's deadline.
+/// Step of the running quantile, as a fraction of the class's deadline.
 const QUANTILE_STEP: f64 = 0.02;
-/// Share of the typical timeout below which a timeout indicates a retry rather than a slow network.
-const SHORT_TIMEOUT_RATIO: f64 = 0.92;
+/// Fraction of the typical timeout below which a timeout indicates a retry rather than a slow network.
+const SHORT_TIMEOUT_FRACTION: f64 = 0.92;
 
 /// Typical client timeouts of all classes.
 #[derive(Default)]
@@ -33,6 +33,6 @@
 
     /// Returns whether a client timeout is much shorter than the typical one of its class.
     pub fn is_short(&self, class: usize, timeout: Micros) -> bool {
-        (timeout as f64) < SHORT_TIMEOUT_RATIO * self.typical_timeout_us[class]
+        (timeout as f64) < SHORT_TIMEOUT_FRACTION * self.typical_timeout_us[class]
     }
 }
--- a/crates/core/src/admission/final_answer.rs
+++ b/crates/core/src/admission/final_answer.rs
@@ -23,14 +23,14 @@
         self.finish_request(id);
     }
 
-    /// Returns whether the client can retry a request without its effect happening twice.
+    /// Returns whether the client can retry a request without its taking effect twice.
     fn is_safe_to_retry(&self, request: &Request) -> bool {
         match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => {
                 true
             }
             Idempotency::IdempotencyKey { .. } | Idempotency::NonIdempotent => {
-                request.first_that_may_take_effect().is_none()
+                request.first_attempt_that_may_take_effect().is_none()
             }
         }
     }
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -10,19 +10,19 @@
 use crate::requests::Request;
 use crate::timer::Timer;
 
-/// Maximum share of the latency objective that queueing may use: the response needs the rest.
-const MAX_QUEUEING_SHARE_OF_OBJECTIVE: f64 = 0.15;
-/// Maximum share of the client's remaining time, which may be far shorter than the objective, that queueing
-/// may use.
-const MAX_QUEUEING_SHARE_OF_CLIENT_TIME: f64 = 0.25;
+/// Maximum fraction of the latency objective that queueing may use: the response needs the rest.
+const MAX_QUEUEING_FRACTION_OF_OBJECTIVE: f64 = 0.15;
+/// Maximum fraction of the client's remaining time, which may be far shorter than the objective, that
+/// queueing may use.
+const MAX_QUEUEING_FRACTION_OF_CLIENT_TIME: f64 = 0.25;
 /// Margin before the client timeout, in batches of events: the delay between an answer and its delivery.
 const MARGIN_BATCHES: Micros = 2;
 /// Upper bound (exclusive) of the units that a valid request may specify.
 const MAX_UNITS: f64 = 1e9;
 
 impl Gateway {
-    /// Validates an arriving request and admits it. Rejects an invalid one and one without time for an
-    /// answer.
+    /// Validates an arriving request and admits it. Rejects a request that is invalid or has no time left for
+    /// an answer.
     pub(crate) fn receive_request(
         &mut self,
         now: Micros,
@@ -106,25 +106,24 @@
         let max_queueing_us = self.max_queueing_us(now, &request);
         let Some(customer) = self.customers.get(customer_id) else { return };
         let source = self.usage_source(now, customer);
-        self.gossip.earn();
-        self.counter_calls.earn();
+        self.gossip.deposit_entries();
+        self.counter_calls.deposit_calls();
         let class = &self.settings.classes[request.class];
         let weight = self.settings.plans[request.plan].priority_weight(class);
-        let quota_is_irrelevant = self.overage_is_acceptable(request.plan) || self.is_overloaded(now, weight);
+        let is_quota_irrelevant = self.is_overage_acceptable(request.plan) || self.is_overloaded(now, weight);
         let Some(customer) = self.customers.get_mut(customer_id) else { return };
         customer.record_arrival(now, request.units, source, max_queueing_us / 1e3);
-        let is_covered = customer.is_within_quota(now, request.units, source);
+        let is_within_quota = customer.is_within_quota(now, request.units, source);
         let dequeue_at = customer.pacer.dequeue_at(now, max_queueing_us as Micros);
-        let needs_counter = !quota_is_irrelevant
+        let needs_counter = !is_quota_irrelevant
             && self.settings.capabilities.shared_counter
             && customer.needs_counter_total(request.units, source)
             && self.counter_calls.allows_call_for(now, customer, self.highest_overage_cost);
-        // While demand exceeds the quota, the request may not be forwarded at all, so no units are reserved
-        // for it.
+        // While demand exceeds the quota, the request may be rejected, so no units are reserved for it.
         let reserved_units = if customer.demand.at(now) > 1.0 { 0.0 } else { request.units };
         actions.push(Action::Timer { at: request.deadline, timer: Timer::RequestDeadline(id).into() });
         let waits_for_counter = needs_counter && self.call_counter(now, customer_id, reserved_units, actions);
-        let queued = waits_for_counter || !is_covered && dequeue_at > now;
+        let queued = waits_for_counter || !is_within_quota && dequeue_at > now;
         let deadline = request.deadline;
         self.requests.insert(id, Request { queued, ..request });
         if !queued {
@@ -145,7 +144,8 @@
     fn max_queueing_us(&self, now: Micros, request: &Request) -> f64 {
         let objective = self.settings.classes[request.class].latency_objective as f64;
         let client_time = request.deadline.saturating_sub(now) as f64;
-        (objective * MAX_QUEUEING_SHARE_OF_OBJECTIVE).min(client_time * MAX_QUEUEING_SHARE_OF_CLIENT_TIME)
+        (objective * MAX_QUEUEING_FRACTION_OF_OBJECTIVE)
+            .min(client_time * MAX_QUEUEING_FRACTION_OF_CLIENT_TIME)
     }
 
     /// Ends the queueing of a request: forwards it if it is within the quota or overage is acceptable, else
@@ -157,14 +157,14 @@
         let customer_id = request.customer;
         let class = request.class;
         let plan_index = request.plan;
-        let overage_is_acceptable = self.overage_is_acceptable(plan_index);
+        let is_overage_acceptable = self.is_overage_acceptable(plan_index);
         let Some(customer) = self.customers.get(customer_id) else { return };
         let source = self.usage_source(now, customer);
         let Some(customer) = self.customers.get_mut(customer_id) else { return };
         customer.refill(now, units, source);
         grant_quota_share(customer, now, units, source);
         let within_quota = customer.is_within_quota(now, units, source);
-        if !within_quota && !overage_is_acceptable {
+        if !within_quota && !is_overage_acceptable {
             let retry_after = (customer.seconds_until_available(now, units, source) * 1e6) as Micros;
             return self.reject_or_fail(id, retry_after, actions);
         }
@@ -178,8 +178,8 @@
     }
 }
 
-/// Grants an allowance in proportion to the quota's share of the customer's demand, if usage is known from
-/// usage reports and demand exceeds the quota: with a demand of three quotas, a third of each request's
+/// Grants an allowance in proportion to the ratio of the quota to the customer's demand, if usage is known
+/// from usage reports and demand exceeds the quota: with a demand of three quotas, a third of each request's
 /// units.
 fn grant_quota_share(customer: &mut Customer, now: Micros, units: f64, source: UsageSource) {
     let demand = customer.demand.at(now);
--- a/crates/core/src/api/events.rs
+++ b/crates/core/src/api/events.rs
@@ -37,7 +37,7 @@
     pub in_flight: Option<f64>,
     /// Requests queued at the server, from all gateways.
     pub queued: Option<f64>,
-    /// Busy share of the server's cores, where 1 is all of them.
+    /// Busy fraction of the server's cores, where 1 is all of them.
     pub utilization: Option<f64>,
     /// Recent service time, in milliseconds.
     pub latency_ms: Option<f64>,
@@ -59,7 +59,7 @@
     /// How much of the client timeout has passed: microseconds since the last byte of the request reached
     /// this machine.
     pub age: Micros,
-    /// Units of quota that the request uses, or an estimate where [`Capabilities::settles_units`] is set.
+    /// Units of quota that the request uses; an estimate where [`Capabilities::settles_units`] is set.
     ///
     /// [`Capabilities::settles_units`]: super::Capabilities::settles_units
     pub units: f64,
@@ -91,10 +91,10 @@
     pub elapsed: Micros,
     /// Whether the request is over, so that it needs no further attempt.
     pub request_finished: bool,
-    /// The customer's usage at all gateways in the last usage report period, as a share of its rate; `None`
+    /// The customer's usage at all gateways in the last usage report period, in multiples of its rate; `None`
     /// if the response reports none.
     pub reported_usage: Option<f64>,
-    /// Units that the request actually used, where they are settled after the response.
+    /// Units that the request actually used, where [`RequestArrival::units`] is an estimate.
     pub settled_units: Option<f64>,
     /// Load report that the response carried.
     pub load_report: Option<LoadReport>,
--- a/crates/core/src/api/settings.rs
+++ b/crates/core/src/api/settings.rs
@@ -37,11 +37,11 @@
     pub latency_objective: Micros,
     /// How long a client waits in total, over its first request and its retries, in microseconds.
     pub deadline: Micros,
-    /// Share of the priority weight that a response after the latency objective still earns.
+    /// Fraction of the priority weight that a response after the latency objective still earns.
     pub late_priority_weight: f64,
     /// Value of one timely response, before [`Plan::weight_multiplier`].
     pub priority_weight: f64,
-    /// Whether a request of the class may run again.
+    /// Whether a request of the class may be sent again once an attempt may have run.
     pub idempotency: Idempotency,
     /// Whether responses are streamed.
     pub streaming: bool,
@@ -54,13 +54,13 @@
     pub rate: f64,
     /// Capacity of the token bucket, in units.
     pub burst: f64,
-    /// Highest number of requests in flight at once; `None` means no limit.
+    /// Maximum number of requests in flight at once; `None` means no limit.
     pub max_concurrency: Option<u32>,
     /// Factor applied to [`Class::priority_weight`].
     pub weight_multiplier: f64,
-    /// Share of its priority weight that a request forwarded over the quota earns.
+    /// Fraction of its priority weight that a request forwarded over the quota earns.
     pub overage_weight: f64,
-    /// Share of its priority weight that a request forwarded over the quota costs.
+    /// Fraction of its priority weight that a request forwarded over the quota costs.
     pub overage_cost: f64,
     /// Refill rate of the hard limit's token bucket, in units per second; 0 means no hard limit.
     pub hard_limit_rate: f64,
@@ -109,17 +109,17 @@
     pub retry_after: bool,
     /// Longest retry advice that clients respect, in microseconds.
     pub max_retry_after: Micros,
-    /// Highest number of attempts per request, the first included.
+    /// Maximum number of attempts per request, the first included.
     pub max_attempts: u32,
     /// Gossip messages per second that a gateway can receive from all its peers together.
     pub gossip_messages_per_s: f64,
-    /// Share of the total score lost per gossip message sent per request.
+    /// Fraction of the total score lost per gossip message sent per request.
     pub gossip_cost: f64,
-    /// Share of the total score lost per health check sent per request.
+    /// Fraction of the total score lost per health check sent per request.
     pub health_check_cost: f64,
     /// Whether the gateway may call the shared counter.
     pub shared_counter: bool,
-    /// Share of the total score lost per shared counter call per request.
+    /// Fraction of the total score lost per shared counter call per request.
     pub counter_call_cost: f64,
     /// Timeout of a call to the shared counter, in microseconds; `None` means no timeout.
     pub counter_timeout: Option<Micros>,
@@ -127,9 +127,9 @@
     pub marks_retries: bool,
     /// Period that the usage reported in responses covers, in microseconds; `None` if none is reported.
     pub usage_report_period: Option<Micros>,
-    /// Whether the units stated in requests are estimates, which the first successful response settles.
+    /// Whether the units of requests are estimates, which the first successful response settles.
     pub settles_units: bool,
-    /// With which answers load reports arrive.
+    /// Answers with which load reports arrive.
     pub load_reports: LoadReports,
     /// Whether the gateway must poll service discovery for the endpoint list.
     pub polls_discovery: bool,
@@ -140,7 +140,7 @@
 pub struct ProtocolRules {
     /// Time after the client's deadline during which a final answer still counts, in microseconds.
     pub response_grace: Micros,
-    /// Least share of its capacity that a server has when it starts.
+    /// Minimum fraction of its capacity that a server has when it starts.
     pub initial_capacity: f64,
     /// Time from a server's start until it has its full capacity, in microseconds; 0 means no warm-up.
     pub warm_up: Micros,
--- a/crates/core/src/attempts/dispatch.rs
+++ b/crates/core/src/attempts/dispatch.rs
@@ -1,5 +1,5 @@
-//! Decision whether a request's next attempt may be sent, and its dispatch: when the request leaves the
-//! queue, and after each attempt that ended without a final answer.
+//! Dispatch of a request's attempts: the decision whether the next one may be sent, made when the request
+//! leaves the queue and after each attempt that ended without a final answer.
 
 use super::retry_budget::retry_cost;
 use crate::api::{Action, Idempotency, Micros, RequestId, ServerId};
@@ -12,7 +12,8 @@
     server: ServerId,
     /// Expected latency at the server, in microseconds.
     expected_latency_us: f64,
-    /// Cost in the retry budget; `None` for the first attempt, which is charged to the customer.
+    /// Cost to withdraw from the retry budget; `None` for the first attempt, which is charged to the
+    /// customer.
     retry_cost: Option<f64>,
 }
 
@@ -42,7 +43,7 @@
             return None;
         }
         let is_first = request.attempts.is_empty();
-        let cost = retry_cost(request.first_that_may_have_run().is_some());
+        let cost = retry_cost(request.first_attempt_that_may_have_run().is_some());
         if !is_first && !self.retry_budget.allows(cost) {
             return None;
         }
@@ -50,7 +51,7 @@
         let objective_us = class.latency_objective as f64;
         let objective_left_us = request.objective_left(now, class.latency_objective) as f64;
         let max_latency_us = if is_first { objective_us } else { objective_left_us };
-        let weight = self.weight(request);
+        let weight = self.request_weight(request);
         let late_weight = weight * class.late_priority_weight;
         let choice = self.select_server(now, id, !is_first)?;
         if choice.expected_latency_us > max_latency_us {
@@ -69,7 +70,7 @@
 
     /// Returns whether the rules allow another attempt of a request.
     fn is_attempt_allowed(&self, now: Micros, request: &Request) -> bool {
-        let first = request.first_that_may_have_run();
+        let first = request.first_attempt_that_may_have_run();
         let may_repeat = match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::IdempotencyKey { window, .. } => {
@@ -91,15 +92,15 @@
     }
 
     /// Returns the priority weight of a request, scaled by the plan's overage weight if it is over the quota.
-    fn weight(&self, request: &Request) -> f64 {
+    fn request_weight(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.class];
         let plan = &self.settings.plans[request.plan];
         let quota_factor = if request.within_quota { 1.0 } else { plan.overage_weight };
         plan.priority_weight(class) * quota_factor
     }
 
-    /// Charges the units of a request to its customer for the first attempt, and adds to the retry budget.
-    /// Returns false, without a charge, if the units would exceed the hard limit.
+    /// Charges the units of a request to its customer for the first attempt, and deposits in the retry
+    /// budget. Returns false, without a charge, if the units would exceed the hard limit.
     fn charge_customer(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get_mut(request.customer) else { return false };
@@ -160,7 +161,8 @@
         let request = self.requests.get(&id)?;
         let class = &self.settings.classes[request.class];
         let timeout = self.attempt_timeouts.timeout(request.class, class.latency_objective);
-        let window_started_at = request.first_that_may_have_run().map_or(now, |attempt| attempt.sent_at);
+        let window_started_at =
+            request.first_attempt_that_may_have_run().map_or(now, |attempt| attempt.sent_at);
         let is_within_deduplication_window = match class.idempotency {
             Idempotency::IdempotencyKey { window, .. } => now + timeout < window_started_at + window,
             Idempotency::Idempotent | Idempotency::NonIdempotent => true,
--- a/crates/core/src/attempts/load.rs
+++ b/crates/core/src/attempts/load.rs
@@ -1,11 +1,11 @@
 //! The back end's load as observed through this gateway's attempts: attempts in flight, goodput and latency.
 
 use crate::api::{AttemptStatus, Micros};
-use crate::customer::demand::USAGE_HORIZON_S;
+use crate::customer::demand::USAGE_TIME_CONSTANT_S;
 use crate::decaying_rate::{seconds, DecayingRate};
 
-/// Target for the mean latency under overload, as a share of the latency objective: longer queues would make
-/// responses miss the objective.
+/// Target for the mean latency under overload, as a fraction of the latency objective: longer queues would
+/// make responses miss the objective.
 const TARGET_RELATIVE_LATENCY: f64 = 0.22;
 /// Weight of one sample in the moving average of the latency, which thus spans about twenty samples.
 const LATENCY_WEIGHT: f64 = 0.05;
@@ -17,20 +17,21 @@
     in_flight: u32,
     /// Attempts per second.
     attempt_rate: DecayingRate,
-    /// Number of requests in flight if each successful answer took the target latency (Little's law).
-    goodput: DecayingRate,
-    /// Moving average of the latency, as a share of the latency objective.
+    /// Number of requests in flight if each successful answer took the target latency: goodput times target
+    /// latency (Little's law).
+    in_flight_at_target_latency: DecayingRate,
+    /// Moving average of the latency, as a fraction of the latency objective.
     relative_latency: f64,
 }
 
 /// Load statistics that are handed over to the successor process.
 pub(crate) struct LoadSnapshot {
-    /// Moving average of the latency, as a share of the latency objective.
+    /// Moving average of the latency, as a fraction of the latency objective.
     pub relative_latency: f64,
     /// Attempts per second.
     pub attempt_rate: DecayingRate,
     /// Number of requests in flight if each successful answer took the target latency.
-    pub goodput: DecayingRate,
+    pub in_flight_at_target_latency: DecayingRate,
 }
 
 impl BackendLoad {
@@ -39,7 +40,7 @@
         LoadSnapshot {
             relative_latency: self.relative_latency,
             attempt_rate: self.attempt_rate,
-            goodput: self.goodput,
+            in_flight_at_target_latency: self.in_flight_at_target_latency,
         }
     }
 
@@ -47,7 +48,7 @@
     pub fn restore(&mut self, snapshot: LoadSnapshot) {
         self.relative_latency = snapshot.relative_latency;
         self.attempt_rate = snapshot.attempt_rate;
-        self.goodput = snapshot.goodput;
+        self.in_flight_at_target_latency = snapshot.in_flight_at_target_latency;
     }
 
     /// Returns the number of attempts in flight whose requests are fully sent.
@@ -57,12 +58,12 @@
 
     /// Returns the attempts per second.
     pub fn attempt_rate(&self, now: Micros) -> f64 {
-        self.attempt_rate.get(now, USAGE_HORIZON_S)
+        self.attempt_rate.get(now, USAGE_TIME_CONSTANT_S)
     }
 
-    /// Returns the number of requests that the goodput keeps in flight at the target latency.
-    pub fn goodput(&self, now: Micros) -> f64 {
-        self.goodput.get(now, USAGE_HORIZON_S)
+    /// Returns the number of requests in flight if each successful answer took the target latency.
+    pub fn in_flight_at_target_latency(&self, now: Micros) -> f64 {
+        self.in_flight_at_target_latency.get(now, USAGE_TIME_CONSTANT_S)
     }
 
     /// Returns whether the mean latency is below the target.
@@ -77,7 +78,7 @@
 
     /// Counts an attempt as sent.
     pub fn record_send(&mut self, now: Micros) {
-        self.attempt_rate.add(now, 1.0, USAGE_HORIZON_S);
+        self.attempt_rate.add(now, 1.0, USAGE_TIME_CONSTANT_S);
     }
 
     /// Counts an attempt as in flight, once its request is fully sent.
@@ -101,7 +102,11 @@
                 LATENCY_WEIGHT * (seconds(elapsed) / objective_s - self.relative_latency);
         }
         if status == AttemptStatus::Ok {
-            self.goodput.add(now, TARGET_RELATIVE_LATENCY * objective_s, USAGE_HORIZON_S);
+            self.in_flight_at_target_latency.add(
+                now,
+                TARGET_RELATIVE_LATENCY * objective_s,
+                USAGE_TIME_CONSTANT_S,
+            );
         }
     }
 }
--- a/crates/core/src/attempts/overload.rs
+++ b/crates/core/src/attempts/overload.rs
@@ -4,16 +4,16 @@
 use crate::endpoints::ranked_tree::Subset;
 use crate::gateway::Gateway;
 
-/// Ratio of the limit on attempts in flight to those that the goodput keeps in flight, so that goodput can
-/// grow.
+/// Ratio of the limit on attempts in flight to those that the goodput keeps in flight at the target latency;
+/// above 1, so that the goodput can grow.
 const GOODPUT_HEADROOM: f64 = 1.15;
 /// Number of requests from all gateways that a server may have in flight however low the goodput is.
 const MIN_IN_FLIGHT_PER_SERVER: f64 = 5.0;
 /// Limit below which the number of attempts in flight alone does not indicate overload: the latency must have
 /// reached its target as well.
 const MIN_MEANINGFUL_LIMIT: f64 = 5.0;
-/// Share of the limit available to requests of weight 0; requests of the highest weight may use all of it.
-const MIN_LIMIT_SHARE: f64 = 0.5;
+/// Fraction of the limit available to requests of weight 0; requests of the highest weight may use all of it.
+const MIN_LIMIT_FRACTION: f64 = 0.5;
 
 impl Gateway {
     /// Returns whether the back end is overloaded for requests of this weight from this gateway: the attempts
@@ -26,8 +26,8 @@
             return false;
         }
         let priority = weight / self.highest_weight.max(1e-9);
-        let share = MIN_LIMIT_SHARE + (1.0 - MIN_LIMIT_SHARE) * priority;
-        f64::from(self.load.in_flight()) >= share * limit + limit.sqrt()
+        let fraction = MIN_LIMIT_FRACTION + (1.0 - MIN_LIMIT_FRACTION) * priority;
+        f64::from(self.load.in_flight()) >= fraction * limit + limit.sqrt()
     }
 
     /// Returns the limit on this gateway's attempts in flight.
@@ -35,6 +35,6 @@
         let ready = self.servers.count(Subset::Ready) as f64;
         let gateways = self.settings.gateway_count as f64;
         let min_limit = self.load.target_latency_ratio() * MIN_IN_FLIGHT_PER_SERVER * ready / gateways;
-        min_limit.max(GOODPUT_HEADROOM * self.load.goodput(now)).max(1.0)
+        min_limit.max(GOODPUT_HEADROOM * self.load.in_flight_at_target_latency(now)).max(1.0)
     }
 }
--- a/crates/core/src/attempts/retry_budget.rs
+++ b/crates/core/src/attempts/retry_budget.rs
@@ -1,7 +1,7 @@
-//! The retry budget limits retries to a share of requests, so that they cannot multiply the load of a failing
-//! back end.
+//! The retry budget limits retries to a fraction of requests, so that they cannot multiply the load of a
+//! failing back end.
 
-/// Retries that each first attempt adds to the budget.
+/// Number of retries that each first attempt deposits in the budget.
 const RETRIES_PER_REQUEST: f64 = 0.15;
 /// Maximum balance of the budget, in retries.
 const MAX_BALANCE: f64 = 10.0;
@@ -9,7 +9,7 @@
 const FULL_COST: f64 = 1.0;
 /// Cost of a retry after an attempt that was rejected before any work on it.
 const REJECTED_COST: f64 = 0.25;
-/// Balance below which no attempt is abandoned at the attempt timeout for a retry.
+/// Balance below which no attempt timeout applies, since it would abandon an attempt for a retry.
 const MIN_BALANCE_FOR_ATTEMPT_TIMEOUT: f64 = 2.0;
 
 /// A balance of retries that first attempts replenish.
@@ -44,7 +44,7 @@
         self.balance >= MIN_BALANCE_FOR_ATTEMPT_TIMEOUT
     }
 
-    /// Adds the share of a retry that a first attempt contributes.
+    /// Adds the fraction of a retry that a first attempt contributes.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + RETRIES_PER_REQUEST).min(MAX_BALANCE);
     }
--- a/crates/core/src/balancing/selection.rs
+++ b/crates/core/src/balancing/selection.rs
@@ -20,8 +20,8 @@
 /// among the best twenty-fifth of all servers in 199 of 200 draws (1 - 0.96^128), and comparing them takes a
 /// few microseconds.
 const MAX_CANDIDATES: usize = 128;
-/// Maximum number of servers examined in place of unusable ones, so that no outage makes a request walk the
-/// whole table.
+/// Maximum number of servers compared in place of unusable ones, so that a request does not visit the whole
+/// table during an outage.
 const MAX_SUBSTITUTES: usize = 512;
 
 /// A server selected for an attempt.
@@ -55,7 +55,7 @@
     best: Option<ScoredChoice>,
     /// Number of candidates so far that are not a last resort.
     usable_count: usize,
-    /// Number of such candidates after which no substitutes are examined.
+    /// Number of such candidates after which no substitutes are compared.
     usable_target: usize,
 }
 
@@ -87,10 +87,10 @@
         selection.select(sampled)
     }
 
-    /// Returns the site whose servers drop repeats of a request that may have run; `None` if no such limit
-    /// applies.
+    /// Returns the site whose servers drop duplicates of a request that may have run; `None` if attempts are
+    /// not limited to a site.
     fn required_site(&self, request: &Request) -> Option<Site> {
-        let first = request.first_that_may_take_effect()?;
+        let first = request.first_attempt_that_may_take_effect()?;
         let endpoint = &self.servers.get(first.server)?.endpoint;
         match self.settings.classes[request.class].idempotency {
             Idempotency::IdempotencyKey { scope, .. } => site_of(scope, endpoint),
@@ -116,8 +116,8 @@
     }
 }
 
-/// Returns the site of a server within which servers share idempotency keys; `None` if all servers share
-/// them.
+/// Returns the site of a server within which servers share idempotency keys; `None` if all servers of the
+/// back end share them.
 fn site_of(scope: DeduplicationScope, endpoint: &Endpoint) -> Option<Site> {
     match scope {
         DeduplicationScope::All => None,
--- a/crates/core/src/balancing/subset.rs
+++ b/crates/core/src/balancing/subset.rs
@@ -7,13 +7,13 @@
 use crate::endpoints::server_index::ServerIndex;
 use crate::gateway::Gateway;
 
-/// Number of gateways that send to a server, in fleets that have as many: enough for their differences to
-/// even out.
+/// Number of gateways that send to each server, in fleets that have as many: enough for the differences
+/// between gateways to average out.
 const GATEWAYS_PER_SERVER: usize = 16;
 /// Fractional part of the golden ratio: the fractional parts of its multiples are spread evenly over [0, 1),
 /// however many there are.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
-/// Minimum number of servers in a subset, so that there is a choice.
+/// Minimum number of servers in a subset, so that server selection always has alternatives.
 const MIN_SUBSET_SIZE: usize = 3;
 
 /// Range of the ready servers that forms a gateway's subset.
--- a/crates/core/src/customer/counter_account.rs
+++ b/crates/core/src/customer/counter_account.rs
@@ -1,10 +1,10 @@
 //! The usage that this gateway has reported to the shared counter for one customer, and the counter's last
 //! known total.
 //!
-//! A total is interpreted by the number of gateways that serve the customer. Few gateways see the customer
-//! often: the increase of the total beyond a gateway's own usage is the peers'
-//! ([`CounterAccount::peer_usage_since_last_total`]). One of many gateways sees the customer seldom: the
-//! total since the start of a window has to give the level of the bucket by itself
+//! A total is interpreted by the number of gateways that serve the customer. Each of few gateways receives
+//! the customer's requests often: the increase of the total beyond its own usage is that of its peers
+//! ([`CounterAccount::peer_usage_since_last_total`]). One of many gateways receives them rarely: it derives
+//! the level of the bucket from the total since the start of a window alone
 //! ([`CounterAccount::level_from_total`]).
 
 use crate::api::{Micros, Plan, RequestId};
@@ -27,8 +27,8 @@
 /// Probability with which a gateway corrects a total that is far too high: corrections by peers may be in
 /// progress.
 const CORRECTION_PROBABILITY: f64 = 0.1;
-/// Fraction of a correction. If peer usage rose by this much in the meantime, a peer has made the same
-/// correction.
+/// Fraction of a correction by which peer usage must have risen in the meantime to show that a peer has made
+/// the same correction.
 const DUPLICATE_CORRECTION_FRACTION: f64 = 0.8;
 
 /// A gateway's record of its calls to the shared counter for one customer.
@@ -38,7 +38,7 @@
     unreported_units: f64,
     /// Units that the call in flight adds.
     units_in_call: f64,
-    /// Differences between true and declared units, to be added by the next call.
+    /// Differences between settled and estimated units, to be added by the next call.
     settlement_due: f64,
     call_in_flight: bool,
     /// Time of the counter's last reply with a total.
@@ -71,7 +71,7 @@
         self.unreported_units += units;
     }
 
-    /// Adds the difference between a request's true and declared units, which the next call reports.
+    /// Adds the difference between a request's settled and estimated units, which the next call reports.
     pub fn add_settlement(&mut self, difference: f64) {
         self.settlement_due += difference;
     }
@@ -101,7 +101,7 @@
         self.total
     }
 
-    /// Returns whether another call is due at once because the total lacks a correction or holds a
+    /// Returns whether another call is due at once because the total lacks a correction or includes a
     /// reservation that was not used.
     pub fn needs_correction(&self) -> bool {
         self.total_correction != 0.0 || self.unreported_units != 0.0
@@ -122,7 +122,8 @@
         self.units_in_call
     }
 
-    /// Begins a second call that only looks up a total.
+    /// Begins a call that only looks up the previous window's total, after the first call in a window
+    /// returned `total`.
     pub fn begin_lookup(&mut self, total: f64) {
         self.call_in_flight = true;
         self.total = Some(total);
@@ -211,7 +212,7 @@
         Some(plan.burst * (1.0 - RESERVED_BURST_FRACTION) + lag.min(0.0))
     }
 
-    /// Adds all units that are not reported, or may not have been, to the fields that are handed over.
+    /// Moves all units that are not reported, or may not have been, to the fields that are handed over.
     /// Returns the possibly counted units that this process keeps.
     pub fn prepare_handover(&mut self) -> f64 {
         self.unreported_units += std::mem::take(&mut self.settlement_due);
--- a/crates/core/src/customer/demand.rs
+++ b/crates/core/src/customer/demand.rs
@@ -2,16 +2,16 @@
 //! the quota, as known from usage reports in responses or from peers.
 
 use crate::api::Micros;
-use crate::decaying_rate::{decay, DecayingRate};
+use crate::decaying_rate::{decay_factor, DecayingRate};
 use crate::handover::text::handover_record;
 
-/// Horizon of the usage rates, in seconds: about the age of the usage in a report.
-pub(crate) const USAGE_HORIZON_S: f64 = 1.5;
+/// Time constant of usage rates, in seconds: about the age of the usage that a report states.
+pub(crate) const USAGE_TIME_CONSTANT_S: f64 = 1.5;
 /// Approximate time until usage reports show a change of a gateway's share.
 pub(crate) const USAGE_REPORT_LAG: Micros = 2_000_000;
-/// Horizon, in seconds, over which demand that is not reported again decays: the end of a spike is not
-/// reported.
-const DEMAND_HORIZON_S: f64 = 5.0;
+/// Time constant, in seconds, with which demand decays while it is not reported again: the end of a spike is
+/// not reported.
+const DEMAND_TIME_CONSTANT_S: f64 = 5.0;
 
 /// The demand of one customer.
 #[derive(Default)]
@@ -21,7 +21,7 @@
     /// Last reported demand at all gateways, in multiples of the quota.
     reported: f64,
     reported_at: Option<Micros>,
-    /// Whether enough requests showed the demand to be far below the quota.
+    /// Whether the demand is far below the quota, as shown by a report over enough requests.
     is_low: bool,
 }
 
@@ -32,7 +32,7 @@
     /// age.
     pub fn at(&self, now: Micros) -> f64 {
         let fresh_until = self.reported_at.unwrap_or(0).saturating_add(USAGE_REPORT_LAG);
-        self.reported * decay(now.saturating_sub(fresh_until), DEMAND_HORIZON_S)
+        self.reported * decay_factor(now.saturating_sub(fresh_until), DEMAND_TIME_CONSTANT_S)
     }
 
     /// Returns the demand as last reported, without decay.
@@ -45,14 +45,14 @@
         self.reported_at.is_none()
     }
 
-    /// Returns whether the last report is so recent that usage reports do not show its effect yet.
+    /// Returns whether the last report is so recent that new reports do not show the effect of it yet.
     pub fn is_within_report_lag(&self, now: Micros) -> bool {
         now < self.reported_at.unwrap_or(0) + USAGE_REPORT_LAG
     }
 
     /// Returns the weight of a new report against the last one, which grows with the age of the last one.
     pub fn weight_of_report(&self, now: Micros) -> f64 {
-        1.0 - decay(now.saturating_sub(self.reported_at.unwrap_or(0)), USAGE_HORIZON_S)
+        1.0 - decay_factor(now.saturating_sub(self.reported_at.unwrap_or(0)), USAGE_TIME_CONSTANT_S)
     }
 
     /// Records a reported demand, in multiples of the quota.
@@ -73,11 +73,11 @@
 
     /// Adds units that arrive at this gateway.
     pub fn add_local_usage(&mut self, now: Micros, units: f64) {
-        self.local_rate.add(now, units, USAGE_HORIZON_S);
+        self.local_rate.add(now, units, USAGE_TIME_CONSTANT_S);
     }
 
     /// Returns the units per second that arrive at this gateway.
     pub fn local_rate(&self, now: Micros) -> f64 {
-        self.local_rate.get(now, USAGE_HORIZON_S)
+        self.local_rate.get(now, USAGE_TIME_CONSTANT_S)
     }
 }
--- a/crates/core/src/customer/hard_limit.rs
+++ b/crates/core/src/customer/hard_limit.rs
@@ -14,9 +14,9 @@
 handover_record!(HardLimit { tokens } times {});
 
 impl HardLimit {
-    /// Creates a bucket that has been refilled for a time span, starting empty.
-    pub fn filled_for(span: Micros, plan: &Plan, even_share: f64) -> HardLimit {
-        HardLimit { tokens: seconds(span) * plan.hard_limit_rate * even_share }
+    /// Creates a bucket that was empty and has been refilled for a duration.
+    pub fn filled_for(duration: Micros, plan: &Plan, even_share: f64) -> HardLimit {
+        HardLimit { tokens: seconds(duration) * plan.hard_limit_rate * even_share }
     }
 
     /// Adds this gateway's share of the tokens that the rate yields in `elapsed_s` seconds.
--- a/crates/core/src/customer/mod.rs
+++ b/crates/core/src/customer/mod.rs
@@ -19,18 +19,18 @@
 use peer_usage::PeerUsage;
 use token_bucket::{max_deficit, TokenBucket};
 
-/// Largest number of gateways at which each of them sees a customer often enough to derive the peers' usage
-/// from successive totals of the shared counter.
+/// Maximum number of gateways at which each of them receives a customer's requests often enough to derive the
+/// peers' usage from successive totals of the shared counter.
 pub(crate) const MAX_FEW_GATEWAYS: usize = 8;
 
-/// Fraction of the burst. With a fresh total and at least this level in the bucket a request needs no counter
-/// call; below it, peers may empty the bucket in the meantime.
+/// Fraction of the burst that the bucket must hold for a request with a fresh total to need no counter call;
+/// below it, peers may empty the bucket in the meantime.
 const SAFE_LEVEL_FRACTION: f64 = 0.5;
 
 /// The source from which peers' usage of a customer's quota is known.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum UsageSource {
-    /// Usage is known to the unit, from the shared counter or from gossip with every gateway.
+    /// Usage is known exactly, from the shared counter or from gossip with every gateway.
     Exact,
     /// Usage is known as demand, from usage reports in responses.
     Reported,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Returns whether so few gateways serve the customer that each of them sees it often.
+    /// Returns whether so few gateways serve the customer that each of them receives its requests often.
     pub fn is_served_by_few_gateways(&self) -> bool {
         self.gateway_count <= MAX_FEW_GATEWAYS
     }
@@ -122,14 +122,15 @@
         self.counter.add_overflow(self.bucket.refill(elapsed_s, &self.plan));
         if self.demand.at(now) <= 1.0 {
             let share = self.allowance_share(source);
-            let keeps_level = !self.is_served_by_few_gateways();
-            self.bucket.refill_allowance(elapsed_s, &self.plan, share, units, keeps_level);
+            let keeps_allowance = !self.is_served_by_few_gateways();
+            self.bucket.refill_allowance(elapsed_s, &self.plan, share, units, keeps_allowance);
         }
         self.hard_limit.refill(elapsed_s, &self.plan, self.even_share());
         self.bucket.set_refilled_at(now);
     }
 
-    /// Returns the share of the rate that refills this gateway's allowance while demand is within the quota.
+    /// Returns the fraction of the rate that refills this gateway's allowance while demand is within the
+    /// quota.
     fn allowance_share(&self, source: UsageSource) -> f64 {
         match source {
             _ if self.demand.is_low() => 1.0,
@@ -150,8 +151,8 @@
         self.in_flight += 1;
     }
 
-    /// Returns the units that a request may use now: the level of the bucket where usage is known to the
-    /// unit, otherwise at most this gateway's allowance.
+    /// Returns the units that a request may use now: the level of the bucket where usage is known exactly,
+    /// otherwise at most this gateway's allowance.
     pub fn available_units(&self, source: UsageSource) -> f64 {
         match source {
             UsageSource::Exact => self.bucket.level(),
@@ -165,7 +166,7 @@
         is_within_rate && self.is_within_concurrency(now, source)
     }
 
-    /// Returns whether a total of the shared counter would help to decide on a request of `units` units: the
+    /// Returns whether the decision on a request of `units` units needs a total of the shared counter: the
     /// request may be within the quota, but peers' usage is not known well enough.
     pub fn needs_counter_total(&self, units: f64, source: UsageSource) -> bool {
         let is_safe =
@@ -207,8 +208,8 @@
     }
 
     /// Returns the start of the current window, in which usage is counted under a key of its own; a window
-    /// lasts as long as a key. One of many gateways sees a customer seldom, so it must know since when a
-    /// total counts. Where few gateways serve the customer, the window always starts at 0.
+    /// lasts as long as a key. One of many gateways rarely receives a customer's requests, so it must know
+    /// since when a total counts. Where few gateways serve the customer, the window always starts at 0.
     pub fn counter_window_start(&self, now: Micros, id: CustomerId) -> Micros {
         if self.is_served_by_few_gateways() || now < COUNTER_KEY_LIFETIME {
             return 0;
@@ -218,8 +219,8 @@
         now - (now - phase) % COUNTER_KEY_LIFETIME
     }
 
-    /// Returns the time after its last use at which a customer's state equals that of a new one, its buckets
-    /// being full again.
+    /// Returns the time after its last use at which a customer's state equals that of a new one: its buckets
+    /// are full again.
     fn idle_after(&self) -> Micros {
         let plan = &self.plan;
         let fill_s = |units: f64, rate: f64| if rate > 0.0 { units / rate } else { 0.0 };
--- a/crates/core/src/customer/pacer.rs
+++ b/crates/core/src/customer/pacer.rs
@@ -10,7 +10,7 @@
 
 /// Control interval, long enough for a few requests of a small plan.
 const INTERVAL: Micros = 500_000;
-/// Delay, in milliseconds, that is too short to smooth the load; from there the delay is set to 0.
+/// Delay, in milliseconds, that is too short to smooth the load; it is reduced to 0 instead of by the factor.
 const MIN_DELAY_MS: f64 = 10.0;
 /// Factor on the delay after an interval within the quota.
 const DELAY_DECREASE_FACTOR: f64 = 0.5;
--- a/crates/core/src/customer/peer_usage.rs
+++ b/crates/core/src/customer/peer_usage.rs
@@ -30,7 +30,8 @@
         self.local_units += units;
     }
 
-    /// Returns whether more than one unit was forwarded here: a customer seen once need not be published.
+    /// Returns whether this gateway has forwarded more than one unit: the usage of a customer with a single
+    /// request need not be published.
     pub fn is_repeated(&self) -> bool {
         self.local_units > 1.0
     }
--- a/crates/core/src/customer/table.rs
+++ b/crates/core/src/customer/table.rs
@@ -1,5 +1,5 @@
 //! The table of customers with its eviction queue, and the set of customers whose usage is to be reported. A
-//! tick examines only entries that are due; decisions are made elsewhere.
+//! tick visits only entries that are due; decisions are made elsewhere.
 
 use super::Customer;
 use crate::api::{CustomerId, Micros};
@@ -9,14 +9,14 @@
 #[derive(Default)]
 pub(crate) struct CustomerTable {
     customers: BTreeMap<CustomerId, Box<Customer>>,
-    /// Customers by the time of their next examination, before which they cannot be idle.
+    /// Customers by the time of their next visit, before which they cannot be idle.
     idle_queue: BTreeSet<(Micros, CustomerId)>,
-    /// Number of customers that evictions have examined since the start.
+    /// Number of customers that evictions have visited since the start.
     visited: u64,
 }
 
 impl CustomerTable {
-    /// Returns the number of customers that evictions have examined since the start.
+    /// Returns the number of customers that evictions have visited since the start.
     pub fn visited(&self) -> u64 {
         self.visited
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// The customers that the next ticks examine, a limited number at a time, in round-robin order.
+/// The customers that the next ticks visit, a limited number at a time, in round-robin order.
 #[derive(Default)]
 pub(crate) struct ChangedCustomers {
     ids: BTreeSet<CustomerId>,
--- a/crates/core/src/customer/token_bucket.rs
+++ b/crates/core/src/customer/token_bucket.rs
@@ -1,5 +1,5 @@
 //! The token bucket of a customer's quota, which all gateways share, and this gateway's allowance of it,
-//! which applies where peers' usage is not known to the unit.
+//! which applies where peers' usage is not known exactly.
 
 use crate::api::{Micros, Plan};
 use crate::handover::text::handover_record;
@@ -25,7 +25,7 @@
 
 handover_record!(TokenBucket { level, allowance, refilled_at } times { refilled_at });
 
-/// Returns the share of the rate that refills an allowance while demand is known to be within the quota.
+/// Returns the fraction of the rate that refills an allowance while demand is known to be within the quota.
 pub(crate) fn allowance_with_headroom(even_share: f64) -> f64 {
     (ALLOWANCE_HEADROOM * even_share).min(1.0)
 }
@@ -52,7 +52,7 @@
         self.level
     }
 
-    /// Returns the units that this gateway may use where peers' usage is not known to the unit.
+    /// Returns the units that this gateway may use where peers' usage is not known exactly.
     pub fn allowance(&self) -> f64 {
         self.allowance
     }
@@ -75,18 +75,19 @@
         filled - self.level
     }
 
-    /// Adds a share of the units that the rate yields in `elapsed_s` seconds to this gateway's allowance.
-    /// With `keeps_level`, an allowance above the share's limit is kept, since it was set from a total of the
-    /// shared counter.
+    /// Adds the fraction `share` of the units that the rate yields in `elapsed_s` seconds to this gateway's
+    /// allowance, up to the larger of the same fraction of the burst and the units of
+    /// [`MIN_ALLOWANCE_REQUESTS`] requests of `units` units each. With `keeps_allowance`, an allowance above
+    /// that limit is kept, since it was set from a total of the shared counter.
     pub fn refill_allowance(
         &mut self,
         elapsed_s: f64,
         plan: &Plan,
         share: f64,
         units: f64,
-        keeps_level: bool,
+        keeps_allowance: bool,
     ) {
-        let retained = if keeps_level { self.allowance } else { 0.0 };
+        let retained = if keeps_allowance { self.allowance } else { 0.0 };
         let max = (plan.burst * share).max(MIN_ALLOWANCE_REQUESTS * units).max(retained);
         self.allowance = (self.allowance + elapsed_s * plan.rate * share).min(max);
     }
@@ -97,7 +98,7 @@
         self.allowance = (self.allowance - units).max(0.0);
     }
 
-    /// Settles the difference between a request's true and declared units.
+    /// Settles the difference between a request's settled and estimated units.
     pub fn settle(&mut self, difference: f64, plan: &Plan) {
         self.level = (self.level - difference).min(plan.burst);
     }
@@ -127,7 +128,7 @@
         self.level = level;
     }
 
-    /// Removes units that peers used at the same time, down to the minimum level.
+    /// Removes units that peers have used, down to the minimum level.
     pub fn take_peer_usage(&mut self, units: f64, plan: &Plan) {
         self.level = (self.level - units).max(min_level(plan).min(self.level));
     }
--- a/crates/core/src/decaying_rate.rs
+++ b/crates/core/src/decaying_rate.rs
@@ -4,17 +4,17 @@
 use crate::handover::text::handover_record;
 
 /// Converts a duration to seconds.
-pub(crate) fn seconds(span: Micros) -> f64 {
-    span as f64 / 1e6
+pub(crate) fn seconds(duration: Micros) -> f64 {
+    duration as f64 / 1e6
 }
 
-/// Returns the share of a value that remains after a duration if the value falls by a factor of e every
-/// `horizon_s` seconds.
-pub(crate) fn decay(span: Micros, horizon_s: f64) -> f64 {
-    (-seconds(span) / horizon_s).exp()
+/// Returns the fraction of a value that remains after a duration of exponential decay: e^-1 after
+/// `time_constant_s` seconds.
+pub(crate) fn decay_factor(duration: Micros, time_constant_s: f64) -> f64 {
+    (-seconds(duration) / time_constant_s).exp()
 }
 
-/// A rate in units per second: an exponentially weighted average with a time constant of some seconds.
+/// A rate in units per second: an exponentially weighted average with a time constant of a few seconds.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingRate {
     /// Rate at the last update, in units per second.
@@ -27,12 +27,13 @@
 
 impl DecayingRate {
     /// Returns the rate decayed to `now`, in units per second.
-    pub fn get(&self, now: Micros, horizon_s: f64) -> f64 {
-        self.value * decay(now.saturating_sub(self.updated_at), horizon_s)
+    pub fn get(&self, now: Micros, time_constant_s: f64) -> f64 {
+        self.value * decay_factor(now.saturating_sub(self.updated_at), time_constant_s)
     }
 
     /// Adds units observed at `now`.
-    pub fn add(&mut self, now: Micros, units: f64, horizon_s: f64) {
-        *self = DecayingRate { value: self.get(now, horizon_s) + units / horizon_s, updated_at: now };
+    pub fn add(&mut self, now: Micros, units: f64, time_constant_s: f64) {
+        *self =
+            DecayingRate { value: self.get(now, time_constant_s) + units / time_constant_s, updated_at: now };
     }
 }
--- a/crates/core/src/endpoints/load_report.rs
+++ b/crates/core/src/endpoints/load_report.rs
@@ -14,8 +14,8 @@
             let in_flight = report.in_flight.map(|in_flight| in_flight - attempts_in_flight);
             let queued = report.queued.map(|queued| queued - queued / gateways);
             let Some(others) = in_flight.or(queued).filter(|others| others.is_finite()) else { return };
-            // All gateways that send to this server act on the same report, so that each compensates only its
-            // share of a difference.
+            // All gateways that send to this server act on the same report, so each counts only its share of
+            // the peers' requests and compensates only its share of a difference.
             server.peers_in_flight = others.max(0.0) / (senders - 1.0).max(1.0);
             server.load_reported_at = now;
         });
--- a/crates/core/src/endpoints/membership.rs
+++ b/crates/core/src/endpoints/membership.rs
@@ -5,8 +5,8 @@
 use crate::gateway::Gateway;
 use crate::health::outlier::OutlierState;
 
-/// Service time assumed before any server has answered, as a share of the shortest latency objective.
-const INITIAL_SERVICE_TIME_SHARE: f64 = 0.05;
+/// Service time assumed before any server is known, as a fraction of the shortest latency objective.
+const INITIAL_SERVICE_TIME_FRACTION: f64 = 0.05;
 
 impl Gateway {
     /// Applies a snapshot or a delta of the endpoint list; polls again if the watch failed.
@@ -41,12 +41,12 @@
     }
 
     /// Returns the service time assumed of a new server, in microseconds: the mean of the known servers, or
-    /// else a share of the shortest latency objective.
+    /// else a fraction of the shortest latency objective.
     fn initial_service_time_us(&self) -> f64 {
         let mean = self.servers.mean_service_time_us().filter(|mean| mean.is_finite());
         let objectives = self.settings.classes.iter().map(|class| class.latency_objective);
         let shortest_objective = objectives.min().unwrap_or(0) as f64;
-        mean.unwrap_or(INITIAL_SERVICE_TIME_SHARE * shortest_objective)
+        mean.unwrap_or(INITIAL_SERVICE_TIME_FRACTION * shortest_objective)
     }
 
     /// Applies one entry. A server that has restarted since it was last listed gets a new record, which keeps
--- a/crates/core/src/endpoints/server.rs
+++ b/crates/core/src/endpoints/server.rs
@@ -1,14 +1,14 @@
 //! The record that a gateway keeps of one server.
 
 use crate::api::{Endpoint, Micros, NonZeroMicros, ProtocolRules};
-use crate::decaying_rate::decay;
+use crate::decaying_rate::decay_factor;
 use crate::handover::text::handover_record;
 use crate::health::outlier::OutlierState;
 use crate::health::slow_start::slow_start_factor;
 use std::collections::BTreeMap;
 
 /// Time constant with which the weight of a load report decays, in seconds.
-pub(crate) const LOAD_REPORT_HORIZON_S: f64 = 1.0;
+pub(crate) const LOAD_REPORT_TIME_CONSTANT_S: f64 = 1.0;
 /// First backoff after a server rejects a request, for requests of the same plan.
 pub(crate) const BASE_REJECTION_BACKOFF: Micros = 100_000;
 /// Number of times that the backoff can double, to 6.4 s.
@@ -25,7 +25,7 @@
     consecutive_rejections: u32,
 }
 
-/// What one gateway knows of a server.
+/// The state of one server as known to this gateway.
 #[derive(Default)]
 pub(crate) struct Server {
     /// Entry of the endpoint list, with the start time converted to this process's clock.
@@ -59,10 +59,11 @@
     /// known exactly, and other gateways' requests as last reported, decaying with the report's age.
     pub fn expected_in_flight(&self, now: Micros) -> f64 {
         let report_age = now.saturating_sub(self.load_reported_at);
-        f64::from(self.attempts_in_flight) + self.peers_in_flight * decay(report_age, LOAD_REPORT_HORIZON_S)
+        f64::from(self.attempts_in_flight)
+            + self.peers_in_flight * decay_factor(report_age, LOAD_REPORT_TIME_CONSTANT_S)
     }
 
-    /// Returns the least share of its capacity that the server has while it warms up.
+    /// Returns the minimum fraction of its capacity that the server has while it warms up.
     pub fn slow_start_factor(&self, now: Micros, rules: &ProtocolRules) -> f64 {
         slow_start_factor(self.endpoint.started_at, now, rules)
     }
--- a/crates/core/src/endpoints/server_index.rs
+++ b/crates/core/src/endpoints/server_index.rs
@@ -9,8 +9,8 @@
 use std::cell::Cell;
 use std::collections::BTreeSet;
 
-/// Largest table whose sums are computed afresh, in the order of ids; incrementally updated sums accumulate
-/// rounding errors.
+/// Maximum number of servers for which sums are recomputed from all records, in the order of ids;
+/// incrementally updated sums accumulate rounding errors.
 const MAX_EXACT_SUM_SERVERS: usize = 512;
 
 /// A group of servers that share the idempotency keys they have seen.
@@ -106,7 +106,7 @@
     listed: usize,
     /// Sum of the service times of all records, updated incrementally.
     service_time_sum_us: f64,
-    /// Number of records examined since the start.
+    /// Number of records visited since the start.
     visited: Cell<u64>,
 }
 
@@ -116,7 +116,7 @@
         ServerIndex { rules, ..ServerIndex::default() }
     }
 
-    /// Returns the number of records examined since the start. The steps of a search, logarithmic in the
+    /// Returns the number of records visited since the start. The steps of a search, logarithmic in the
     /// number of servers, are not counted.
     pub fn visited(&self) -> u64 {
         self.visited.get()
@@ -223,7 +223,7 @@
         self.iter().map(|server| server.endpoint.server).filter(|id| !listed.contains(id)).collect()
     }
 
-    /// Advances the indexes to a time: ends the ejections and warm-ups that are over by then.
+    /// Advances the indexes to `now`: ends the ejections and warm-ups that are over by then.
     pub fn advance(&mut self, now: Micros) {
         while let Some((until, slot)) = self.ejected.first().copied().filter(|(until, _)| *until <= now) {
             self.ejected.remove(&(until, slot));
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Returns the record in a slot and counts it as examined.
+    /// Returns the record in a slot and counts it as visited.
     fn record(&self, slot: Slot) -> &Server {
         self.visited.set(self.visited.get() + 1);
         &self.records[slot as usize]
--- a/crates/core/src/endpoints/start_times.rs
+++ b/crates/core/src/endpoints/start_times.rs
@@ -2,16 +2,17 @@
 //! fleet's wall clock, from which this machine's clock may differ by any amount if it was stepped before the
 //! process began.
 //!
-//! Two facts bound the offset without reading the wall clock. No start lies in the future. And a start newer
+//! Two facts bound the offset without reading the wall clock: no start lies in the future, and a start newer
 //! than all earlier ones happened after the last answer of discovery, apart from the delay with which a
 //! change arrives. If a start contradicts one of them, the offset is corrected so that the newest start is
-//! the present time, which errs towards a longer slow start. Two errors go undetected: a clock that is ahead
-//! by less than [`CHANGE_DELAY`], and a clock that is ahead when the first list contains a recent start.
+//! the present time, which can only make the slow start longer than necessary. Two errors go undetected: a
+//! clock that is ahead by less than [`CHANGE_DELAY`], and a clock that is ahead when the first list contains
+//! a recent start.
 
 use crate::api::{Endpoint, Micros, NonZeroMicros, WatchEvent};
 
-/// Highest delay assumed of a change of the list. Changes arrive some seconds late; by a correct clock hardly
-/// any is older than this.
+/// Maximum delay assumed between a change of the list and its arrival. Changes arrive some seconds late; with
+/// a correct clock, hardly any is older than this.
 const CHANGE_DELAY: Micros = 10_000_000;
 /// Start times further ahead of this process's clock are ignored as invalid.
 const MAX_LEAD: Micros = 24 * 3_600_000_000;
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -20,7 +20,7 @@
 use crate::timer::Timer;
 use std::collections::BTreeMap;
 
-/// Interval between two ticks, well below the duration of any burst.
+/// Interval between two ticks, much shorter than any burst.
 pub(crate) const TICK_INTERVAL: Micros = 100_000;
 
 /// The decision core of one gateway.
@@ -70,8 +70,8 @@
     pub(crate) random_source: RandomSource,
     /// Random numbers for server selection.
     pub(crate) server_sampler: RandomSource,
-    /// Number of customer and gateway entries that ticks have examined since the start.
-    pub(crate) entries_examined: u64,
+    /// Number of customer and gateway entries that ticks have visited since the start.
+    pub(crate) entries_visited_by_ticks: u64,
 }
 
 impl Gateway {
@@ -172,9 +172,10 @@
         }
     }
 
-    /// Returns how many entries for servers, customers and gateways were examined since the start. Tests
-    /// assert an upper bound on it. Steps of a search in an index are not counted.
+    /// Returns how many entries for servers, customers and gateways were visited since the start. Steps of a
+    /// search in an index are not counted. Tests assert an upper bound on the number, so that the work per
+    /// event stays bounded.
     pub fn entries_visited(&self) -> u64 {
-        self.servers.visited() + self.customers.visited() + self.entries_examined
+        self.servers.visited() + self.customers.visited() + self.entries_visited_by_ticks
     }
 }
--- a/crates/core/src/gossip/message.rs
+++ b/crates/core/src/gossip/message.rs
@@ -9,9 +9,9 @@
 const HEADER_BYTES: usize = 4;
 /// Length of an entry.
 const ENTRY_BYTES: usize = 15;
-/// Highest length of a message.
+/// Maximum length of a message.
 const MAX_MESSAGE_BYTES: usize = 256;
-/// Highest number of entries in a message.
+/// Maximum number of entries in a message.
 pub(crate) const MAX_ENTRIES: usize = (MAX_MESSAGE_BYTES - HEADER_BYTES) / ENTRY_BYTES;
 /// Number of bits of a running total that an entry carries.
 pub(crate) const TOTAL_BITS: u32 = 24;
--- a/crates/core/src/gossip/mod.rs
+++ b/crates/core/src/gossip/mod.rs
@@ -12,10 +12,10 @@
 use message::{decode, encode, CustomerUsage, MAX_ENTRIES};
 
 impl Gateway {
-    /// Queues a customer's usage for the gateways that serve the customer, if the gossip budget allows it.
+    /// Queues a customer's usage for the gateways that serve the customer, if the send budget allows it.
     pub(crate) fn publish(&mut self, id: CustomerId) {
         let Some(customer) = self.customers.get(id) else { return };
-        if !self.settings.capabilities.gossip || !self.gossip.try_spend(customer.gateway_count) {
+        if !self.settings.capabilities.gossip || !self.gossip.try_withdraw_entries(customer.gateway_count) {
             return;
         }
         for offset in 0..customer.gateway_count {
@@ -32,7 +32,7 @@
                 continue;
             }
             self.gossip.record_send(now);
-            self.entries_examined += 1;
+            self.entries_visited_by_ticks += 1;
             let queued = self.gossip.take_queued(to, MAX_ENTRIES);
             let entries: Vec<CustomerUsage> = queued.into_iter().filter_map(|id| self.usage_of(id)).collect();
             let message = encode(self.gossip.incarnation(), &entries);
--- a/crates/core/src/gossip/state.rs
+++ b/crates/core/src/gossip/state.rs
@@ -3,19 +3,19 @@
 use super::queue::GossipQueue;
 use crate::api::{CustomerId, Micros, NonZeroMicros, Settings};
 
-/// Time without a message after which a peer counts as down or cut off.
+/// Time without a message after which a peer is assumed to be down or unreachable.
 const PEER_TIMEOUT: Micros = 1_500_000;
 /// Time between two messages to a peer without queued entries. Fits three times into [`PEER_TIMEOUT`], since
 /// three lost messages in a row are rarer than a peer that is down.
 const HEARTBEAT_INTERVAL: Micros = 500_000;
-/// Share of a gateway's receive rate that messages from all its peers together may use.
-const RECEIVE_RATE_SHARE: f64 = 0.8;
+/// Fraction of a gateway's receive rate that messages from all its peers together may use.
+const RECEIVE_RATE_FRACTION: f64 = 0.8;
 /// Lower bound of the receive rate in messages per second, which keeps the send interval finite.
 const MIN_RECEIVE_RATE_PER_S: f64 = 0.1;
-/// Entries that each received request adds to the budget: less than half a message.
+/// Number of entries that each received request deposits in the send budget: less than half a message.
 const ENTRIES_PER_REQUEST: f64 = 6.0;
-/// Upper bound of the budget, in entries.
-const MAX_BUDGET_ENTRIES: f64 = 400.0;
+/// Maximum balance of the send budget, in entries.
+const MAX_BALANCE: f64 = 400.0;
 /// Number of bits of an incarnation in a message.
 const INCARNATION_BITS: u32 = 24;
 
@@ -29,9 +29,9 @@
     full_mesh: bool,
     /// Time between two messages to each peer, in microseconds, at which all peers together stay within each
     /// other's receive rate.
-    interval: Micros,
-    /// Number of entries that may be queued now.
-    budget: f64,
+    send_interval: Micros,
+    /// Balance of the send budget: number of entries that may be queued now.
+    balance: f64,
     queue: GossipQueue,
     /// Time at which the last message was sent.
     sent_at: Micros,
@@ -42,14 +42,14 @@
 impl Gossip {
     /// Returns the state at the start of a process.
     pub fn new(settings: &Settings, seed: u64) -> Gossip {
-        let receive_rate_per_s = RECEIVE_RATE_SHARE * settings.capabilities.gossip_messages_per_s;
+        let receive_rate_per_s = RECEIVE_RATE_FRACTION * settings.capabilities.gossip_messages_per_s;
         let peers = settings.gateway_count - 1;
-        let interval = (peers as f64 * 1e6 / receive_rate_per_s.max(MIN_RECEIVE_RATE_PER_S)) as Micros;
+        let send_interval = (peers as f64 * 1e6 / receive_rate_per_s.max(MIN_RECEIVE_RATE_PER_S)) as Micros;
         Gossip {
             incarnation: (seed ^ (seed >> 32)) as u32 & ((1 << INCARNATION_BITS) - 1),
-            full_mesh: settings.capabilities.gossip && interval <= HEARTBEAT_INTERVAL,
-            interval,
-            budget: MAX_BUDGET_ENTRIES / 2.0,
+            full_mesh: settings.capabilities.gossip && send_interval <= HEARTBEAT_INTERVAL,
+            send_interval,
+            balance: MAX_BALANCE / 2.0,
             received_at: vec![None; settings.gateway_count],
             ..Gossip::default()
         }
@@ -75,18 +75,18 @@
         self.received_at[from] = NonZeroMicros::new(now);
     }
 
-    /// Adds the entries for one received request to the budget.
-    pub fn earn(&mut self) {
-        self.budget = (self.budget + ENTRIES_PER_REQUEST).min(MAX_BUDGET_ENTRIES);
+    /// Adds the entries that one received request contributes to the send budget.
+    pub fn deposit_entries(&mut self) {
+        self.balance = (self.balance + ENTRIES_PER_REQUEST).min(MAX_BALANCE);
     }
 
-    /// Spends the budget for publishing a customer to a number of gateways. Returns whether the budget allows
-    /// it; in a full mesh publishing is free.
-    pub fn try_spend(&mut self, gateway_count: usize) -> bool {
+    /// Withdraws the entries for publishing a customer to a number of gateways from the send budget, if it
+    /// covers them, and returns whether it does. In a full mesh publishing is free.
+    pub fn try_withdraw_entries(&mut self, gateway_count: usize) -> bool {
         let cost = if self.full_mesh { 0.0 } else { gateway_count as f64 };
-        let is_affordable = self.budget >= cost;
+        let is_affordable = self.balance >= cost;
         if is_affordable {
-            self.budget -= cost;
+            self.balance -= cost;
         }
         is_affordable
     }
@@ -100,7 +100,7 @@
     /// heartbeat of a full mesh is due.
     pub fn due_gateways(&self, now: Micros, gateway_count: usize) -> Vec<usize> {
         let since_last = now.saturating_sub(self.sent_at);
-        if self.full_mesh && since_last < self.interval {
+        if self.full_mesh && since_last < self.send_interval {
             return Vec::new();
         }
         if self.full_mesh && since_last >= HEARTBEAT_INTERVAL {
--- a/crates/core/src/handover/mod.rs
+++ b/crates/core/src/handover/mod.rs
@@ -1,5 +1,5 @@
 //! Hand-over of a gateway's state to its successor process as text, so that usage, deficits and ejections
-//! outlive the process.
+//! are kept across a restart.
 //!
 //! The first line is the version of the format. The second line is the time of writing by the writer's clock,
 //! to which all times in the text refer. The remaining lines hold one record each: of the gateway, of a
@@ -36,7 +36,7 @@
 /// The record of the gateway itself.
 #[derive(Default)]
 struct GatewayRecord {
-    /// Mean latency as a share of the latency objective.
+    /// Mean latency as a fraction of the latency objective.
     relative_latency: f64,
     /// Counter calls per request.
     calls_per_request: f64,
@@ -44,12 +44,12 @@
     usage_reported_at: Micros,
     /// Attempts per second.
     attempt_rate: DecayingRate,
-    /// Requests in flight at the target latency.
-    goodput: DecayingRate,
+    /// Number of requests in flight if each successful answer took the target latency.
+    in_flight_at_target_latency: DecayingRate,
 }
 
 handover_record!(GatewayRecord {
-    relative_latency, calls_per_request, usage_reported_at, attempt_rate, goodput
+    relative_latency, calls_per_request, usage_reported_at, attempt_rate, in_flight_at_target_latency
 } times { usage_reported_at });
 
 /// The records of a text.
@@ -72,8 +72,8 @@
 }
 
 impl Gateway {
-    /// Returns the state for the successor process, which also reports the usage that the shared counter does
-    /// not hold yet. This process keeps only what its open requests still settle.
+    /// Returns the state for the successor process, which also reports to the shared counter the usage that
+    /// no call has reported yet. This process keeps only what its open requests still settle.
     pub fn hand_over(&mut self, now: Micros) -> String {
         let mut text = format!("{VERSION}\nclock {now}\n");
         text += &format_line("gateway", None, &self.gateway_record());
@@ -96,7 +96,7 @@
             calls_per_request: self.counter_calls.calls_per_request(),
             usage_reported_at: self.usage_reported_at,
             attempt_rate: load.attempt_rate,
-            goodput: load.goodput,
+            in_flight_at_target_latency: load.in_flight_at_target_latency,
         }
     }
 
@@ -167,12 +167,12 @@
         self.load.restore(LoadSnapshot {
             relative_latency: record.relative_latency,
             attempt_rate: record.attempt_rate,
-            goodput: record.goodput,
+            in_flight_at_target_latency: record.in_flight_at_target_latency,
         });
     }
 }
 
-/// Restores what the predecessor process knew about a server.
+/// Restores the state of a server from the predecessor's record.
 fn restore_server(known: &mut Server, now: Micros, record: &Server) {
     known.health = record.health.clone();
     known.service_time_us = record.service_time_us;
--- a/crates/core/src/handover/text.rs
+++ b/crates/core/src/handover/text.rs
@@ -76,10 +76,10 @@
     }
 }
 
-/// An unknown figure is written as a dash.
+/// An unknown number is written as a dash.
 impl HandoverRecord for Option<f64> {
     fn write(&self, words: &mut Vec<String>) {
-        words.push(self.map_or("-".to_owned(), |figure| figure.to_string()));
+        words.push(self.map_or("-".to_owned(), |number| number.to_string()));
     }
 
     fn read(words: &mut Words<'_>) -> Option<Self> {
--- a/crates/core/src/health/health_check.rs
+++ b/crates/core/src/health/health_check.rs
@@ -1,14 +1,14 @@
-//! Health checks, sent only where load reports arrive with no other answers.
+//! Health checks, sent only where they are the only source of load reports.
 
 use crate::api::{Action, EndpointState, LoadReports, Micros};
 use crate::decaying_rate::seconds;
 use crate::endpoints::ranked_tree::Subset;
-use crate::endpoints::server::LOAD_REPORT_HORIZON_S;
+use crate::endpoints::server::LOAD_REPORT_TIME_CONSTANT_S;
 use crate::gateway::Gateway;
 
 /// Shortest time between two health checks of one server.
 const MIN_CHECK_INTERVAL: Micros = 400_000;
-/// Highest number of health checks per attempt sent.
+/// Maximum number of health checks per attempt sent.
 const MAX_CHECKS_PER_ATTEMPT: f64 = 0.4;
 /// Lower bound of the rate of health checks, per second, which keeps the interval finite while idle.
 const MIN_CHECK_RATE: f64 = 1e-3;
@@ -21,7 +21,7 @@
         let capabilities = &self.settings.capabilities;
         let are_checks_useful = capabilities.health_checks
             && capabilities.load_reports == LoadReports::WithHealthChecks
-            && seconds(interval) <= LOAD_REPORT_HORIZON_S;
+            && seconds(interval) <= LOAD_REPORT_TIME_CONSTANT_S;
         if !are_checks_useful || now < self.health_checked_at + interval {
             return;
         }
--- a/crates/core/src/health/outlier.rs
+++ b/crates/core/src/health/outlier.rs
@@ -2,11 +2,11 @@
 //! failing.
 
 use crate::api::Micros;
-use crate::decaying_rate::decay;
+use crate::decaying_rate::decay_factor;
 use crate::handover::text::handover_record;
 
-/// Panic threshold: if more than this share of the ready servers is ejected, ejections are not enforced.
-const MAX_EJECTED_SHARE: f64 = 0.5;
+/// Panic threshold: if more than this fraction of the ready servers is ejected, ejections are not enforced.
+const MAX_EJECTED_FRACTION: f64 = 0.5;
 /// Weight of the newest outcome in the moving average of a server's success rate.
 const OUTCOME_WEIGHT: f64 = 0.1;
 /// Success rate below which a server is ejected; three errors in quick succession reach it.
@@ -15,7 +15,7 @@
 const RECOVERY_THRESHOLD: f64 = 0.9;
 /// Time constant with which the success rate recovers without outcomes, in seconds, so that an unused server
 /// is tried again.
-const RECOVERY_HORIZON_S: f64 = 5.0;
+const RECOVERY_TIME_CONSTANT_S: f64 = 5.0;
 /// Length of a server's first ejection.
 const BASE_EJECTION_TIME: Micros = 1_000_000;
 /// Number of times that the ejection time can double, to 16 s, which is less than a typical outage lasts.
@@ -35,7 +35,7 @@
 /// The success rate and the ejection of one server.
 #[derive(Clone, Default)]
 pub(crate) struct OutlierState {
-    /// Moving average of the share of successes, as of the last outcome.
+    /// Moving average of the success rate, as of the last outcome.
     success_rate: f64,
     last_outcome_at: Micros,
     /// End of the last ejection; 0 if there was none.
@@ -72,16 +72,16 @@
     /// Returns the success rate, which recovers as the last outcome ages.
     pub fn success_rate(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.last_outcome_at);
-        1.0 - (1.0 - self.success_rate) * decay(age, RECOVERY_HORIZON_S)
+        1.0 - (1.0 - self.success_rate) * decay_factor(age, RECOVERY_TIME_CONSTANT_S)
     }
 
     /// Records an outcome, and ejects the server if it is unreachable or its success rate is too low.
     pub fn record(&mut self, now: Micros, outcome: Outcome) {
         self.success_rate = self.success_rate(now);
         let since_last = now.saturating_sub(self.last_outcome_at);
-        // The longer ago the last outcome, the more the newest one weighs: a rarely used server is judged by
-        // few outcomes, each of which counts for about the time until the next.
-        let weight = OUTCOME_WEIGHT.max(1.0 - decay(since_last, RECOVERY_HORIZON_S));
+        // The weight of an outcome grows with the time since the last one: a rarely used server has few
+        // outcomes, each of which counts for about the time until the next.
+        let weight = OUTCOME_WEIGHT.max(1.0 - decay_factor(since_last, RECOVERY_TIME_CONSTANT_S));
         let observed = if outcome == Outcome::Success { 1.0 } else { 0.0 };
         self.success_rate += weight * (observed - self.success_rate);
         self.last_outcome_at = now;
@@ -108,7 +108,7 @@
 /// Returns how many of the ejected ready servers get no new requests: all of them, or none above the panic
 /// threshold.
 pub(crate) fn enforced_ejections(ejected: usize, ready: usize) -> usize {
-    if ejected as f64 <= MAX_EJECTED_SHARE * ready as f64 {
+    if ejected as f64 <= MAX_EJECTED_FRACTION * ready as f64 {
         ejected
     } else {
         0
--- a/crates/core/src/health/slow_start.rs
+++ b/crates/core/src/health/slow_start.rs
@@ -1,12 +1,12 @@
-//! Slow start: the least share of its capacity that a server has while it warms up.
+//! Slow start: the minimum fraction of its capacity that a server has while it warms up.
 
 use crate::api::{Micros, NonZeroMicros, ProtocolRules};
 
 /// Lower bound of the slow start factor, which keeps expected latencies finite.
 const MIN_FACTOR: f64 = 0.01;
 
-/// Returns the least share of its capacity that a server has, which grows linearly from its start to the end
-/// of the warm-up; 1 for a server without a known start.
+/// Returns the minimum fraction of its capacity that a server has, which grows linearly from its start to the
+/// end of the warm-up; 1 for a server without a known start.
 pub(crate) fn slow_start_factor(
     started_at: Option<NonZeroMicros>,
     now: Micros,
--- a/crates/core/src/health/slow_start_budget.rs
+++ b/crates/core/src/health/slow_start_budget.rs
@@ -5,8 +5,8 @@
 use crate::endpoints::ranked_tree::Subset;
 use crate::gateway::{Gateway, TICK_INTERVAL};
 
-/// Share of the overloading rate that a server may get while it warms up. The rest is a margin for requests
-/// of different sizes and for varying rates.
+/// Fraction of the overloading rate that a server may receive while it warms up. The rest is a margin for
+/// requests of different sizes and for varying rates.
 const SAFETY_FACTOR: f64 = 0.5;
 
 impl Gateway {
--- a/crates/core/src/quota/counter_calls.rs
+++ b/crates/core/src/quota/counter_calls.rs
@@ -4,7 +4,7 @@
 use crate::customer::Customer;
 use std::collections::BTreeMap;
 
-/// Minimum calls per request: enough to notice that an unresponsive counter replies again.
+/// Minimum calls per request: enough to detect that an unresponsive counter replies again.
 const MIN_CALLS_PER_REQUEST: f64 = 0.05;
 /// Maximum calls per request: one to reserve units and half a call to settle them.
 const MAX_CALLS_PER_REQUEST: f64 = 1.5;
@@ -12,13 +12,13 @@
 const LARGE_FLEET_INITIAL_CALLS_PER_REQUEST: f64 = 0.3;
 /// Initial calls per request in a small fleet.
 const INITIAL_CALLS_PER_REQUEST: f64 = 1.0;
-/// Maximum number of calls that are saved while idle.
-const MAX_SAVED_CALLS: f64 = 10.0;
-/// Initially saved calls in a large fleet, whose gateways may all start at once.
-const LARGE_FLEET_INITIAL_SAVED_CALLS: f64 = 2.0;
-/// Saved calls that are kept for requests: usage that no request waits for is reported only with calls beyond
-/// these.
-const CALLS_RESERVED_FOR_REQUESTS: f64 = MAX_SAVED_CALLS / 2.0;
+/// Maximum balance of the call budget, in calls.
+const MAX_BALANCE: f64 = 10.0;
+/// Initial balance in a large fleet, whose gateways may all start at once.
+const LARGE_FLEET_INITIAL_BALANCE: f64 = 2.0;
+/// Balance that is reserved for requests: usage that no request waits for is reported only while the balance
+/// is at least this.
+const CALLS_RESERVED_FOR_REQUESTS: f64 = MAX_BALANCE / 2.0;
 /// Factor on the calls per request after a quick reply.
 const INCREASE_FACTOR: f64 = 1.05;
 /// Factor on the calls per request after a slow or missing reply.
@@ -61,9 +61,9 @@
 /// The call budget of the shared counter and the calls in flight.
 #[derive(Default)]
 pub(crate) struct CounterCalls {
-    /// Calls that may be made now.
-    saved_calls: f64,
-    /// Calls that each request adds to the budget.
+    /// Number of calls that may be made now.
+    balance: f64,
+    /// Number of calls that each request deposits in the budget.
     calls_per_request: f64,
     /// Time at which `calls_per_request` was last decreased.
     last_backoff_at: Micros,
@@ -74,19 +74,19 @@
 }
 
 impl CounterCalls {
-    /// Creates the initial budget. `is_large_fleet` states that more gateways share the counter than can each
-    /// see a customer often.
+    /// Creates the initial budget. `is_large_fleet` states that the fleet has more than
+    /// [`MAX_FEW_GATEWAYS`](crate::customer::MAX_FEW_GATEWAYS) gateways, which all call the counter.
     pub fn new(is_large_fleet: bool) -> CounterCalls {
         if is_large_fleet {
             CounterCalls {
-                saved_calls: LARGE_FLEET_INITIAL_SAVED_CALLS,
+                balance: LARGE_FLEET_INITIAL_BALANCE,
                 calls_per_request: LARGE_FLEET_INITIAL_CALLS_PER_REQUEST,
                 quick_reply_divisor: LARGE_FLEET_QUICK_REPLY_DIVISOR,
                 ..CounterCalls::default()
             }
         } else {
             CounterCalls {
-                saved_calls: MAX_SAVED_CALLS / 2.0,
+                balance: MAX_BALANCE / 2.0,
                 calls_per_request: INITIAL_CALLS_PER_REQUEST,
                 quick_reply_divisor: QUICK_REPLY_DIVISOR,
                 ..CounterCalls::default()
@@ -94,34 +94,34 @@
         }
     }
 
-    /// Adds the calls that one request earns to the budget.
-    pub fn earn(&mut self) {
-        self.saved_calls = (self.saved_calls + self.calls_per_request).min(MAX_SAVED_CALLS);
+    /// Adds the calls that one request contributes to the budget.
+    pub fn deposit_calls(&mut self) {
+        self.balance = (self.balance + self.calls_per_request).min(MAX_BALANCE);
     }
 
     /// Returns whether the budget allows a call.
     pub fn allows_call(&self) -> bool {
-        self.saved_calls >= 1.0
+        self.balance >= 1.0
     }
 
     /// Ensures that the budget allows one call.
     pub fn allow_one_call(&mut self) {
-        self.saved_calls = self.saved_calls.max(1.0);
+        self.balance = self.balance.max(1.0);
     }
 
     /// Returns whether a call that no request waits for leaves enough of the budget for requests.
     pub fn has_surplus(&self) -> bool {
-        self.saved_calls >= CALLS_RESERVED_FOR_REQUESTS
+        self.balance >= CALLS_RESERVED_FOR_REQUESTS
     }
 
-    /// Returns whether a customer's overage costs enough to spend one of the saved calls on it. The fewer
-    /// calls are saved, the higher the cost must be. The cost is divided by the demand, since other gateways
-    /// call the counter for the customer as well.
+    /// Returns whether a customer's overage costs enough to justify a call. The lower the balance, the higher
+    /// the cost must be. The cost is divided by the demand, since other gateways call the counter for the
+    /// customer as well.
     pub fn allows_call_for(&self, now: Micros, customer: &Customer, highest_overage_cost: f64) -> bool {
-        let gain = customer.plan.weighted_overage_cost() / customer.demand.at(now).max(1.0);
-        // Fraction of the calls reserved for requests that is used up; negative where more are saved.
-        let scarcity = 1.0 - self.saved_calls / CALLS_RESERVED_FOR_REQUESTS;
-        customer.is_served_by_few_gateways() || gain >= highest_overage_cost * scarcity
+        let avoided_cost = customer.plan.weighted_overage_cost() / customer.demand.at(now).max(1.0);
+        // Used fraction of the balance reserved for requests; negative while the balance exceeds it.
+        let scarcity = 1.0 - self.balance / CALLS_RESERVED_FOR_REQUESTS;
+        customer.is_served_by_few_gateways() || avoided_cost >= highest_overage_cost * scarcity
     }
 
     /// Returns the calls per request, for the successor process.
@@ -136,7 +136,7 @@
 
     /// Records a call that is being sent.
     pub fn begin(&mut self, call: PendingCall) {
-        self.saved_calls -= 1.0;
+        self.balance -= 1.0;
         self.pending.insert(call.key(), call);
     }
 
--- a/crates/core/src/quota/counter_reply.rs
+++ b/crates/core/src/quota/counter_reply.rs
@@ -98,7 +98,7 @@
     }
 
     /// Calls the counter at once, without waiting for the next tick, where many gateways rely on its total
-    /// and the total lacks a correction or holds a reservation of a request that was not forwarded.
+    /// and the total lacks a correction or includes a reservation of a request that was not forwarded.
     fn correct_total(&mut self, now: Micros, id: CustomerId, actions: &mut Vec<Action>) {
         let Some(customer) = self.customers.get(id) else { return };
         let may_call = !customer.is_served_by_few_gateways() && !customer.counter.has_call_in_flight();
--- a/crates/core/src/quota/counter_report.rs
+++ b/crates/core/src/quota/counter_report.rs
@@ -5,7 +5,7 @@
 use crate::gateway::Gateway;
 use crate::quota::counter_calls::PendingCall;
 
-/// Maximum number of customers whose usage is examined in a tick; the others wait for the next one.
+/// Maximum number of customers that a tick visits; the others wait for the next one.
 const MAX_CUSTOMERS_PER_TICK: usize = 1_000;
 
 impl Gateway {
@@ -44,14 +44,14 @@
     /// Reports usage that no request waits for to the counter and to peers.
     pub(crate) fn report_changed_customers(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for id in self.changed_customers.take(MAX_CUSTOMERS_PER_TICK) {
-            self.entries_examined += 1;
+            self.entries_visited_by_ticks += 1;
             let Some(customer) = self.customers.get(id) else { continue };
             let unreported = customer.counter.unreported_units();
             let may_call =
                 customer.is_served_by_few_gateways() || unreported < 0.0 || self.counter_calls.has_surplus();
             let is_due = self.settings.capabilities.shared_counter
                 && unreported != 0.0
-                && !self.overage_is_acceptable(customer.plan_index);
+                && !self.is_overage_acceptable(customer.plan_index);
             if self.gossip.is_full_mesh() && customer.peer_usage.is_repeated() {
                 self.publish(id);
             }
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -10,7 +10,7 @@
 use crate::customer::{Customer, UsageSource};
 use crate::gateway::Gateway;
 
-/// Time since the last usage report after which usage reports are assumed not to arrive.
+/// Time since the last usage report after which no further reports are expected.
 const USAGE_REPORTS_STALE_AFTER: Micros = 4_000_000;
 /// Maximum demand that is accepted, in multiples of the quota: a late report counts the same excess twice.
 pub(crate) const MAX_DEMAND: f64 = 10.0;
@@ -41,9 +41,9 @@
         self.gossip.is_full_mesh() && (0..customer.gateway_count).all(is_self_or_alive)
     }
 
-    /// Returns whether a request over its quota earns more than it costs while the back end is fast, in which
-    /// case the quota need not be checked.
-    pub(crate) fn overage_is_acceptable(&self, plan_index: usize) -> bool {
+    /// Returns whether the quota need not be checked: a request over the quota earns more than it costs, and
+    /// the back end answers fast enough.
+    pub(crate) fn is_overage_acceptable(&self, plan_index: usize) -> bool {
         let plan = self.settings.plans.get(plan_index);
         let is_worthwhile = plan.is_some_and(|plan| plan.overage_weight > plan.overage_cost);
         is_worthwhile && self.load.is_below_target_latency()
--- a/crates/core/src/quota/usage_report.rs
+++ b/crates/core/src/quota/usage_report.rs
@@ -1,5 +1,5 @@
-//! Usage reports in responses: a customer's usage over all gateways, and the settlement of a request's true
-//! units.
+//! Usage reports in responses: a customer's usage over all gateways, and the settlement of the units that a
+//! request actually used.
 
 use crate::api::{Micros, RequestId};
 use crate::customer::Customer;
@@ -7,8 +7,8 @@
 use crate::gateway::Gateway;
 use crate::quota::MAX_DEMAND;
 
-/// Number of requests at which a usage report gets half of its full weight; a report based on fewer has
-/// little significance.
+/// Number of requests at which a usage report gets half of its full weight; a report on fewer requests says
+/// little about the demand.
 const PRIOR_REQUESTS: f64 = 1.0;
 /// Demand, in multiples of the quota, below which a customer of many gateways needs no counter calls.
 const LOW_DEMAND: f64 = 0.5;
@@ -22,15 +22,15 @@
 /// The accounting data of the request whose response holds a report.
 #[derive(Clone, Copy)]
 struct ReportedRequest {
-    /// Units that the request declared.
+    /// Estimated units of the request.
     units: f64,
     /// Whether the request was forwarded within the quota and has had no final answer yet.
     may_settle: bool,
 }
 
 impl Gateway {
-    /// Applies a response's report of the customer's usage over all gateways and of the true units of a
-    /// request that declared an estimate.
+    /// Applies a response's report of the customer's usage over all gateways and of the units to settle for a
+    /// request whose units were an estimate.
     pub(crate) fn apply_usage_report(
         &mut self,
         now: Micros,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Records the difference between a request's true and declared units.
+/// Records the difference between a request's settled and estimated units.
 fn settle_units(customer: &mut Customer, difference: f64) {
     customer.bucket.settle(difference, &customer.plan);
     if customer.is_served_by_few_gateways() {
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -54,13 +54,13 @@
 }
 
 impl Request {
-    /// Returns the first attempt that ended and may have run.
-    pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
+    /// Returns the first attempt that has ended and on which its server may have begun work.
+    pub fn first_attempt_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run)
     }
 
-    /// Returns the first attempt that may have run or is still in flight.
-    pub fn first_that_may_take_effect(&self) -> Option<&Attempt> {
+    /// Returns the first attempt that may have run, or may still run because it is in flight.
+    pub fn first_attempt_that_may_take_effect(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run || attempt.in_flight)
     }
 
@@ -69,8 +69,8 @@
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// Returns what remains of a latency objective that counts from the client's first try, or 0 if it is
-    /// over.
+    /// Returns the time left until the latency objective, counted from the client's first try; 0 once it has
+    /// passed.
     pub fn objective_left(&self, now: Micros, latency_objective: Micros) -> Micros {
         (self.arrived_at + latency_objective).saturating_sub(now + self.elapsed_before_arrival)
     }
