--- a/crates/core/tests/unit/customer_table.rs
+++ b/crates/core/tests/unit/customer_table.rs
@@ -1,9 +1,13 @@
+//! Unit tests of the table of customers: idle customers are evicted in time and without a scan of the table,
+//! and changed customers are taken in round-robin order.
+
 use crate::api::{CustomerId, Micros, Plan};
 use crate::customer::table::{ChangedCustomers, CustomerTable};
 use crate::customer::Customer;
 use proptest::prelude::{any, prop, prop_assert, prop_oneof, proptest, ProptestConfig, Strategy};
 use std::collections::BTreeMap;
 
+/// One second in microseconds.
 const SECOND: Micros = 1_000_000;
 
 /// Returns a customer whose state equals that of a new one 1 s + 1.5 s per gateway after its last use.
@@ -14,10 +18,14 @@
     customer
 }
 
+/// A step of a random sequence, applied to the table and to the reference model.
 #[derive(Clone, Debug)]
 enum Step {
+    /// Inserts or replaces a customer with this id and gateway count.
     Insert(u64, usize),
+    /// Records a use of the customer now and sets its requests and counter call in flight.
     Use { id: u64, in_flight: u32, has_call: bool, gateway_count: usize },
+    /// Evicts idle customers after this number of milliseconds.
     Tick(u64),
 }
 
@@ -25,7 +33,9 @@
     prop_oneof![
         2 => (0u64..20, 1usize..4).prop_map(|(id, gateway_count)| Step::Insert(id, gateway_count)),
         3 => (0u64..20, 0u32..2, any::<bool>(), 1usize..4)
-            .prop_map(|(id, in_flight, has_call, gateway_count)| Step::Use { id, in_flight, has_call, gateway_count }),
+            .prop_map(|(id, in_flight, has_call, gateway_count)| {
+                Step::Use { id, in_flight, has_call, gateway_count }
+            }),
         3 => (0u64..3_000).prop_map(Step::Tick),
     ]
 }
@@ -33,7 +43,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The queue must evict the same customers as a scan of the whole table in each tick.
+    /// The idle queue must evict the same customers as a scan of the whole table at each tick.
     #[test]
     fn idle_queue_evicts_exactly_the_customers_that_are_due(steps in prop::collection::vec(step(), 1..150)) {
         let (mut table, mut model, mut now) = (CustomerTable::default(), BTreeMap::new(), SECOND);
@@ -71,7 +81,7 @@
 }
 
 #[test]
-fn tick_with_no_customer_due_examines_none() {
+fn tick_with_no_customer_due_visits_none() {
     let mut table = CustomerTable::default();
     (0..1_000).for_each(|id| table.insert(CustomerId(id), customer(SECOND, 1)));
     table.evict_idle(2 * SECOND);
@@ -80,10 +90,10 @@
     assert_eq!((table.visited(), table.iter_mut().count()), (1_000, 0));
 }
 
-/// A customer used after its insertion is examined once at its original due time, and then not before its new
-/// one.
+/// Guards against repeated visits: a customer used after its insertion is visited once at its original due
+/// time, and then not before its new one.
 #[test]
-fn customer_in_use_is_not_examined_by_each_tick() {
+fn customer_in_use_is_not_visited_by_each_tick() {
     let mut table = CustomerTable::default();
     table.insert(CustomerId(1), customer(SECOND, 1));
     table.get_mut(CustomerId(1)).expect("customer 1 was inserted").bucket.set_refilled_at(3 * SECOND);
--- a/crates/core/tests/unit/gossip_queue.rs
+++ b/crates/core/tests/unit/gossip_queue.rs
@@ -1,3 +1,5 @@
+//! Unit test of the queue of gossip entries.
+
 use crate::api::CustomerId;
 use crate::gossip::queue::GossipQueue;
 
--- a/crates/core/tests/unit/random_source.rs
+++ b/crates/core/tests/unit/random_source.rs
@@ -1,3 +1,5 @@
+//! Unit tests of sampling without replacement by the pseudo-random number generator.
+
 use crate::random_source::RandomSource;
 use std::collections::BTreeSet;
 
--- a/crates/core/tests/unit/ranked_tree.rs
+++ b/crates/core/tests/unit/ranked_tree.rs
@@ -1,9 +1,13 @@
+//! Unit tests of the ranked tree against a sorted map, and of its depth.
+
 use crate::endpoints::ranked_tree::{RankedTree, Slot, Subset};
 use proptest::prelude::{any, prop, prop_oneof, proptest, ProptestConfig, Strategy};
 use std::collections::BTreeMap;
 
+/// All subsets, in the order of their indexes in a membership array.
 const SUBSETS: [Subset; 3] = [Subset::Ready, Subset::Healthy, Subset::WarmedUp];
 
+/// A step of a random sequence, applied to the tree and to the reference model.
 #[derive(Clone, Debug)]
 enum Step {
     Insert(u64),
@@ -74,7 +78,7 @@
     }
 }
 
-/// Ascending keys degenerate an unbalanced search tree into a list.
+/// Guards against a degenerate tree: without balancing, ascending keys form a list.
 #[test]
 fn depth_stays_logarithmic() {
     let mut tree = RankedTree::default();
--- a/crates/core/tests/unit/server_index.rs
+++ b/crates/core/tests/unit/server_index.rs
@@ -1,3 +1,5 @@
+//! Unit tests of the server index against a plain map that is searched linearly.
+
 use crate::api::{Endpoint, EndpointState, Micros, NonZeroMicros, ProtocolRules, ServerId};
 use crate::endpoints::ranked_tree::Subset;
 use crate::endpoints::server::Server;
@@ -6,13 +8,19 @@
 use proptest::prelude::{prop, prop_oneof, proptest, Just, ProptestConfig, Strategy};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// One second in microseconds.
 const SECOND: Micros = 1_000_000;
 
+/// A step of a random sequence, applied to the index and to the reference model.
 #[derive(Clone, Debug)]
 enum Step {
+    /// Inserts or replaces a server, which started `age_s` seconds ago.
     List { server: u64, state: EndpointState, site: u32, age_s: Option<u64> },
+    /// Changes a server's record, and ejects the server for `eject_s` seconds if given.
     Change { server: u64, eject_s: Option<u64>, in_flight: u32, service_time_us: f64 },
+    /// Deletes the records of removed servers without an attempt in flight.
     PurgeRemoved,
+    /// Advances the time.
     Wait { ms: u64 },
 }
 
@@ -27,7 +35,9 @@
         4 => (0u64..40, state, 0u32..6, prop::option::of(0u64..14))
             .prop_map(|(server, state, site, age_s)| Step::List { server, state, site, age_s }),
         4 => (0u64..40, prop::option::of(0u64..5), 0u32..3, 1.0..1e5)
-            .prop_map(|(server, eject_s, in_flight, service_time_us)| Step::Change { server, eject_s, in_flight, service_time_us }),
+            .prop_map(|(server, eject_s, in_flight, service_time_us)| {
+                Step::Change { server, eject_s, in_flight, service_time_us }
+            }),
         1 => Just(Step::PurgeRemoved),
         3 => (1u64..4_000).prop_map(|ms| Step::Wait { ms }),
     ]
@@ -177,9 +187,9 @@
     }
 }
 
-/// Uses a table above the size up to which sums are computed afresh.
+/// Guards against wrong sums in a table above the size up to which sums are recomputed from all records.
 #[test]
-fn incremental_sums_match_sums_computed_afresh() {
+fn incremental_sums_match_recomputed_sums() {
     let (mut index, now) = (ServerIndex::new(rules()), 20 * SECOND);
     for k in 0..2_000_u64 {
         let started_at = NonZeroMicros::new(now - k * 5_000).filter(|_| k % 3 == 0);
