--- a/crates/core/src/attempts/overload.rs
+++ b/crates/core/src/attempts/overload.rs
@@ -33,8 +33,8 @@
     /// Returns the limit on this gateway's attempts in flight.
     fn in_flight_limit(&self, now: Micros) -> f64 {
         let ready = self.servers.count(Subset::Ready) as f64;
-        let gateways = self.settings.gateway_count as f64;
-        let min_limit = self.load.target_latency_ratio() * MIN_IN_FLIGHT_PER_SERVER * ready / gateways;
+        let gateway_count = self.settings.gateway_count as f64;
+        let min_limit = self.load.target_latency_ratio() * MIN_IN_FLIGHT_PER_SERVER * ready / gateway_count;
         min_limit.max(GOODPUT_HEADROOM * self.load.in_flight_at_target_latency(now)).max(1.0)
     }
 }
--- a/crates/core/src/balancing/selection.rs
+++ b/crates/core/src/balancing/selection.rs
@@ -53,10 +53,10 @@
     site: Option<Site>,
     /// The best candidate so far.
     best: Option<ScoredChoice>,
-    /// Number of candidates so far that are not a last resort.
-    usable_count: usize,
-    /// Number of such candidates after which no substitutes are compared.
-    usable_target: usize,
+    /// Number of preferred candidates so far: those that are not a last resort.
+    preferred_count: usize,
+    /// Number of preferred candidates after which no substitutes are compared.
+    preferred_target: usize,
 }
 
 impl Gateway {
@@ -81,8 +81,8 @@
             avoids_ejected: enforced_ejections(ejected, ready) > 0,
             site: self.required_site(request),
             best: None,
-            usable_count: 0,
-            usable_target: size.min(MAX_CANDIDATES),
+            preferred_count: 0,
+            preferred_target: size.min(MAX_CANDIDATES),
         };
         selection.select(sampled)
     }
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Compares servers after the end of the subset in place of unusable ones, so that there are as many
-    /// usable candidates.
+    /// Compares servers after the end of the subset in place of those that may not be used or are a last
+    /// resort, until there are as many preferred candidates as the comparison of the subset was to yield.
     fn compare_substitutes(&mut self) {
         let servers = &self.gateway.servers;
         let some_are_ejected = servers.count(Subset::Healthy) < self.range.ready;
@@ -159,7 +159,7 @@
         let subset = if uses_ejected { Subset::Ready } else { Subset::WarmedUp };
         let range = self.range.clone();
         for (position, server) in range.positions_after(servers, subset).take(MAX_SUBSTITUTES) {
-            if self.usable_count >= self.usable_target {
+            if self.preferred_count >= self.preferred_target {
                 return;
             }
             self.compare(server, position);
@@ -171,7 +171,7 @@
         let servers = &self.gateway.servers;
         let from = self.gateway.start_fraction();
         for server in servers.at_site(site, from).take(MAX_SUBSTITUTES) {
-            if self.usable_count >= self.usable_target {
+            if self.preferred_count >= self.preferred_target {
                 return;
             }
             self.compare(server, self.range.position(servers, server));
@@ -190,7 +190,7 @@
             let choice = ServerChoice { server: server.endpoint.server, expected_latency_us };
             self.best = Some(ScoredChoice { score, choice });
         }
-        self.usable_count += usize::from(!is_last_resort);
+        self.preferred_count += usize::from(!is_last_resort);
     }
 
     /// Returns whether the site, the enforced ejections and slow start allow this attempt at a server.
--- a/crates/core/src/balancing/subset.rs
+++ b/crates/core/src/balancing/subset.rs
@@ -80,8 +80,8 @@
 
     /// Returns how many servers one gateway sends to, of `servers` ready ones.
     pub(crate) fn subset_size(&self, servers: usize) -> usize {
-        let shared = (servers * GATEWAYS_PER_SERVER).div_ceil(self.settings.gateway_count);
-        shared.max(MIN_SUBSET_SIZE).min(servers)
+        let size = (servers * GATEWAYS_PER_SERVER).div_ceil(self.settings.gateway_count);
+        size.max(MIN_SUBSET_SIZE).min(servers)
     }
 
     /// Returns the mean number of gateways whose subset contains a given server.
--- a/crates/core/src/customer/mod.rs
+++ b/crates/core/src/customer/mod.rs
@@ -198,11 +198,11 @@
     }
 
     /// Records a demand reported by a response or a peer. When demand first exceeds the quota, the allowance
-    /// is capped at `phase`, a random fraction of a request's units, so that the gateways do not all forward
-    /// their first requests at once.
-    pub fn record_demand(&mut self, now: Micros, demand: f64, phase: f64) {
+    /// is capped at `allowance_cap`, a random fraction of a request's units, so that the gateways do not all
+    /// forward their first requests at once.
+    pub fn record_demand(&mut self, now: Micros, demand: f64, allowance_cap: f64) {
         if self.demand.at(now) <= 1.0 && demand > 1.0 {
-            self.bucket.cap_allowance(phase);
+            self.bucket.cap_allowance(allowance_cap);
         }
         self.demand.record(now, demand);
     }
--- a/crates/core/src/endpoints/ranked_tree.rs
+++ b/crates/core/src/endpoints/ranked_tree.rs
@@ -13,7 +13,7 @@
 const NONE: Slot = Slot::MAX;
 
 /// Number of subsets, the variants of [`Subset`].
-const SUBSETS: usize = 3;
+const SUBSET_COUNT: usize = 3;
 
 /// A subset whose members can be counted and found by position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 }
 
 /// Whether a slot belongs to each subset, indexed by [`Subset`].
-pub(crate) type Membership = [bool; SUBSETS];
+pub(crate) type Membership = [bool; SUBSET_COUNT];
 
 /// A node of the tree, stored at the index of its slot.
 #[derive(Clone, Copy)]
@@ -38,9 +38,9 @@
     /// Root of the subtree of larger keys.
     right: Slot,
     /// Members of each subset in this node and its subtrees.
-    counts: [u32; SUBSETS],
+    counts: [u32; SUBSET_COUNT],
     /// Subsets that the node itself belongs to.
-    member: Membership,
+    membership: Membership,
 }
 
 impl Node {
@@ -71,10 +71,10 @@
 
     /// Returns the slot with the given key.
     pub fn find(&self, key: u64) -> Option<Slot> {
-        let mut at = self.root;
-        while let Some(node) = self.nodes.get(at as usize) {
-            at = match key.cmp(&node.key) {
-                std::cmp::Ordering::Equal => return Some(at),
+        let mut current = self.root;
+        while let Some(node) = self.nodes.get(current as usize) {
+            current = match key.cmp(&node.key) {
+                std::cmp::Ordering::Equal => return Some(current),
                 std::cmp::Ordering::Less => node.left,
                 std::cmp::Ordering::Greater => node.right,
             };
@@ -84,17 +84,23 @@
 
     /// Inserts a slot, which is in no subset yet, under a key that must not be in the tree.
     pub fn insert(&mut self, slot: Slot, key: u64) {
-        let node = Node { key, left: NONE, right: NONE, counts: [0; SUBSETS], member: [false; SUBSETS] };
+        let node = Node {
+            key,
+            left: NONE,
+            right: NONE,
+            counts: [0; SUBSET_COUNT],
+            membership: [false; SUBSET_COUNT],
+        };
         if slot as usize >= self.nodes.len() {
             self.nodes.resize(slot as usize + 1, node);
         }
-        let (mut parent, mut at) = (NONE, self.root);
+        let (mut parent, mut current) = (NONE, self.root);
         while let Some(ancestor) =
-            self.nodes.get(at as usize).filter(|ancestor| ancestor.priority() >= node.priority())
+            self.nodes.get(current as usize).filter(|ancestor| ancestor.priority() >= node.priority())
         {
-            (parent, at) = (at, if key < ancestor.key { ancestor.left } else { ancestor.right });
+            (parent, current) = (current, if key < ancestor.key { ancestor.left } else { ancestor.right });
         }
-        let (left, right) = self.split(at, key);
+        let (left, right) = self.split(current, key);
         self.nodes[slot as usize] = Node { left, right, ..node };
         self.recount(slot);
         self.replace_child(parent, key, slot);
@@ -103,11 +109,11 @@
     /// Removes the slot with the given key, if there is one.
     pub fn remove(&mut self, key: u64) {
         let Some(slot) = self.find(key) else { return };
-        self.set_membership(slot, [false; SUBSETS]);
-        let (mut parent, mut at) = (NONE, self.root);
-        while at != slot {
-            let ancestor = &self.nodes[at as usize];
-            (parent, at) = (at, if key < ancestor.key { ancestor.left } else { ancestor.right });
+        self.set_membership(slot, [false; SUBSET_COUNT]);
+        let (mut parent, mut current) = (NONE, self.root);
+        while current != slot {
+            let ancestor = &self.nodes[current as usize];
+            (parent, current) = (current, if key < ancestor.key { ancestor.left } else { ancestor.right });
         }
         let Node { left, right, .. } = self.nodes[slot as usize];
         let child = self.merge(left, right);
@@ -115,19 +121,19 @@
     }
 
     /// Sets the subsets that a slot belongs to.
-    pub fn set_membership(&mut self, slot: Slot, member: Membership) {
+    pub fn set_membership(&mut self, slot: Slot, membership: Membership) {
         let node = &mut self.nodes[slot as usize];
-        let (key, before) = (node.key, std::mem::replace(&mut node.member, member));
-        if before == member {
+        let (key, before) = (node.key, std::mem::replace(&mut node.membership, membership));
+        if before == membership {
             return;
         }
-        let mut at = self.root;
-        while at != NONE {
-            let node = &mut self.nodes[at as usize];
-            for k in 0..SUBSETS {
-                node.counts[k] = node.counts[k] + u32::from(member[k]) - u32::from(before[k]);
+        let mut current = self.root;
+        while current != NONE {
+            let node = &mut self.nodes[current as usize];
+            for k in 0..SUBSET_COUNT {
+                node.counts[k] = node.counts[k] + u32::from(membership[k]) - u32::from(before[k]);
             }
-            at = match key.cmp(&node.key) {
+            current = match key.cmp(&node.key) {
                 std::cmp::Ordering::Equal => return,
                 std::cmp::Ordering::Less => node.left,
                 std::cmp::Ordering::Greater => node.right,
@@ -142,17 +148,17 @@
 
     /// Returns the member at a position of a subset, counted from 0 in the order of keys.
     pub fn at(&self, subset: Subset, position: usize) -> Option<Slot> {
-        let (mut at, mut position) = (self.root, position);
-        while let Some(node) = self.nodes.get(at as usize) {
+        let (mut current, mut position) = (self.root, position);
+        while let Some(node) = self.nodes.get(current as usize) {
             let left = self.count_below(node.left, subset);
-            let here = usize::from(node.member[subset as usize]);
+            let own_count = usize::from(node.membership[subset as usize]);
             if position < left {
-                at = node.left;
-            } else if position < left + here {
-                return Some(at);
+                current = node.left;
+            } else if position < left + own_count {
+                return Some(current);
             } else {
-                position -= left + here;
-                at = node.right;
+                position -= left + own_count;
+                current = node.right;
             }
         }
         None
@@ -160,13 +166,13 @@
 
     /// Returns the number of members of a subset whose key is smaller than the given one.
     pub fn rank(&self, subset: Subset, key: u64) -> usize {
-        let (mut at, mut rank) = (self.root, 0);
-        while let Some(node) = self.nodes.get(at as usize) {
+        let (mut current, mut rank) = (self.root, 0);
+        while let Some(node) = self.nodes.get(current as usize) {
             if key <= node.key {
-                at = node.left;
+                current = node.left;
             } else {
-                rank += self.count_below(node.left, subset) + usize::from(node.member[subset as usize]);
-                at = node.right;
+                rank += self.count_below(node.left, subset) + usize::from(node.membership[subset as usize]);
+                current = node.right;
             }
         }
         rank
@@ -174,15 +180,15 @@
 
     /// Returns all slots in the order of their keys.
     pub fn slots(&self) -> Vec<Slot> {
-        let (mut slots, mut ancestors, mut at) = (Vec::new(), Vec::new(), self.root);
+        let (mut slots, mut ancestors, mut current) = (Vec::new(), Vec::new(), self.root);
         loop {
-            while at != NONE {
-                ancestors.push(at);
-                at = self.nodes[at as usize].left;
+            while current != NONE {
+                ancestors.push(current);
+                current = self.nodes[current as usize].left;
             }
             let Some(slot) = ancestors.pop() else { return slots };
             slots.push(slot);
-            at = self.nodes[slot as usize].right;
+            current = self.nodes[slot as usize].right;
         }
     }
 
@@ -191,49 +197,49 @@
     pub fn depth(&self) -> usize {
         let (mut depth, mut level) = (0, vec![self.root]);
         loop {
-            level.retain(|at| *at != NONE);
+            level.retain(|slot| *slot != NONE);
             if level.is_empty() {
                 return depth;
             }
             depth += 1;
-            let children = |at: &Slot| [self.nodes[*at as usize].left, self.nodes[*at as usize].right];
+            let children = |slot: &Slot| [self.nodes[*slot as usize].left, self.nodes[*slot as usize].right];
             level = level.iter().flat_map(children).collect();
         }
     }
 
     /// Returns the number of members of a subset in a subtree.
-    fn count_below(&self, at: Slot, subset: Subset) -> usize {
-        self.nodes.get(at as usize).map_or(0, |node| node.counts[subset as usize] as usize)
+    fn count_below(&self, root: Slot, subset: Subset) -> usize {
+        self.nodes.get(root as usize).map_or(0, |node| node.counts[subset as usize] as usize)
     }
 
     /// Recomputes a node's member counts from its children.
-    fn recount(&mut self, at: Slot) {
-        let node = self.nodes[at as usize];
-        let mut counts = node.member.map(u32::from);
+    fn recount(&mut self, slot: Slot) {
+        let node = self.nodes[slot as usize];
+        let mut counts = node.membership.map(u32::from);
         for child in [node.left, node.right] {
             if let Some(child) = self.nodes.get(child as usize) {
-                (0..SUBSETS).for_each(|k| counts[k] += child.counts[k]);
+                (0..SUBSET_COUNT).for_each(|k| counts[k] += child.counts[k]);
             }
         }
-        self.nodes[at as usize].counts = counts;
+        self.nodes[slot as usize].counts = counts;
     }
 
     /// Splits a subtree into the keys below `key` and the remaining ones; returns the two roots.
-    fn split(&mut self, at: Slot, key: u64) -> (Slot, Slot) {
-        if at == NONE {
+    fn split(&mut self, root: Slot, key: u64) -> (Slot, Slot) {
+        if root == NONE {
             return (NONE, NONE);
         }
-        let node = self.nodes[at as usize];
+        let node = self.nodes[root as usize];
         if node.key < key {
             let (smaller, larger) = self.split(node.right, key);
-            self.nodes[at as usize].right = smaller;
-            self.recount(at);
-            (at, larger)
+            self.nodes[root as usize].right = smaller;
+            self.recount(root);
+            (root, larger)
         } else {
             let (smaller, larger) = self.split(node.left, key);
-            self.nodes[at as usize].left = larger;
-            self.recount(at);
-            (smaller, at)
+            self.nodes[root as usize].left = larger;
+            self.recount(root);
+            (smaller, root)
         }
     }
 
--- a/crates/core/src/endpoints/server_index.rs
+++ b/crates/core/src/endpoints/server_index.rs
@@ -88,10 +88,9 @@
     rules: ProtocolRules,
     /// Records by slot; a server keeps its slot while it is in the table.
     records: Vec<Server>,
-    /// Unused slots.
-    free: Vec<Slot>,
+    free_slots: Vec<Slot>,
     /// Slots in the order of the servers' ids, with membership of the subsets.
-    order: RankedTree,
+    slots_by_id: RankedTree,
     /// Ejected servers by the end of their ejection.
     ejected: BTreeSet<(Micros, Slot)>,
     /// Servers that warm up by start time, so that the first is the next to be warm.
@@ -124,7 +123,7 @@
 
     /// Returns the number of servers in the table, including removed ones with attempts in flight.
     pub fn len(&self) -> usize {
-        self.records.len() - self.free.len()
+        self.records.len() - self.free_slots.len()
     }
 
     /// Returns the number of servers in the endpoint list.
@@ -134,27 +133,27 @@
 
     /// Returns the number of members of a subset as of the last [`Self::advance`].
     pub fn count(&self, subset: Subset) -> usize {
-        self.order.count(subset)
+        self.slots_by_id.count(subset)
     }
 
     /// Returns the member at a position of a subset in the order of ids.
     pub fn at(&self, subset: Subset, position: usize) -> Option<&Server> {
-        self.order.at(subset, position).map(|slot| self.record(slot))
+        self.slots_by_id.at(subset, position).map(|slot| self.record(slot))
     }
 
     /// Returns the number of members of a subset whose id is below that of a server.
     pub fn rank(&self, subset: Subset, id: ServerId) -> usize {
-        self.order.rank(subset, id.0)
+        self.slots_by_id.rank(subset, id.0)
     }
 
     /// Returns the record of a server, if it is in the table.
     pub fn get(&self, id: ServerId) -> Option<&Server> {
-        self.order.find(id.0).map(|slot| self.record(slot))
+        self.slots_by_id.find(id.0).map(|slot| self.record(slot))
     }
 
     /// Returns all records in the order of ids, in time linear in the size of the table.
     pub fn iter(&self) -> impl Iterator<Item = &Server> {
-        self.order.slots().into_iter().map(|slot| self.record(slot))
+        self.slots_by_id.slots().into_iter().map(|slot| self.record(slot))
     }
 
     /// Returns each ready server of a site once, starting at a fraction (0 to 1) of the table.
@@ -218,7 +217,7 @@
     pub fn unlisted(&mut self, list: &[Endpoint]) -> Vec<ServerId> {
         let additional = list.len().saturating_sub(self.len());
         self.records.reserve(additional);
-        self.order.reserve(additional);
+        self.slots_by_id.reserve(additional);
         let listed: BTreeSet<ServerId> = list.iter().map(|endpoint| endpoint.server).collect();
         self.iter().map(|server| server.endpoint.server).filter(|id| !listed.contains(id)).collect()
     }
@@ -246,7 +245,7 @@
         id: ServerId,
         change: impl FnOnce(&mut Server) -> R,
     ) -> Option<R> {
-        let slot = self.order.find(id.0)?;
+        let slot = self.slots_by_id.find(id.0)?;
         let before = IndexedFields::of(self.record(slot));
         let result = change(&mut self.records[slot as usize]);
         self.reindex(now, slot, before);
@@ -256,17 +255,17 @@
     /// Inserts the record of a server, or replaces the existing one.
     pub fn insert(&mut self, now: Micros, server: Server) {
         let id = server.endpoint.server;
-        if self.order.find(id.0).is_some() {
+        if self.slots_by_id.find(id.0).is_some() {
             self.update(now, id, |known| *known = server);
             return;
         }
-        let slot = self.free.pop().unwrap_or(self.records.len() as Slot);
+        let slot = self.free_slots.pop().unwrap_or(self.records.len() as Slot);
         if slot as usize == self.records.len() {
             self.records.push(server);
         } else {
             self.records[slot as usize] = server;
         }
-        self.order.insert(slot, id.0);
+        self.slots_by_id.insert(slot, id.0);
         self.reindex(now, slot, IndexedFields::ABSENT);
     }
 
@@ -278,8 +277,8 @@
             self.ejected.remove(&(server.health.ejected_until(), slot));
             self.warming_up.remove(&(server.endpoint.started_at, slot));
             self.service_time_sum_us -= server.service_time_us;
-            self.order.remove(server.endpoint.server.0);
-            self.free.push(slot);
+            self.slots_by_id.remove(server.endpoint.server.0);
+            self.free_slots.push(slot);
         }
     }
 
@@ -336,7 +335,7 @@
         let ready = server.endpoint.state == EndpointState::Ready;
         let healthy = ready && !self.ejected.contains(&(server.health.ejected_until(), slot));
         let warmed_up = healthy && !self.warming_up.contains(&(server.endpoint.started_at, slot));
-        self.order.set_membership(slot, [ready, healthy, warmed_up]);
+        self.slots_by_id.set_membership(slot, [ready, healthy, warmed_up]);
     }
 }
 
--- a/crates/core/src/gossip/mod.rs
+++ b/crates/core/src/gossip/mod.rs
@@ -55,11 +55,11 @@
     /// Handles a message from another gateway; ignores malformed messages and unknown senders.
     pub(crate) fn receive_gossip(&mut self, now: Micros, from: usize, message: &[u8]) {
         let is_peer = from < self.settings.gateway_count && from != self.settings.gateway_index;
-        let phase = self.random_source.next_fraction();
+        let random_fraction = self.random_source.next_fraction();
         let Some(message) = decode(message).filter(|_| is_peer) else { return };
         self.gossip.record_received(now, from);
         for entry in message.entries {
-            self.apply_peer_usage(now, from, message.incarnation, &entry, phase);
+            self.apply_peer_usage(now, from, message.incarnation, &entry, random_fraction);
         }
     }
 
@@ -70,7 +70,7 @@
         from: usize,
         incarnation: u32,
         entry: &CustomerUsage,
-        phase: f64,
+        random_fraction: f64,
     ) {
         let first_gateway = self.customers.get(entry.customer).map_or(from, |known| known.first_gateway);
         self.ensure_customer(now, entry.customer, entry.plan, entry.gateway_count, first_gateway);
@@ -81,7 +81,7 @@
         }
         customer.refill(now, 0.0, UsageSource::Exact);
         if !is_full_mesh {
-            customer.record_demand(now, entry.demand.min(MAX_DEMAND), phase);
+            customer.record_demand(now, entry.demand.min(MAX_DEMAND), random_fraction);
             return;
         }
         let units = customer.peer_usage.record(from, incarnation, entry.total_eighths);
--- a/crates/core/src/quota/counter_calls.rs
+++ b/crates/core/src/quota/counter_calls.rs
@@ -34,9 +34,9 @@
 /// start of the window.
 const CUSTOMER_BITS: u32 = 33;
 
-/// A call of the shared counter in flight.
+/// A call of the shared counter for one customer.
 #[derive(Clone, Copy)]
-pub(crate) struct PendingCall {
+pub(crate) struct CounterCall {
     /// Customer whose usage the call reports.
     pub customer: CustomerId,
     /// Start of the window whose key is called.
@@ -46,7 +46,7 @@
     pub current_window_start: Micros,
 }
 
-impl PendingCall {
+impl CounterCall {
     /// Returns the counter's key, which is the same for a customer and window at all gateways.
     pub fn key(&self) -> CounterId {
         CounterId(self.customer.0 ^ (self.window_start / 1_000) << CUSTOMER_BITS)
@@ -70,7 +70,7 @@
     /// Divisor of a call's timeout that gives the time within which a reply is quick.
     quick_reply_divisor: Micros,
     /// Calls in flight, by counter key.
-    pending: BTreeMap<CounterId, PendingCall>,
+    in_flight: BTreeMap<CounterId, CounterCall>,
 }
 
 impl CounterCalls {
@@ -135,14 +135,14 @@
     }
 
     /// Records a call that is being sent.
-    pub fn begin(&mut self, call: PendingCall) {
+    pub fn begin(&mut self, call: CounterCall) {
         self.balance -= 1.0;
-        self.pending.insert(call.key(), call);
+        self.in_flight.insert(call.key(), call);
     }
 
     /// Removes and returns the call in flight for a key, which has ended.
-    pub fn end(&mut self, key: CounterId) -> Option<PendingCall> {
-        self.pending.remove(&key)
+    pub fn end(&mut self, key: CounterId) -> Option<CounterCall> {
+        self.in_flight.remove(&key)
     }
 
     /// Returns whether a reply after the time `elapsed` is quick.
--- a/crates/core/src/quota/counter_reply.rs
+++ b/crates/core/src/quota/counter_reply.rs
@@ -7,7 +7,7 @@
 use crate::customer::{Customer, UsageSource};
 use crate::decaying_rate::seconds;
 use crate::gateway::Gateway;
-use crate::quota::counter_calls::PendingCall;
+use crate::quota::counter_calls::CounterCall;
 use crate::quota::MAX_DEMAND;
 
 /// Demand, in multiples of the quota, that is assumed for a customer whose bucket is empty by the counter's
@@ -55,7 +55,7 @@
     fn apply_total(
         &mut self,
         now: Micros,
-        call: PendingCall,
+        call: CounterCall,
         counter_total: CounterTotal,
         random_fraction: f64,
         actions: &mut Vec<Action>,
@@ -70,7 +70,7 @@
         } else if counter_total.before() == 0.0 && may_carry_over_deficit(customer, now, call.window_start) {
             // The first call in a window looks up the deficit that the previous window left.
             customer.counter.begin_lookup(counter_total.total);
-            let lookup = PendingCall { window_start: call.window_start - COUNTER_KEY_LIFETIME, ..call };
+            let lookup = CounterCall { window_start: call.window_start - COUNTER_KEY_LIFETIME, ..call };
             self.send_counter_call(lookup, 0.0, actions);
         } else {
             let elapsed = now - call.window_start;
--- a/crates/core/src/quota/counter_report.rs
+++ b/crates/core/src/quota/counter_report.rs
@@ -3,7 +3,7 @@
 use crate::api::{Action, CustomerId, Micros};
 use crate::customer::counter_account::COUNTER_KEY_LIFETIME;
 use crate::gateway::Gateway;
-use crate::quota::counter_calls::PendingCall;
+use crate::quota::counter_calls::CounterCall;
 
 /// Maximum number of customers that a tick visits; the others wait for the next one.
 const MAX_CUSTOMERS_PER_TICK: usize = 1_000;
@@ -28,7 +28,7 @@
         let amount = customer.counter.begin_call(reserve);
         let window_start = customer.counter_window_start(now, id);
         self.send_counter_call(
-            PendingCall { customer: id, window_start, current_window_start: window_start },
+            CounterCall { customer: id, window_start, current_window_start: window_start },
             amount,
             actions,
         );
@@ -36,7 +36,7 @@
     }
 
     /// Sends a call to the counter.
-    pub(crate) fn send_counter_call(&mut self, call: PendingCall, amount: f64, actions: &mut Vec<Action>) {
+    pub(crate) fn send_counter_call(&mut self, call: CounterCall, amount: f64, actions: &mut Vec<Action>) {
         self.counter_calls.begin(call);
         actions.push(Action::AddToCounter { counter: call.key(), amount, ttl: COUNTER_KEY_LIFETIME });
     }
--- a/crates/core/src/quota/usage_report.rs
+++ b/crates/core/src/quota/usage_report.rs
@@ -38,7 +38,7 @@
         reported_usage: Option<f64>,
         settled_units: Option<f64>,
     ) {
-        let phase = self.random_source.next_fraction();
+        let random_fraction = self.random_source.next_fraction();
         let Some(request) = self.requests.get(&id) else { return };
         let customer_id = request.customer;
         let reported =
@@ -51,7 +51,7 @@
         let Some(usage) = reported_usage.filter(is_usable) else { return };
         self.usage_reported_at = now;
         let period_s = seconds(self.settings.capabilities.usage_report_period.unwrap_or(0));
-        let exceeds_quota = update_demand(customer, now, usage, period_s, reported.units, phase);
+        let exceeds_quota = update_demand(customer, now, usage, period_s, reported.units, random_fraction);
         if exceeds_quota && !self.gossip.is_full_mesh() {
             self.publish(customer_id);
         }
@@ -76,7 +76,7 @@
     usage: f64,
     period_s: f64,
     units: f64,
-    phase: f64,
+    random_fraction: f64,
 ) -> bool {
     let rate = customer.plan.rate;
     if customer.is_served_by_few_gateways() && customer.demand.is_unknown() && usage >= FULL_USAGE {
@@ -92,7 +92,7 @@
     let requests_seen = usage * rate * period_s / units.max(1e-9);
     let weight = customer.demand.weight_of_report(now) * requests_seen / (requests_seen + PRIOR_REQUESTS);
     let demand = (before + weight * (usage * before.max(1.0) - before)).min(MAX_DEMAND);
-    customer.record_demand(now, demand, phase * units);
+    customer.record_demand(now, demand, random_fraction * units);
     let has_enough_requests = rate * period_s >= LOW_DEMAND_MIN_REQUESTS * units;
     customer
         .demand
--- a/crates/core/src/timer.rs
+++ b/crates/core/src/timer.rs
@@ -9,7 +9,7 @@
     Tick,
     /// The deadline of a request has passed.
     RequestDeadline(RequestId),
-    /// The longest queueing time of a request has passed.
+    /// The time at which a queued request leaves the queue has passed.
     QueueTimeout(RequestId),
 }
 
--- a/crates/core/tests/unit/ranked_tree.rs
+++ b/crates/core/tests/unit/ranked_tree.rs
@@ -19,7 +19,8 @@
     prop_oneof![
         3 => (0u64..60).prop_map(Step::Insert),
         1 => (0u64..60).prop_map(Step::Remove),
-        3 => (0u64..60, any::<[bool; 3]>()).prop_map(|(key, member)| Step::SetMembership(key, member)),
+        3 => (0u64..60, any::<[bool; 3]>())
+            .prop_map(|(key, membership)| Step::SetMembership(key, membership)),
     ]
 }
 
@@ -32,7 +33,7 @@
         assert_eq!(tree.find(key), model.get(&key).map(|(slot, _)| *slot));
     }
     for subset in SUBSETS {
-        let is_member = |(_, (_, member)): &(&u64, &(Slot, [bool; 3]))| member[subset as usize];
+        let is_member = |(_, (_, membership)): &(&u64, &(Slot, [bool; 3]))| membership[subset as usize];
         let members: Vec<(u64, Slot)> =
             model.iter().filter(is_member).map(|(key, (slot, _))| (*key, *slot)).collect();
         assert_eq!(tree.count(subset), members.len());
@@ -65,10 +66,10 @@
                     tree.remove(key);
                     model.remove(&key);
                 }
-                Step::SetMembership(key, member) => {
+                Step::SetMembership(key, membership) => {
                     if let Some((slot, known)) = model.get_mut(&key) {
-                        tree.set_membership(*slot, member);
-                        *known = member;
+                        tree.set_membership(*slot, membership);
+                        *known = membership;
                     }
                 }
                 Step::Insert(_) => {}
