--- a/crates/gateway/src/operations/mod.rs
+++ b/crates/gateway/src/operations/mod.rs
@@ -1,4 +1,4 @@
-//! What operators ask a running gateway: its health and its metrics.
+//! Health and metrics of a running gateway, for operators.
 
 pub mod request_counts;
 pub mod server;
--- a/crates/gateway/src/operations/request_counts.rs
+++ b/crates/gateway/src/operations/request_counts.rs
@@ -1,51 +1,48 @@
-//! The metrics of requests and attempts, counted from the start of the process.
+//! Metrics of requests and attempts since the start of the process.
 
 use grebehook_core::EndpointCounts;
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// How a request ended.
+/// Outcome of a request, by which the metrics count it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Served.
     Served,
-    /// Rejected.
     Rejected,
-    /// Failed.
     Failed,
 }
 
-/// The outcomes with their names in the metrics, in the order of [`RequestCounters::ended`].
+/// Outcomes with their label values in the metrics, in the column order of [`RequestCounters::ended`].
 const OUTCOMES: [(RequestOutcome, &str); 3] =
     [(RequestOutcome::Served, "ok"), (RequestOutcome::Rejected, "shed"), (RequestOutcome::Failed, "errors")];
 
-/// All counters of the process.
+/// Counters of requests and attempts in this process.
 pub struct RequestCounters {
-    /// The names of the classes, by their index in the settings.
+    /// Names of the request classes, by class index.
     classes: Vec<String>,
-    /// Requests ended, by class and outcome.
+    /// Number of completed requests, by class index and outcome.
     ended: RefCell<Vec<[u64; OUTCOMES.len()]>>,
-    /// Requests accepted and not ended.
+    /// Number of requests in progress.
     active: Cell<u64>,
-    /// Attempts that were written to servers completely.
+    /// Number of attempts whose request was written to a server completely.
     pub attempts: Rc<Cell<u64>>,
 }
 
 impl RequestCounters {
-    /// Counters at zero.
+    /// Creates counters for the classes with the given names, all at zero.
     pub fn new(classes: Vec<String>) -> Rc<RequestCounters> {
         let ended = RefCell::new(vec![Default::default(); classes.len()]);
         Rc::new(RequestCounters { classes, ended, active: Cell::new(0), attempts: Rc::default() })
     }
 
-    /// A request of a class was accepted. It is active until the guard is dropped.
+    /// Counts an accepted request of a class as active until the returned guard is dropped.
     pub fn begin(self: &Rc<Self>, class: usize) -> RequestCounterGuard {
         self.active.set(self.active.get() + 1);
         RequestCounterGuard { counters: self.clone(), class, outcome: Cell::new(RequestOutcome::Failed) }
     }
 
-    /// The metrics as operators read them.
+    /// Returns the metrics in text form, including the given endpoint counts.
     pub fn metrics_text(&self, endpoints: EndpointCounts) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
@@ -61,7 +58,7 @@
         text
     }
 
-    /// A request of a class ended.
+    /// Counts the end of a request of a class.
     fn end(&self, class: usize, outcome: RequestOutcome) {
         self.active.set(self.active.get() - 1);
         let column = OUTCOMES.iter().position(|(listed, _)| *listed == outcome);
@@ -72,18 +69,16 @@
     }
 }
 
-/// A request that was accepted. It is counted once, when this is dropped: as failed, unless another outcome was set.
+/// Guard that counts an accepted request once, when it is dropped: as failed, unless another outcome was set.
 pub struct RequestCounterGuard {
-    /// The counters of the process.
     counters: Rc<RequestCounters>,
-    /// The index of the request's class.
+    /// Index of the request's class.
     class: usize,
-    /// The outcome so far.
     outcome: Cell<RequestOutcome>,
 }
 
 impl RequestCounterGuard {
-    /// Sets how the request ends.
+    /// Sets the outcome that is counted when the guard is dropped.
     pub fn set_outcome(&self, outcome: RequestOutcome) {
         self.outcome.set(outcome);
     }
--- a/crates/gateway/src/operations/request_counts/tests.rs
+++ b/crates/gateway/src/operations/request_counts/tests.rs
@@ -1,7 +1,9 @@
+//! Tests of the request metrics.
+
 use super::{RequestCounters, RequestOutcome};
 use grebehook_core::EndpointCounts;
 
-/// A request counts where it ends and only there; one without an outcome has failed.
+/// Guards against requests that are counted before they end, or not as failed if they end without an outcome.
 #[test]
 fn request_is_counted_once_when_it_ends() {
     let counters = RequestCounters::new(vec!["a".into(), "b".into()]);
--- a/crates/gateway/src/operations/server.rs
+++ b/crates/gateway/src/operations/server.rs
@@ -1,4 +1,5 @@
-//! The operators' HTTP server: whether this process accepts clients, and its metrics. One request a connection.
+//! HTTP server for operators, which reports whether this process accepts clients and its metrics. A
+//! connection serves one request.
 
 use crate::clients::server::ClientServer;
 use crate::driver::decision_driver::DecisionDriver;
@@ -18,39 +19,39 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Most connections at a time. A further one closes the oldest.
+/// Maximum number of open connections; a further connection closes the oldest one.
 pub const MAX_CONNECTIONS: usize = 16;
-/// The time that the oldest connection has had before it is closed: a request takes less, so the connection is idle.
+/// Minimum age at which the oldest connection is closed for a new one. A request takes less time, so the
+/// connection is idle.
 const MIN_CONNECTION_TIME: Duration = Duration::from_millis(100);
-/// How long a connection may take over its request.
+/// Timeout of a connection, from `accept` to the end of its request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// The delay after an accept error.
+/// Delay after an `accept` error.
 const ACCEPT_ERROR_DELAY: Duration = Duration::from_millis(20);
-/// The smallest read buffer that hyper allows.
+/// Size limit of a connection's read buffer, the smallest one that hyper allows.
 const MAX_BUFFER_BYTES: usize = 8 << 10;
-/// The path that reports whether this process accepts clients.
+/// HTTP path that reports whether this process accepts clients.
 const HEALTH_PATH: &str = "/admin/health";
-/// The path of the metrics.
+/// HTTP path of the metrics.
 const METRICS_PATH: &str = "/admin/stats";
 
-/// An open connection.
+/// Open connection of an operator.
 struct OperatorConnection {
-    /// When it was accepted.
+    /// Time at which the connection was accepted.
     accepted_at: Instant,
-    /// Closes it.
+    /// Handle that closes the connection.
     task: AbortHandle,
 }
 
-/// Answers operators.
+/// HTTP server for operators.
 pub struct OperationsServer {
-    /// The server whose health is reported.
+    /// Server whose health is reported.
     clients: Rc<ClientServer>,
-    /// The source of the metrics.
     driver: Rc<DecisionDriver>,
 }
 
 impl OperationsServer {
-    /// Reports on a client server and a decision driver.
+    /// Creates a server that reports the health of `clients` and the metrics of `driver`.
     pub fn new(clients: Rc<ClientServer>, driver: Rc<DecisionDriver>) -> Rc<OperationsServer> {
         Rc::new(OperationsServer { clients, driver })
     }
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Serves one connection.
+    /// Serves the request of a connection.
     async fn serve(self: Rc<Self>, stream: TcpStream) {
         let service = service_fn(|request| {
             let response = self.respond(&request);
@@ -86,11 +87,11 @@
             .keep_alive(false)
             .max_buf_size(MAX_BUFFER_BYTES)
             .serve_connection(TokioIo::new(Socket::new(stream)), service);
-        // An error concerns this connection only; hyper answers a malformed request by itself.
+        // An error concerns only this connection; hyper itself answers a malformed request.
         let _ = connection.await;
     }
 
-    /// The response to a request.
+    /// Returns the response to a request.
     fn respond(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         match request.uri().path() {
             HEALTH_PATH | METRICS_PATH if request.method() != Method::GET => method_not_allowed(),
@@ -102,14 +103,14 @@
     }
 }
 
-/// The response to a method other than GET.
+/// Returns the response to a method other than GET.
 fn method_not_allowed() -> Response<Full<Bytes>> {
     let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, "GET only\n");
     response.headers_mut().insert(ALLOW, HeaderValue::from_static("GET"));
     response
 }
 
-/// A response of plain text.
+/// Returns a plain-text response.
 fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
--- a/crates/gateway/tests/logging.rs
+++ b/crates/gateway/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The log: its two formats, and the rate limit on repeated faults.
+//! Tests of the log: its two formats, and the rate limit on repeated errors.
 
 #[path = "../src/network/repeat_limiter.rs"]
 mod repeat_limiter;
@@ -8,8 +8,8 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The log of a start without a configuration, in the format that the environment names.
-fn log(format: Option<&str>) -> String {
+/// Returns the log of a gateway started without a configuration, with `GW_LOG_FORMAT` set to `format`.
+fn startup_log(format: Option<&str>) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_grebehook"));
     command
         .env_remove("GW_CONFIG")
@@ -23,7 +23,7 @@
 #[test]
 fn text_line_has_timestamp_level_and_message() {
     for format in [None, Some("text"), Some("")] {
-        let log = log(format);
+        let log = startup_log(format);
         let line: Vec<&str> = log.trim_end().splitn(3, ' ').collect();
         assert!(line[0].starts_with("20") && line[0].ends_with('Z'), "{log}");
         assert_eq!(line[1], "ERROR");
@@ -33,7 +33,7 @@
 
 #[test]
 fn json_line_has_timestamp_level_and_message() {
-    let log = log(Some("json"));
+    let log = startup_log(Some("json"));
     assert_eq!(log.lines().count(), 1);
     let line: Value = serde_json::from_str(&log).unwrap();
     assert_eq!(line["level"], "ERROR");
@@ -43,7 +43,7 @@
 
 #[test]
 fn unknown_format_is_reported_and_the_log_is_text() {
-    let log = log(Some("xml"));
+    let log = startup_log(Some("xml"));
     assert_eq!(log.lines().count(), 2, "{log}");
     assert!(log.lines().next().unwrap().contains("WARN GW_LOG_FORMAT is neither"), "{log}");
 }
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn repeated_fault_is_logged_once_an_interval_with_the_number_suppressed() {
+fn repeated_error_is_logged_once_per_interval_with_the_number_suppressed() {
     let (limiter, start) = (RepeatLimiter::default(), Instant::now());
     assert_eq!(limiter.admit(start), Some(0));
     for millisecond in 1..=7 {
