--- a/crates/gateway/src/config/document.rs
+++ b/crates/gateway/src/config/document.rs
@@ -1,4 +1,4 @@
-//! The configuration of a gateway, read from its JSON file and the environment.
+//! Configuration of a gateway, read from a JSON file and the environment.
 
 use crate::config::file::{ConfigFile, NamedItem, TransportFile, TransportSettings};
 use crate::config::names::WireNames;
@@ -11,64 +11,65 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The environment variable that names the operators' address where the file does not.
+/// Environment variable with the listen address for operators, used if the file has none.
 const OPS_VARIABLE: &str = "GW_OPS";
-/// The gateway's name where the file gives none.
+/// Name of the gateway if the file has none.
 const DEFAULT_NAME: &str = "gateway";
-/// File descriptors where the file gives no limit.
+/// Limit on file descriptors if the file has none.
 const DEFAULT_DESCRIPTORS: f64 = 1_024.0;
-/// A lower limit in the file counts as this one.
+/// Minimum limit on file descriptors; a lower one in the file is raised to it.
 const MIN_DESCRIPTORS: f64 = 64.0;
-/// A higher limit in the file counts as this one.
+/// Maximum limit on file descriptors; a higher one in the file is lowered to it.
 const MAX_DESCRIPTORS: f64 = 65_536.0;
-/// Memory where the file gives no limit.
+/// Limit on memory, in megabytes, if the file has none.
 const DEFAULT_MEMORY_MB: f64 = 64.0;
-/// A lower limit in the file counts as this one.
+/// Minimum limit on memory, in megabytes; a lower one in the file is raised to it.
 const MIN_MEMORY_MB: f64 = 16.0;
-/// A higher limit in the file counts as this one.
+/// Maximum limit on memory, in megabytes; a higher one in the file is lowered to it.
 const MAX_MEMORY_MB: f64 = 65_536.0;
-/// The file gives memory in megabytes.
+/// Conversion factor for memory, which the file gives in megabytes.
 const BYTES_PER_MB: usize = 1_000_000;
-/// The units of one request where the file gives no limit: as many as the decision core can count.
+/// Limit on the units of one request if the file has none: the highest number that the decision core can
+/// count.
 const DEFAULT_MAX_UNITS: f64 = 1e6;
 
-/// Everything that the gateway reads at its start.
+/// Configuration of a gateway, read at startup.
 pub struct Config {
-    /// The gateway's name, for the log.
+    /// Name of the gateway in its log.
     pub name: String,
-    /// Where clients connect.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// Where operators connect; `None` where nobody does.
-    pub ops: Option<SocketAddr>,
-    /// The discovery agent.
+    /// Listen address for operators; `None` disables the operators' server.
+    pub operations_listen: Option<SocketAddr>,
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The shared counter, where there is one.
+    /// Address of the shared counter, if the gateway uses one.
     pub counter: Option<SocketAddr>,
-    /// Where gossip arrives; `None` where it is not allowed.
+    /// Listen address for gossip; `None` disables gossip.
     pub peer_listen: Option<SocketAddr>,
-    /// The gossip addresses of all gateways, by their numbers.
+    /// Gossip addresses of all gateways, by gateway index.
     pub peers: Vec<SocketAddr>,
-    /// The seed of random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Most file descriptors.
+    /// Limit on file descriptors.
     pub max_descriptors: usize,
-    /// Most memory.
+    /// Limit on memory, in bytes.
     pub max_memory_bytes: usize,
-    /// The endpoint list as this gateway last knew it.
+    /// Endpoint list as the gateway last knew it.
     pub known_endpoints: EndpointList,
-    /// Most units that one request may take.
+    /// Limit on the units of one request.
     pub max_units: f64,
-    /// The settings of the decision core.
+    /// Settings of the decision core.
     pub settings: Settings,
-    /// The names that messages carry.
+    /// Names of classes, plans and zones in messages.
     pub names: WireNames,
-    /// How long a connection to a server may take to be established.
+    /// Timeout for establishing a connection to a server.
     pub connect_timeout: Duration,
-    /// After how long servers close idle connections.
+    /// Idle time after which servers close a connection.
     pub server_idle_timeout: Duration,
 }
 
-/// The field of the settings that the decision core rejects, by its path in the file.
+/// Error of the settings that the decision core rejects; names the field by its path below `settings`.
 #[derive(Debug, thiserror::Error)]
 #[error("settings: {0}")]
 pub struct RejectedSettings(FieldError);
@@ -79,19 +80,14 @@
     }
 }
 
-/// Why the configuration cannot be used.
+/// Error that makes the configuration unusable.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
     #[error("{} cannot be read", path.display())]
-    Unreadable {
-        /// The file.
-        path: PathBuf,
-        /// Why not.
-        source: io::Error,
-    },
-    /// The file is not JSON.
-    #[error("the configuration is not JSON")]
+    Unreadable { path: PathBuf, source: io::Error },
+    /// The file is not valid JSON.
+    #[error("the configuration is not valid JSON")]
     NotJson(#[source] serde_json::Error),
     /// A field of the file is missing or malformed.
     #[error(transparent)]
@@ -99,25 +95,25 @@
     /// The decision core rejects the settings.
     #[error(transparent)]
     Settings(#[from] RejectedSettings),
-    /// The environment names no valid address for operators.
-    #[error("{OPS_VARIABLE} is not valid")]
+    /// The environment variable for the operators' address does not contain a valid address.
+    #[error("{OPS_VARIABLE} is not a valid socket address")]
     OpsVariable(#[source] AddrParseError),
 }
 
 impl Config {
-    /// Reads a file. The environment adds the operators' address if the file does not name it.
+    /// Reads a configuration file. If it has no operators' address, the one in the environment applies.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
         let unreadable = |source| ConfigError::Unreadable { path: path.to_owned(), source };
         let text = std::fs::read_to_string(path).map_err(unreadable)?;
         let document = serde_json::from_str(&text).map_err(ConfigError::NotJson)?;
         let mut config = Config::from_document(&document)?;
-        if let (None, Ok(ops)) = (config.ops, std::env::var(OPS_VARIABLE)) {
-            config.ops = Some(ops.parse().map_err(ConfigError::OpsVariable)?);
+        if let (None, Ok(address)) = (config.operations_listen, std::env::var(OPS_VARIABLE)) {
+            config.operations_listen = Some(address.parse().map_err(ConfigError::OpsVariable)?);
         }
         Ok(config)
     }
 
-    /// Reads the file's JSON.
+    /// Reads a configuration from the JSON document of its file.
     pub fn from_document(document: &Value) -> Result<Config, ConfigError> {
         let file: ConfigFile = fields::read(document)?;
         let transport = fields::read::<TransportFile>(document)?.settings;
@@ -125,11 +121,11 @@
             |error: FieldError| FieldError { path: format!("settings.{}", error.path), ..error };
         let settings = file.settings.settings().map_err(in_settings)?;
         let limits = file.limits.unwrap_or_default();
-        let names = names(&transport);
+        let names = wire_names(&transport);
         Ok(Config {
             name: file.name.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
             listen: file.listen,
-            ops: file.ops,
+            operations_listen: file.operations_listen,
             discovery: file.discovery,
             counter: file.counter,
             peer_listen: file.peer_listen,
@@ -146,36 +142,37 @@
         })
     }
 
-    /// The longest time that the settings let a client wait.
+    /// Returns the longest deadline of any request class.
     pub fn longest_deadline(&self) -> Duration {
         let deadlines = self.settings.classes.iter().map(|class| Duration::from_micros(class.deadline));
         deadlines.max().unwrap_or_default()
     }
 
-    /// How long a call of the shared counter may take: as long as the settings say, or else as a connection.
+    /// Returns the timeout of a call of the shared counter: the one in the settings, or else the connect
+    /// timeout.
     pub fn counter_timeout(&self) -> Duration {
         let configured = self.settings.capabilities.counter_timeout;
         configured.map_or(self.connect_timeout, Duration::from_micros)
     }
 }
 
-/// The limit on file descriptors, within its bounds.
+/// Returns the limit on file descriptors, clamped to its bounds.
 fn max_descriptors(configured: Option<f64>) -> usize {
     configured.unwrap_or(DEFAULT_DESCRIPTORS).clamp(MIN_DESCRIPTORS, MAX_DESCRIPTORS) as usize
 }
 
-/// The limit on memory, within its bounds.
+/// Returns the limit on memory in bytes, clamped to its bounds.
 fn max_memory_bytes(configured_mb: Option<f64>) -> usize {
     configured_mb.unwrap_or(DEFAULT_MEMORY_MB).clamp(MIN_MEMORY_MB, MAX_MEMORY_MB) as usize * BYTES_PER_MB
 }
 
-/// The limit on the units of one request, if it is usable.
+/// Returns the configured limit on the units of one request, or the default if it is not finite and positive.
 fn max_units(configured: Option<f64>) -> f64 {
     configured.filter(|units| units.is_finite() && *units > 0.0).unwrap_or(DEFAULT_MAX_UNITS)
 }
 
-/// The names that the settings define.
-fn names(settings: &TransportSettings) -> WireNames {
+/// Returns the names that the settings define.
+fn wire_names(settings: &TransportSettings) -> WireNames {
     let names_of = |items: &[NamedItem]| items.iter().map(|NamedItem(name)| name.clone()).collect();
     WireNames {
         classes: names_of(&settings.classes),
--- a/crates/gateway/src/config/file.rs
+++ b/crates/gateway/src/config/file.rs
@@ -1,5 +1,5 @@
-//! The JSON of the configuration file; unknown keys are ignored. The file's names are mapped to the code's terms
-//! here.
+//! JSON form of the configuration file, which maps the names in the file to the code's terms. Unknown keys
+//! are ignored.
 
 use crate::control::endpoint_list::EndpointListMessage;
 use grebehook_simulator_adapter::fields;
@@ -11,69 +11,70 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The durations that are valid: from a microsecond to some days.
-const VALID_MICROS: Range<f64> = 1.0..1e12;
+/// Range of valid durations in microseconds: from 1 µs to less than 1e12 µs, about 11.6 days.
+const VALID_DURATION_MICROS: Range<f64> = 1.0..1e12;
 
-/// The file, except for what [`TransportFile`] reads of its settings.
+/// Configuration file, except for the part of its settings that [`TransportFile`] reads.
 #[derive(Debug, Deserialize)]
 pub struct ConfigFile {
-    /// The gateway's name.
+    /// Name of the gateway in its log.
     pub name: Option<String>,
-    /// Where clients connect.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// Where operators connect.
-    pub ops: Option<SocketAddr>,
-    /// The discovery agent.
+    /// Listen address for operators.
+    #[serde(rename = "ops")]
+    pub operations_listen: Option<SocketAddr>,
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The shared counter.
+    /// Address of the shared counter.
     pub counter: Option<SocketAddr>,
-    /// Where gossip arrives.
+    /// Listen address for gossip.
     pub peer_listen: Option<SocketAddr>,
-    /// The gossip addresses of all gateways, by their numbers.
+    /// Gossip addresses of all gateways, by gateway index.
     pub peers: Option<Vec<SocketAddr>>,
-    /// The seed of random numbers: 64 bits in hexadecimal.
+    /// Seed of the random number generators: 64 bits in hexadecimal.
     #[serde(deserialize_with = "hexadecimal")]
     pub seed: u64,
-    /// What the process may use of its machine.
+    /// Limits on the resources of the process.
     pub limits: Option<ProcessLimits>,
-    /// The endpoint list as this gateway last knew it.
+    /// Endpoint list as the gateway last knew it.
     #[serde(rename = "known")]
     pub known_endpoints: EndpointListMessage,
-    /// The settings of the decision core.
+    /// Settings of the decision core.
     pub settings: SettingsMessage,
 }
 
-/// What the process may use of its machine.
+/// Limits on the resources of the process.
 #[derive(Debug, Default, Deserialize)]
 pub struct ProcessLimits {
-    /// Most file descriptors.
+    /// Limit on file descriptors.
     #[serde(rename = "sockets")]
     pub max_descriptors: Option<f64>,
-    /// Most memory, in megabytes.
+    /// Limit on memory, in megabytes.
     #[serde(rename = "memory_mb")]
     pub max_memory_mb: Option<f64>,
 }
 
-/// The same file, read for what its settings say about names and connections.
+/// View of the same file that reads the names and connection limits in its settings.
 #[derive(Debug, Deserialize)]
 pub struct TransportFile {
-    /// The settings.
+    /// Part of the settings that the gateway program uses.
     pub settings: TransportSettings,
 }
 
-/// The settings that concern the gateway program and not the decision core.
+/// Settings that the gateway program uses itself rather than the decision core.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct TransportSettings {
-    /// The classes.
+    /// Request classes, in index order.
     pub classes: Vec<NamedItem>,
-    /// The plans.
+    /// Customers' plans, in index order.
     pub plans: Vec<NamedItem>,
-    /// The zones.
+    /// Zones of gateways and servers, in index order.
     pub zones: Vec<NamedItem>,
     /// Limits of connections to servers.
     pub limits: ConnectionLimits,
-    /// The customers' interface.
+    /// Properties of the interface that customers use.
     #[serde(rename = "familyInfo", default, deserialize_with = "fields::lenient_object")]
     pub customer_interface: CustomerInterface,
 }
@@ -81,24 +82,24 @@
 /// Limits of connections to servers.
 #[derive(Debug, Deserialize)]
 pub struct ConnectionLimits {
-    /// How long a connection may take to be established.
+    /// Timeout for establishing a connection.
     #[serde(rename = "connectTimeoutUs", deserialize_with = "positive_micros")]
     pub connect_timeout: Duration,
-    /// After how long servers close idle connections.
+    /// Idle time after which servers close a connection.
     #[serde(rename = "connIdleUs", deserialize_with = "positive_micros")]
     pub server_idle_timeout: Duration,
 }
 
-/// What the customers' interface says about requests.
+/// Properties of the interface that customers use.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct CustomerInterface {
-    /// Most units that one request may take.
+    /// Limit on the units of one request.
     #[serde(deserialize_with = "fields::lenient")]
     pub max_units: Option<f64>,
 }
 
-/// The name of an item that is written as a string, or as an object with a name among other keys.
+/// Name of an item, written as a string or as an object with the key `name`.
 #[derive(Debug)]
 pub struct NamedItem(pub String);
 
@@ -110,17 +111,17 @@
     }
 }
 
-/// A 64-bit number in hexadecimal.
+/// Deserializes a 64-bit number in hexadecimal.
 fn hexadecimal<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
-    let not_hexadecimal = || D::Error::custom("is no text of up to 16 hexadecimal digits");
+    let not_hexadecimal = || D::Error::custom("is not a string of up to 16 hexadecimal digits");
     let text = String::deserialize(deserializer).map_err(|_| not_hexadecimal())?;
     u64::from_str_radix(&text, 16).map_err(|_| not_hexadecimal())
 }
 
-/// A duration in microseconds, within [`VALID_MICROS`].
+/// Deserializes a duration in microseconds, within [`VALID_DURATION_MICROS`].
 fn positive_micros<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     let micros = fields::number(deserializer)?;
-    if !VALID_MICROS.contains(&micros) {
+    if !VALID_DURATION_MICROS.contains(&micros) {
         return Err(D::Error::custom("is not between 1 and 1e12 microseconds"));
     }
     Ok(Duration::from_micros(micros as u64))
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The command line and the configuration.
+//! Command line, configuration file and validation.
 
 pub mod check;
 pub mod command_line;
--- a/crates/gateway/src/config/names.rs
+++ b/crates/gateway/src/config/names.rs
@@ -1,12 +1,12 @@
-//! The names of classes, plans and zones. Messages carry the names; the decision core knows their indices.
+//! Names of classes, plans and zones. Messages carry names, while the decision core uses indices.
 
-/// The names that the settings define, in the order of their indices.
+/// Names defined by the settings, each list in index order.
 #[derive(Clone)]
 pub struct WireNames {
-    /// Classes.
+    /// Names of the request classes.
     pub classes: Vec<String>,
-    /// Plans.
+    /// Names of the customers' plans.
     pub plans: Vec<String>,
-    /// Zones.
+    /// Names of the zones of gateways and servers.
     pub zones: Vec<String>,
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -45,7 +45,7 @@
 fn main() -> ExitCode {
     let command_line = CommandLine::parse();
     if let Some(file) = &command_line.check {
-        return check(file);
+        return check_config(file);
     }
     logging::start();
     let Some(path) = command_line.config_path() else {
@@ -69,15 +69,15 @@
     }
 }
 
-/// Prints the faults of a configuration.
-fn check(path: &Path) -> ExitCode {
-    let faults = config::check::faults_of_file(path);
+/// Prints the errors of a configuration file and returns the exit code of `--check`.
+fn check_config(path: &Path) -> ExitCode {
+    let errors = config::check::validate_file(path);
     let mut output = std::io::stdout().lock();
-    for fault in &faults {
+    for error in &errors {
         // If the reader of a pipe has closed it, the exit code still gives the result.
-        let _ = writeln!(output, "{fault}");
+        let _ = writeln!(output, "{error}");
     }
-    if faults.is_empty() {
+    if errors.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(EXIT_BAD_CONFIGURATION)
@@ -100,7 +100,7 @@
     let resources = ResourceBudget::new(&config);
     let Services { driver, counter, discovery_agent } = services::start(&mut config, &resources).await?;
     let name = config.name.clone();
-    let ops = config.ops;
+    let operations_listen = config.operations_listen;
 
     let listener: ClientListener = tokio::select! {
         // The predecessor may have handed over already; its clients are shut down gracefully like any others.
@@ -114,8 +114,8 @@
     spawn_local(Reload { path, discovery_agent, counter }.run(signals.reload));
     let clients = client_server(config, &resources, &driver);
     info!(gateway = %name, %address, "accepting clients");
-    if let Some(ops) = ops {
-        serve_operators(&name, ops, &clients, &driver).await?;
+    if let Some(address) = operations_listen {
+        serve_operators(&name, address, &clients, &driver).await?;
     }
 
     let stop = &mut signals.stop;
