--- a/crates/gateway/src/control/counter.rs
+++ b/crates/gateway/src/control/counter.rs
@@ -1,4 +1,4 @@
-//! The client of the shared counter.
+//! HTTP client of the shared counter.
 
 use crate::servers::connection::{OpenConnectionGuard, ServerConnection, ServerConnectionIo};
 use bytes::Bytes;
@@ -16,54 +16,59 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout_at;
 
-/// Most connections at a time: well below what the counter accepts and what the descriptor limit reserves for it.
+/// Maximum number of open connections: well below what the counter accepts and what the descriptor limit
+/// reserves for it.
 const MAX_CONNECTIONS: usize = 16;
-/// A connection that has been idle for longer is not reused: the counter may close it just as a call is written,
-/// and it would be unknown whether the amount was added.
-const MAX_IDLE: Duration = Duration::from_secs(2);
-/// Largest reply that is read; a total is a short text.
+/// Maximum idle time of a connection that is reused. The counter may close one that has been idle for longer
+/// just as a call is written, which leaves it unknown whether the amount was added.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(2);
+/// Maximum size of a reply body; a total is a short decimal number.
 const MAX_REPLY_BYTES: usize = 256;
 
-/// A connection to the counter.
+/// HTTP connection to the counter.
 struct CounterConnection {
-    /// Sends calls over it.
     sender: SendRequest<Empty<Bytes>>,
-    /// Reports how much of a call was written.
-    link: Rc<ServerConnection>,
-    /// The counter's address.
+    /// Underlying connection, which tracks how much of a call has been written.
+    transport: Rc<ServerConnection>,
     address: SocketAddr,
-    /// When its last reply was received.
+    /// Time at which the last reply was received.
     idle_since: Instant,
 }
 
-/// The counter's address and the idle connections to it.
+/// Client of the shared counter, with a pool of idle connections.
 pub struct SharedCounter {
-    /// Where new calls go.
+    /// Address to which new calls are sent.
     address: Cell<SocketAddr>,
-    /// How long a call may take.
+    /// Timeout of a call, including the time to connect.
     timeout: Duration,
-    /// How many connections are open, idle or not.
-    open: Rc<Cell<usize>>,
-    /// Connections without a call.
-    idle: RefCell<Vec<CounterConnection>>,
+    /// Number of open connections, idle or in use.
+    open_connections: Rc<Cell<usize>>,
+    idle_connections: RefCell<Vec<CounterConnection>>,
 }
 
 impl SharedCounter {
-    /// A counter at an address, with no connection yet.
+    /// Creates a client without opening a connection.
     pub fn new(address: SocketAddr, timeout: Duration) -> SharedCounter {
-        SharedCounter { address: Cell::new(address), timeout, open: Rc::default(), idle: RefCell::default() }
+        SharedCounter {
+            address: Cell::new(address),
+            timeout,
+            open_connections: Rc::default(),
+            idle_connections: RefCell::default(),
+        }
     }
 
-    /// Sends calls to another address from now on; those in flight end at the old one. Returns whether it changed.
-    pub fn relocate(&self, address: SocketAddr) -> bool {
+    /// Sets the address for new calls; calls in flight complete at the previous one. Returns whether the
+    /// address changed.
+    pub fn set_address(&self, address: SocketAddr) -> bool {
         let changed = self.address.replace(address) != address;
         if changed {
-            self.idle.borrow_mut().clear();
+            self.idle_connections.borrow_mut().clear();
         }
         changed
     }
 
-    /// Adds to a key once. Returns the event that reports how the call ended.
+    /// Adds `amount` to the total of a counter, at most once. Returns the event that reports the outcome of
+    /// the call.
     pub async fn add(&self, counter: CounterId, amount: f64, ttl: Micros) -> Event {
         let start = Instant::now();
         let result = self.call(counter, amount, ttl, start + self.timeout).await;
@@ -71,12 +76,13 @@
         Event::CounterReplied { counter, result, elapsed }
     }
 
-    /// Makes a call over an idle connection or else a new one.
+    /// Makes a call over an idle connection, or over a new one if none is usable.
     async fn call(&self, counter: CounterId, amount: f64, ttl: Micros, deadline: Instant) -> CounterResult {
         let uri = format!("/v2/numbers/{:x}?delta={amount}&life_ms={}", counter.0, ttl.div_ceil(1_000));
         let Ok(uri) = Uri::try_from(uri) else { return CounterResult::Refused };
         while let Some(connection) = self.take_idle() {
-            // The counter may have closed an idle connection; the call can be repeated if none of it was written.
+            // The counter may have closed the idle connection; the call is retried only if none of it was
+            // written.
             if let Some(result) = self.call_over(connection, &uri, deadline).await {
                 return result;
             }
@@ -87,58 +93,59 @@
         self.call_over(connection, &uri, deadline).await.unwrap_or(CounterResult::Refused)
     }
 
-    /// The most recently used idle connection that is still usable.
+    /// Removes and returns the most recently used idle connection that is still usable.
     fn take_idle(&self) -> Option<CounterConnection> {
-        let mut idle = self.idle.borrow_mut();
+        let mut idle = self.idle_connections.borrow_mut();
         idle.retain(|connection| {
-            !connection.sender.is_closed() && connection.idle_since.elapsed() < MAX_IDLE
+            !connection.sender.is_closed() && connection.idle_since.elapsed() < MAX_IDLE_TIME
         });
         let last = idle.iter().rposition(|connection| connection.sender.is_ready())?;
         Some(idle.remove(last))
     }
 
-    /// A new connection; `None` if it cannot be established or there are too many.
+    /// Opens a connection; returns `None` if it cannot be established or [`MAX_CONNECTIONS`] are open.
     async fn connect(&self) -> Option<CounterConnection> {
-        if self.open.get() >= MAX_CONNECTIONS {
+        if self.open_connections.get() >= MAX_CONNECTIONS {
             return None;
         }
-        let guard = OpenConnectionGuard::new(&self.open);
+        let guard = OpenConnectionGuard::new(&self.open_connections);
         let address = self.address.get();
         let stream = TcpStream::connect(address).await.ok()?;
         stream.set_nodelay(true).ok()?;
-        let link = ServerConnection::new(stream, guard);
-        let io = TokioIo::new(ServerConnectionIo(link.clone()));
+        let transport = ServerConnection::new(stream, guard);
+        let io = TokioIo::new(ServerConnectionIo(transport.clone()));
         let (sender, connection) = http1::handshake(io).await.ok()?;
         tokio::task::spawn_local(connection);
-        Some(CounterConnection { sender, link, address, idle_since: Instant::now() })
+        Some(CounterConnection { sender, transport, address, idle_since: Instant::now() })
     }
 
-    /// Makes a call over a connection, which is closed if the call fails. `None` if the connection failed before the
-    /// first byte was written.
+    /// Makes a call over a connection, which is closed if the call fails. Returns `None` if the connection
+    /// failed before the first byte was written.
     async fn call_over(
         &self,
         connection: CounterConnection,
         uri: &Uri,
         deadline: Instant,
     ) -> Option<CounterResult> {
-        let link = connection.link.clone();
-        link.begin_request(Some(0));
+        let transport = connection.transport.clone();
+        transport.begin_request(Some(0));
         let reply = timeout_at(deadline.into(), self.exchange(connection, uri)).await;
         let timed_out = reply.is_err();
         if let Ok(Some(result)) = reply {
             return Some(result);
         }
-        let result = match link.request_written() {
-            // Once the last byte is written, the amount may have been added.
+        let result = match transport.request_written() {
+            // The request was written completely, so the counter may have added the amount.
             true => Some(CounterResult::Unknown),
-            false if timed_out || link.has_begun_writing() => Some(CounterResult::Refused),
+            false if timed_out || transport.has_begun_writing() => Some(CounterResult::Refused),
             false => None,
         };
-        link.close();
+        transport.close();
         result
     }
 
-    /// Sends a call and reads its reply, after which the connection is idle. `None` if there is no valid reply.
+    /// Sends a call and reads its reply, then returns the connection to the pool. Returns `None` if no valid
+    /// reply is received.
     async fn exchange(&self, mut connection: CounterConnection, uri: &Uri) -> Option<CounterResult> {
         let mut request = Request::new(Empty::new());
         *request.method_mut() = Method::POST;
@@ -149,13 +156,13 @@
         let result = read_reply(response).await?;
         if connection.address == self.address.get() {
             connection.idle_since = Instant::now();
-            self.idle.borrow_mut().push(connection);
+            self.idle_connections.borrow_mut().push(connection);
         }
         Some(result)
     }
 }
 
-/// Reads a reply; `None` if it breaks off or is not valid.
+/// Reads a reply; returns `None` if it is truncated or malformed.
 async fn read_reply(response: Response<Incoming>) -> Option<CounterResult> {
     let status = response.status().as_u16();
     let body = Limited::new(response.into_body(), MAX_REPLY_BYTES).collect().await.ok()?.to_bytes();
@@ -166,7 +173,7 @@
     }
 }
 
-/// The total that a reply gives.
+/// Parses the total in a reply body; returns `None` unless it is a finite number.
 fn parse_total(body: &[u8]) -> Option<f64> {
     let total: f64 = std::str::from_utf8(body).ok()?.trim().parse().ok()?;
     Some(total).filter(|total| total.is_finite())
--- a/crates/gateway/src/control/discovery.rs
+++ b/crates/gateway/src/control/discovery.rs
@@ -1,4 +1,4 @@
-//! Service discovery: keeps a watch of the endpoint list open and passes each change to the decision driver.
+//! Service discovery: watches the endpoint list and passes each change to the decision driver.
 
 mod agent_client;
 mod backoff;
@@ -20,73 +20,73 @@
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
-/// The path of the endpoint list.
+/// HTTP path of the endpoint list.
 const LIST_PATH: &str = "/catalog/members";
 
-/// Where the list is pushed, an agent on the gateway's own machine answers at once. Once discovery has recovered,
-/// what the agent knows must be learnt within a second, even if it never answers a call that was opened before: a
-/// watch and the call after it end within that time.
+/// Timeouts where the list is pushed to an agent on the gateway's machine, which answers at once. Once
+/// discovery has recovered, the agent's list has to reach the gateway within a second, even if the agent
+/// never answers a call that was opened before. A watch and the call after it therefore both end within that
+/// time.
 const AGENT_TIMEOUTS: CallTimeouts = CallTimeouts {
     long_poll: Duration::from_millis(600),
     response_grace: Duration::from_millis(300),
     snapshot: Duration::from_millis(500),
 };
-/// Where the list is polled, all gateways share one service. A change must be learnt within 6 s, also one that an
-/// unanswered watch missed. A call for the snapshot may queue behind those of every other gateway; since an abandoned
-/// call still costs the service its work, a short timeout gains nothing.
+/// Timeouts where the list is polled from a service that all gateways share. A change has to reach the
+/// gateway within 6 s, even if a watch that was not answered missed it. A snapshot call may queue behind
+/// those of all other gateways; a short timeout would not help, since the service still does the work for an
+/// abandoned call.
 const SHARED_SERVICE_TIMEOUTS: CallTimeouts = CallTimeouts {
     long_poll: Duration::from_millis(4_000),
     response_grace: Duration::from_millis(1_000),
     snapshot: Duration::from_millis(4_000),
 };
-/// The longest time from the start of a failed call to the start of the next. A change must be learnt within 6 s,
-/// however the call in between ends; the rest of that time is left for the response.
+/// Maximum time from the start of a failed call to the start of the next one. A change has to reach the
+/// gateway within 6 s however the failed call ended; the remaining time is left for the response to the next
+/// one.
 const MAX_CALL_INTERVAL: Duration = Duration::from_millis(5_000);
 
-/// How long calls may take.
+/// Timeouts of discovery calls.
 #[derive(Clone, Copy)]
 struct CallTimeouts {
-    /// How long a watch asks discovery to wait for a change.
+    /// Time for which a watch asks discovery to wait for a change.
     long_poll: Duration,
-    /// How much later than that its response may come.
+    /// Time after the end of the long poll within which the response has to arrive.
     response_grace: Duration,
-    /// How long a call for the snapshot may take.
+    /// Timeout of a snapshot call.
     snapshot: Duration,
 }
 
-/// The next agent address that the configuration names.
-async fn next_address(addresses: &mut watch::Receiver<SocketAddr>) -> SocketAddr {
+/// Waits for the configuration to name another agent and returns its address.
+async fn next_agent_address(addresses: &mut watch::Receiver<SocketAddr>) -> SocketAddr {
     match addresses.changed().await {
         Ok(()) => *addresses.borrow_and_update(),
-        // No sender is left that could name one.
+        // The sender has been dropped, so the address can no longer change.
         Err(_) => std::future::pending().await,
     }
 }
 
-/// A watch of the endpoint list.
+/// Watch of the endpoint list.
 pub struct EndpointWatch {
-    /// The addresses of the agent, as the configuration changes.
+    /// Receives the address of the discovery agent when the configuration changes.
     addresses: watch::Receiver<SocketAddr>,
-    /// The current agent.
     agent: AgentClient,
-    /// The names of zones.
     names: WireNames,
-    /// The version of the known list; `None` asks for the snapshot.
-    index: Option<u64>,
-    /// The list is polled from a shared service, not pushed to an agent.
+    /// Version of the known list; `None` if the next call has to request a snapshot.
+    known_version: Option<u64>,
+    /// Whether the list is polled from a shared service rather than pushed to an agent.
     is_shared_service: bool,
-    /// The delays between failed calls.
     backoff: Backoff,
-    /// The last call failed.
+    /// Whether the last call failed.
     is_failing: bool,
 }
 
 impl EndpointWatch {
-    /// A watch that continues from the list known at the start.
+    /// Creates a watch that continues from the list known at the start.
     pub fn new(
         mut addresses: watch::Receiver<SocketAddr>,
         names: WireNames,
-        known_index: u64,
+        known_version: u64,
         settings: &Settings,
         seed: u64,
     ) -> EndpointWatch {
@@ -95,37 +95,38 @@
             addresses,
             agent: AgentClient::new(address),
             names,
-            index: Some(known_index),
+            known_version: Some(known_version),
             is_shared_service: settings.capabilities.polls_discovery,
             backoff: Backoff::new(settings.gateway_count, seed),
             is_failing: false,
         }
     }
 
-    /// Watches for as long as the process lives, and moves to another agent as soon as one is named.
+    /// Watches the list for as long as the process lives. Switches to another agent as soon as the
+    /// configuration names one.
     pub async fn run(mut self, driver: Rc<DecisionDriver>) {
         let mut addresses = self.addresses.clone();
         loop {
             let started_at = Instant::now();
-            let called = tokio::select! {
-                called = self.call() => called,
-                address = next_address(&mut addresses) => {
+            let result = tokio::select! {
+                result = self.call() => result,
+                address = next_agent_address(&mut addresses) => {
                     self.switch_agent(address);
                     continue;
                 }
             };
-            let delay = match called {
-                Ok(list) => self.apply(list, started_at, &driver),
-                Err(error) => Some(self.fail(&error, started_at, &driver)),
+            let delay = match result {
+                Ok(list) => self.apply_list(list, started_at, &driver),
+                Err(error) => Some(self.handle_failure(&error, started_at, &driver)),
             };
             if let Some(delay) = delay {
-                self.wait(delay, &mut addresses).await;
+                self.wait_for_retry(delay, &mut addresses).await;
             }
         }
     }
 
-    /// Passes a list to the driver. Returns the delay before the next call, if there has to be one.
-    fn apply(
+    /// Passes a list to the driver. Returns the delay before the next call, or `None` to call again at once.
+    fn apply_list(
         &mut self,
         list: EndpointList,
         started_at: Instant,
@@ -133,53 +134,58 @@
     ) -> Option<Duration> {
         self.backoff.reset();
         self.is_failing = false;
-        let is_unchanged = self.index == Some(list.index) && list.endpoints.is_empty();
-        self.index = Some(list.index);
+        let is_unchanged = self.known_version == Some(list.version) && list.endpoints.is_empty();
+        self.known_version = Some(list.version);
         let watch_event = if list.is_snapshot { WatchEvent::Snapshot } else { WatchEvent::Delta };
         driver.endpoints_changed(watch_event, list.endpoints);
         (is_unchanged && started_at.elapsed() < RETRY_INTERVAL).then_some(RETRY_INTERVAL)
     }
 
-    /// Reports a failed call and returns the delay before the next. The known list and its version stay valid:
-    /// the next watch returns all newer changes. The snapshot costs discovery far more and is asked for only if
-    /// the version itself is in doubt.
-    fn fail(&mut self, error: &WatchError, started_at: Instant, driver: &Rc<DecisionDriver>) -> Duration {
+    /// Reports a failed call to the driver and returns the delay before the next call. The known list and its
+    /// version stay valid, since the next watch returns all newer changes. A snapshot costs discovery far
+    /// more and is requested only if the version itself is in doubt.
+    fn handle_failure(
+        &mut self,
+        error: &WatchError,
+        started_at: Instant,
+        driver: &Rc<DecisionDriver>,
+    ) -> Duration {
         if !std::mem::replace(&mut self.is_failing, true) {
             let agent = self.agent.address();
             let error = ErrorChain(error);
             warn!(%agent, %error, "endpoint watch failed; keeping the previous endpoint list");
         }
         self.agent.disconnect();
-        if error.discredits_version() {
-            self.index = None;
+        if error.invalidates_version() {
+            self.known_version = None;
         }
         driver.endpoints_changed(WatchEvent::Failed, Vec::new());
         let delay = self.backoff.delay_after(error, self.is_shared_service);
         delay.min(MAX_CALL_INTERVAL.saturating_sub(started_at.elapsed()))
     }
 
-    /// Waits, unless another agent is named.
-    async fn wait(&mut self, delay: Duration, addresses: &mut watch::Receiver<SocketAddr>) {
+    /// Waits for the delay, or switches to another agent as soon as the configuration names one.
+    async fn wait_for_retry(&mut self, delay: Duration, addresses: &mut watch::Receiver<SocketAddr>) {
         tokio::select! {
             () = sleep(delay) => {}
-            address = next_address(addresses) => self.switch_agent(address),
+            address = next_agent_address(addresses) => self.switch_agent(address),
         }
     }
 
-    /// Moves to another agent, whose versions are unrelated to those of the one before.
+    /// Switches to another agent, whose versions are unrelated to those of the previous one.
     fn switch_agent(&mut self, address: SocketAddr) {
         self.agent = AgentClient::new(address);
-        self.index = None;
+        self.known_version = None;
         self.backoff.reset();
     }
 
-    /// Makes one call: a watch from the known version, or else for the snapshot.
+    /// Makes one call: a watch from the known version, or a snapshot call if no version is known.
     async fn call(&mut self) -> Result<EndpointList, WatchError> {
         let timeouts = if self.is_shared_service { SHARED_SERVICE_TIMEOUTS } else { AGENT_TIMEOUTS };
-        let body = match self.index {
-            Some(index) => {
+        let body = match self.known_version {
+            Some(version) => {
                 let long_poll = self.long_poll(timeouts);
-                let path = format!("{LIST_PATH}?index={index}&wait={}", long_poll.as_millis());
+                let path = format!("{LIST_PATH}?index={version}&wait={}", long_poll.as_millis());
                 timeout(long_poll + timeouts.response_grace, self.agent.get(&path)).await
             }
             None => timeout(timeouts.snapshot, self.agent.get(LIST_PATH)).await,
@@ -188,16 +194,17 @@
         let document = serde_json::from_slice(&body).map_err(WatchError::NotJson)?;
         let message: EndpointListMessage = fields::read(&document).map_err(WatchError::Malformed)?;
         let list = message.into_list(&self.names);
-        // An older list may name servers that are gone.
-        if self.index.is_some_and(|known| list.index < known) {
+        // An older list may contain servers that have been removed since.
+        if self.known_version.is_some_and(|known| list.version < known) {
             return Err(WatchError::Stale);
         }
         Ok(list)
     }
 
-    /// How long a watch asks discovery to wait for a change.
+    /// Returns the time for which a watch asks discovery to wait for a change.
     fn long_poll(&self, timeouts: CallTimeouts) -> Duration {
-        // Discovery may be down behind an agent, and recover at any time.
+        // Discovery may be unavailable behind the agent and recover at any time, so the agent is polled
+        // often.
         let is_agent_failing = self.is_failing && !self.is_shared_service;
         if is_agent_failing {
             RETRY_INTERVAL
--- a/crates/gateway/src/control/discovery/agent_client.rs
+++ b/crates/gateway/src/control/discovery/agent_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of a discovery agent.
+//! HTTP client of a discovery agent.
 
 use crate::control::discovery::error::WatchError;
 use crate::network::socket::Socket;
@@ -11,34 +11,34 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// Largest endpoint list that is read.
+/// Maximum size of a response body.
 const MAX_ENDPOINT_LIST_BYTES: usize = 4 << 20;
 
-/// A discovery agent and the connection to it.
+/// HTTP client that keeps one connection to a discovery agent.
 pub struct AgentClient {
-    /// The agent's address.
     address: SocketAddr,
-    /// Sends calls over the connection; `None` while there is no connection, or a call is on it.
+    /// Sender of the idle connection; `None` while no connection is open or a call is in flight.
     sender: Option<SendRequest<Empty<Bytes>>>,
 }
 
 impl AgentClient {
-    /// An agent without a connection.
+    /// Creates a client without opening a connection.
     pub fn new(address: SocketAddr) -> AgentClient {
         AgentClient { address, sender: None }
     }
 
-    /// The agent's address.
+    /// Returns the address of the discovery agent.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes the connection; the next call opens another one.
+    /// Closes the connection; the next call opens a new one.
     pub fn disconnect(&mut self) {
         self.sender = None;
     }
 
-    /// Makes a call and returns the body of its response. Dropping the call, or its failure, closes the connection.
+    /// Sends a GET request and returns the body of the response. The connection is closed if the call fails
+    /// or its future is dropped.
     pub async fn get(&mut self, path: &str) -> Result<Bytes, WatchError> {
         let mut sender = match self.sender.take().filter(SendRequest::is_ready) {
             Some(sender) => sender,
@@ -56,7 +56,6 @@
         Ok(body)
     }
 
-    /// Opens a connection.
     async fn connect(&self) -> Result<SendRequest<Empty<Bytes>>, WatchError> {
         let stream = TcpStream::connect(self.address).await.map_err(WatchError::Connect)?;
         stream.set_nodelay(true).map_err(WatchError::Connect)?;
--- a/crates/gateway/src/control/discovery/backoff/tests.rs
+++ b/crates/gateway/src/control/discovery/backoff/tests.rs
@@ -1,7 +1,9 @@
+//! Tests of the backoff of discovery calls.
+
 use super::{Backoff, INITIAL_BACKOFF_PER_GATEWAY, MAX_BACKOFF_LIMIT, MIN_BACKOFF_LIMIT};
 
-/// The gateways of a large fleet together call discovery about as often as those of a small one, and at different
-/// times.
+/// Guards against a large fleet that calls discovery more often than a small one, and against gateways that
+/// retry at the same times.
 #[test]
 fn backoff_grows_with_the_fleet_and_differs_between_gateways() {
     let delays_of = |gateway_count, seed| {
--- a/crates/gateway/src/control/discovery/error.rs
+++ b/crates/gateway/src/control/discovery/error.rs
@@ -1,44 +1,45 @@
-//! Why a call of discovery failed.
+//! Errors of discovery calls.
 
 use grebehook_simulator_adapter::fields::FieldError;
 use std::error::Error;
 use std::io;
 
-/// Why a call of discovery failed.
+/// Error of a discovery call.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
     /// The response is not JSON.
-    #[error("the response is not JSON")]
+    #[error("the discovery response is not valid JSON")]
     NotJson(#[source] serde_json::Error),
     /// A field of the response is missing or malformed.
-    #[error("the response is malformed")]
+    #[error("the discovery response is malformed")]
     Malformed(#[source] FieldError),
-    /// The body of the response broke off or is too long.
-    #[error("the body of the response cannot be read")]
+    /// The body of the response is truncated or exceeds the size limit.
+    #[error("the body of the discovery response cannot be read")]
     Body(#[source] Box<dyn Error + Send + Sync>),
-    /// The connection cannot be established.
-    #[error("no connection")]
+    /// The connection to discovery cannot be established.
+    #[error("cannot connect to discovery")]
     Connect(#[source] io::Error),
-    /// The HTTP exchange failed.
-    #[error("the HTTP exchange failed")]
+    /// The HTTP handshake, the request or the response failed.
+    #[error("the HTTP exchange with discovery failed")]
     Http(#[source] hyper::Error),
-    /// The call cannot be written as a request.
-    #[error("the request cannot be written")]
+    /// The HTTP request cannot be built.
+    #[error("the discovery request cannot be built")]
     Request(#[source] hyper::http::Error),
     /// The response has a status other than 200.
-    #[error("the response has status {0}")]
+    #[error("the discovery response has status {0}")]
     Status(u16),
-    /// There was no response in time.
-    #[error("no response in time")]
+    /// No response was received within the timeout.
+    #[error("discovery did not respond within the timeout")]
     TimedOut,
-    /// The response has an older version than the list that is known.
-    #[error("the response is older than the known endpoint list")]
+    /// The response has an older version than the known endpoint list.
+    #[error("the discovery response is older than the known endpoint list")]
     Stale,
 }
 
 impl WatchError {
-    /// Whether the failure may be due to the version that was asked about. A complete list is asked for then.
-    pub fn discredits_version(&self) -> bool {
+    /// Returns whether the version sent with the call may have caused the failure, so that the next call has
+    /// to request a snapshot.
+    pub fn invalidates_version(&self) -> bool {
         match self {
             WatchError::NotJson(_) | WatchError::Malformed(_) | WatchError::Body(_) => true,
             WatchError::Request(_) | WatchError::Stale | WatchError::Status(400..=499) => true,
--- a/crates/gateway/src/control/endpoint_list.rs
+++ b/crates/gateway/src/control/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list in the form in which discovery sends it and the configuration holds it. The protocol's field
-//! names are mapped to the decision core's terms here and nowhere else.
+//! JSON form of the endpoint list, as discovery sends it and the configuration holds it. Only this module
+//! maps the protocol's field names to the decision core's terms.
 
 use crate::config::names::WireNames;
 use grebehook_core::{Endpoint, EndpointState, Micros, NonZeroMicros, ServerId};
@@ -7,86 +7,82 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The protocol gives times in milliseconds.
+/// Conversion factor for times, which the protocol gives in milliseconds.
 const MICROS_PER_MILLISECOND: f64 = 1_000.0;
-/// The offset basis of the 64-bit FNV-1a hash.
+/// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// The prime of the 64-bit FNV-1a hash.
+/// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// One server of the list.
+/// Server of the endpoint list, with its network address.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// Its entry for the decision core.
+    /// Entry of the server in the decision core's terms.
     pub endpoint: Endpoint,
 }
 
-/// One response of discovery.
+/// Endpoint list in the decision core's terms.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    /// The version of the list.
-    pub index: u64,
-    /// The list is complete; otherwise it has the changed entries only.
+    /// Version of the list; a higher one is newer.
+    pub version: u64,
+    /// Whether the list is complete; a delta contains only the changed entries.
     pub is_snapshot: bool,
-    /// The entries.
+    /// Entries of the list.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// The list as JSON. It is a delta unless it says that it is a snapshot.
+/// JSON form of an endpoint list, which is a delta unless it is marked as a snapshot.
 #[derive(Debug, Deserialize)]
 pub struct EndpointListMessage {
-    /// The version of the list.
-    index: u64,
-    /// Whether the list is complete.
+    #[serde(rename = "index")]
+    version: u64,
     #[serde(rename = "snapshot", default, deserialize_with = "fields::lenient")]
     is_snapshot: bool,
-    /// The entries.
     endpoints: Vec<EndpointMessage>,
 }
 
-/// One entry of the list as JSON.
+/// JSON form of one entry of the list.
 #[derive(Debug, Deserialize)]
 struct EndpointMessage {
-    /// The server's name.
     name: String,
-    /// Where it listens.
     address: SocketAddr,
-    /// Its state.
     #[serde(rename = "status")]
     state: EndpointStateMessage,
-    /// The name of its zone.
+    /// Name of the server's zone.
     #[serde(default, deserialize_with = "fields::lenient")]
     zone: String,
-    /// When it last started, in Unix time.
+    /// Time of the server's last start, in milliseconds of Unix time.
     #[serde(rename = "since_ms", default, deserialize_with = "fields::lenient")]
     started_at_ms: Option<f64>,
-    /// Its capacity relative to other servers'.
+    /// Capacity of the server relative to the others.
     #[serde(rename = "weight", default, deserialize_with = "fields::lenient")]
     relative_size: Option<f64>,
-    /// The number of its cell.
+    /// Number of the cell that the server belongs to.
     #[serde(rename = "group", default, deserialize_with = "fields::lenient")]
     cell: Option<f64>,
 }
 
-/// The state of a server as JSON.
+/// JSON form of the state of a server.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum EndpointStateMessage {
-    /// Takes new requests.
+    /// The server accepts new requests.
     Ready,
-    /// Completes its requests in flight and takes no new ones.
+    /// The server completes its requests in flight and accepts no new ones.
     Draining,
-    /// Removed.
-    Gone,
+    /// The server has been removed from the list.
+    #[serde(rename = "gone")]
+    Removed,
 }
 
 impl EndpointListMessage {
-    /// The list in the decision core's terms.
+    /// Converts the list to the decision core's terms.
     pub fn into_list(self, names: &WireNames) -> EndpointList {
         EndpointList {
-            index: self.index,
+            version: self.version,
             is_snapshot: self.is_snapshot,
             endpoints: self.endpoints.iter().map(|endpoint| endpoint.to_listed(names)).collect(),
         }
@@ -94,22 +90,22 @@
 }
 
 impl EndpointMessage {
-    /// The entry in the decision core's terms.
+    /// Converts the entry to the decision core's terms.
     fn to_listed(&self, names: &WireNames) -> ListedEndpoint {
         let endpoint = Endpoint {
             server: server_id(&self.name),
             state: self.state.into(),
             started_at: self.started_at(),
-            relative_size: usable(self.relative_size).unwrap_or(1.0),
-            zone: zone_number(&self.zone, names),
-            cell: usable(self.cell).unwrap_or(0.0) as u32,
+            relative_size: non_negative(self.relative_size).unwrap_or(1.0),
+            zone: zone_index(&self.zone, names),
+            cell: non_negative(self.cell).unwrap_or(0.0) as u32,
         };
         ListedEndpoint { address: self.address, endpoint }
     }
 
-    /// When the server last started; a time of 0 means that it is unknown.
+    /// Returns the time of the server's last start, or `None` if it is unknown, which a time of 0 also means.
     fn started_at(&self) -> Option<NonZeroMicros> {
-        let started_at = usable(self.started_at_ms).map(|ms| (ms * MICROS_PER_MILLISECOND) as Micros);
+        let started_at = non_negative(self.started_at_ms).map(|ms| (ms * MICROS_PER_MILLISECOND) as Micros);
         started_at.and_then(NonZeroMicros::new)
     }
 }
@@ -119,23 +115,23 @@
         match state {
             EndpointStateMessage::Ready => EndpointState::Ready,
             EndpointStateMessage::Draining => EndpointState::Draining,
-            EndpointStateMessage::Gone => EndpointState::Gone,
+            EndpointStateMessage::Removed => EndpointState::Gone,
         }
     }
 }
 
-/// The index of a zone in the settings; all zones that these do not name share the next number.
-fn zone_number(zone: &str, names: &WireNames) -> u32 {
+/// Returns the index of a zone in the settings. All zones missing from the settings share the next index.
+fn zone_index(zone: &str, names: &WireNames) -> u32 {
     let index = names.zones.iter().position(|name| name == zone);
     index.unwrap_or(names.zones.len()) as u32
 }
 
-/// A number unless it is negative or not finite.
-fn usable(number: Option<f64>) -> Option<f64> {
+/// Returns the number if it is finite and not negative.
+fn non_negative(number: Option<f64>) -> Option<f64> {
     number.filter(|number| number.is_finite() && *number >= 0.0)
 }
 
-/// A server's number: the FNV-1a hash of its name, the same at every gateway.
+/// Returns the FNV-1a hash of a server's name, which identifies the server at every gateway.
 fn server_id(name: &str) -> ServerId {
     let add_byte = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     ServerId(name.bytes().fold(FNV_OFFSET_BASIS, add_byte))
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control plane: service discovery, the shared counter and gossip with the other gateways.
+//! Control-plane clients: service discovery, the shared counter, and gossip with peers.
 
 pub mod counter;
 pub mod discovery;
--- a/crates/gateway/src/driver/decision_driver.rs
+++ b/crates/gateway/src/driver/decision_driver.rs
@@ -7,7 +7,7 @@
 
 use crate::control::counter::SharedCounter;
 use crate::control::endpoint_list::ListedEndpoint;
-use crate::control::peers::Peers;
+use crate::control::peers::GossipSocket;
 use crate::driver::clock::Clock;
 use crate::driver::decision_log::DecisionLog;
 use crate::driver::request::Answer;
@@ -35,7 +35,7 @@
     /// Sends attempts and health checks.
     pub upstream: Rc<Upstream>,
     /// Sends gossip; `None` where the settings allow none.
-    pub peers: Option<Rc<Peers>>,
+    pub peers: Option<Rc<GossipSocket>>,
     /// The shared counter, where there is one.
     pub counter: Option<Rc<SharedCounter>>,
     /// The path that health checks ask for.
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -64,7 +64,7 @@
             |current: &mut SocketAddr| std::mem::replace(current, config.discovery) != config.discovery;
         let discovery_agent_changed = self.discovery_agent.send_if_modified(replace);
         let counter = self.counter.as_ref().zip(config.counter);
-        let counter_changed = counter.is_some_and(|(counter, address)| counter.relocate(address));
+        let counter_changed = counter.is_some_and(|(counter, address)| counter.set_address(address));
         let file = self.path.display();
         info!(%file, discovery_agent_changed, counter_changed, "configuration reloaded");
     }
--- a/crates/gateway/src/lifecycle/services.rs
+++ b/crates/gateway/src/lifecycle/services.rs
@@ -3,7 +3,7 @@
 use crate::config::document::{Config, RejectedSettings};
 use crate::control::counter::SharedCounter;
 use crate::control::discovery::EndpointWatch;
-use crate::control::peers::Peers;
+use crate::control::peers::GossipSocket;
 use crate::driver::clock::Clock;
 use crate::driver::decision_driver::{DecisionDriver, Transports};
 use crate::lifecycle::error::RunError;
@@ -51,9 +51,9 @@
         spawn_local(peers.receive(move |from, message| driver.gossip_received(from, message)));
     }
     let (discovery_agent, addresses) = watch::channel(config.discovery);
-    let known_index = config.known_endpoints.index;
+    let known_version = config.known_endpoints.version;
     let names = config.names.clone();
-    let watch = EndpointWatch::new(addresses, names, known_index, &config.settings, config.seed);
+    let watch = EndpointWatch::new(addresses, names, known_version, &config.settings, config.seed);
     spawn_local(watch.run(driver.clone()));
     Ok(Services { driver, counter, discovery_agent })
 }
@@ -64,7 +64,7 @@
     let upstream = Upstream::new(pool, resources.response_bytes, config.max_units);
     let peers = match config.peer_listen {
         Some(address) => {
-            let bind = || Peers::bind(address, config.peers.clone());
+            let bind = || GossipSocket::bind(address, config.peers.clone());
             Some(Rc::new(startup::retry_bind("gossip", bind).await?))
         }
         None => None,
