--- a/crates/gateway/src/lifecycle/error.rs
+++ b/crates/gateway/src/lifecycle/error.rs
@@ -1,16 +1,16 @@
-//! Why the gateway cannot serve.
+//! Errors that end the gateway.
 
 use crate::config::document::RejectedSettings;
 use std::io;
 use tokio::task::JoinError;
 
-/// Why the gateway cannot serve.
+/// Error that keeps the gateway from serving clients.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The runtime cannot be started.
-    #[error("the runtime cannot be started")]
+    /// The async runtime cannot be created.
+    #[error("the async runtime cannot be created")]
     Runtime(#[source] io::Error),
-    /// A signal cannot be handled.
+    /// A signal handler cannot be installed.
     #[error("a signal handler cannot be installed")]
     Signal(#[source] io::Error),
     /// The decision core rejects the settings.
@@ -19,15 +19,14 @@
     /// A socket cannot be bound.
     #[error("the socket for {purpose} cannot be bound")]
     Bind {
-        /// Whom the socket is for.
+        /// Use of the socket: clients, operators or gossip.
         purpose: &'static str,
-        /// Why not.
         source: io::Error,
     },
-    /// The address of a listener is unknown.
-    #[error("the address of a listener cannot be read")]
+    /// The local address of a listener cannot be read.
+    #[error("the local address of a listener cannot be read")]
     LocalAddress(#[source] io::Error),
-    /// A task of the gateway panicked.
-    #[error("a task of the gateway ended")]
+    /// A task of the gateway panicked or was cancelled.
+    #[error("a task of the gateway ended unexpectedly")]
     Task(#[from] JoinError),
 }
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! The life of the process: start, reload, hand-over to a successor process, shutdown.
+//! Process lifecycle: startup, reload, hand-over to a successor process, and graceful shutdown.
 
 pub mod error;
 pub mod reload;
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration again at SIGHUP. New addresses of the discovery agent and of the shared counter take
-//! effect at once, everything else at the next start.
+//! Reload of the configuration at SIGHUP. New addresses of the discovery agent and of the shared counter take
+//! effect at once, all other changes at the next start.
 
 use crate::config::document::{Config, ConfigError};
 use crate::control::counter::SharedCounter;
@@ -13,32 +13,32 @@
 use tokio::time::{timeout, Instant};
 use tracing::{info, warn};
 
-/// How long a file that cannot be used is read again: it may be written only in part when the signal arrives.
-/// Changes at the new discovery agent must be learnt within 4 s of the signal.
-const RETRY_TIME: Duration = Duration::from_millis(3_000);
-/// The delay before the file is read again.
+/// Time for which an unusable file is read again, since it may be only partly written when the signal
+/// arrives. Changes at the new discovery agent have to reach the gateway within 4 s of the signal.
+const RETRY_PERIOD: Duration = Duration::from_millis(3_000);
+/// Delay before the file is read again.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Applies a changed configuration.
-pub struct Reload {
-    /// The file.
+/// Task that reloads the configuration file and applies its changes.
+pub struct ConfigReloader {
+    /// Path of the configuration file.
     pub path: PathBuf,
-    /// Takes the address of the discovery agent.
+    /// Sends the address of the discovery agent to the endpoint watch.
     pub discovery_agent: watch::Sender<SocketAddr>,
-    /// The shared counter, where there is one.
+    /// Client of the shared counter, if the gateway uses one.
     pub counter: Option<Rc<SharedCounter>>,
 }
 
-impl Reload {
-    /// Reads the file at every signal, for as long as the process lives.
+impl ConfigReloader {
+    /// Reloads the file at every signal, for as long as the process lives.
     pub async fn run(self, mut signal: Signal) {
         while signal.recv().await.is_some() {
             self.reload(&mut signal).await;
         }
     }
 
-    /// Reads the file until it can be used or the time for retries has passed since the last signal. A failure is
-    /// logged once for each signal.
+    /// Reads the file until it is usable or [`RETRY_PERIOD`] has passed since the last signal. A failure is
+    /// logged once per signal.
     async fn reload(&self, signal: &mut Signal) {
         let mut signalled_at = Instant::now();
         let mut is_new_signal = true;
@@ -48,7 +48,7 @@
                 Err(error) if is_new_signal => self.log_failure(&error),
                 Err(_) => {}
             }
-            if signalled_at.elapsed() >= RETRY_TIME {
+            if signalled_at.elapsed() >= RETRY_PERIOD {
                 return;
             }
             is_new_signal = timeout(RETRY_DELAY, signal.recv()).await.is_ok();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Moves to the addresses of a configuration.
+    /// Applies the addresses of a configuration.
     fn apply(&self, config: &Config) {
         let replace =
             |current: &mut SocketAddr| std::mem::replace(current, config.discovery) != config.discovery;
@@ -69,7 +69,6 @@
         info!(%file, discovery_agent_changed, counter_changed, "configuration reloaded");
     }
 
-    /// Logs that the file cannot be used.
     fn log_failure(&self, error: &ConfigError) {
         let file = self.path.display();
         let error = ErrorChain(error);
--- a/crates/gateway/src/lifecycle/resources.rs
+++ b/crates/gateway/src/lifecycle/resources.rs
@@ -1,31 +1,32 @@
-//! How the limits on descriptors and memory are divided.
+//! Division of the limits on file descriptors and memory among the parts of the gateway.
 
 use crate::config::document::Config;
 use crate::operations;
 
-/// Descriptors that are neither clients' nor servers': standard streams, event queues, discovery, the counter,
-/// gossip, operators.
+/// Descriptors reserved for everything but connections of clients and servers: standard streams, event
+/// queues, discovery, the counter, gossip and operators.
 const RESERVED_DESCRIPTORS: usize = 40 + operations::server::MAX_CONNECTIONS;
-/// The share of the memory for long responses that are forwarded as they arrive is one part in this many.
+/// Divisor of the memory limit that gives the memory for responses forwarded as they arrive.
 const RESPONSE_MEMORY_DIVISOR: usize = 4;
-/// The share of the memory for request bodies is one part in this many.
+/// Divisor of the memory limit that gives the memory for request bodies.
 const REQUEST_MEMORY_DIVISOR: usize = 8;
 
-/// What each part of the gateway may use.
+/// Limits on the resources of each part of the gateway.
 pub struct ResourceBudget {
-    /// Most connections of clients.
+    /// Limit on connections of clients.
     pub client_connections: usize,
-    /// Most connections to servers.
+    /// Limit on connections to servers.
     pub server_connections: usize,
-    /// Most memory for responses that are forwarded as they arrive.
+    /// Limit on the memory for responses that are forwarded as they arrive, in bytes.
     pub response_bytes: usize,
-    /// Most memory for request bodies.
+    /// Limit on the memory for request bodies, in bytes.
     pub request_bytes: usize,
 }
 
 impl ResourceBudget {
-    /// Divides the limits of a configuration. A client connection has one attempt in flight at most, so with no fewer
-    /// connections to servers one that is idle can always be closed for an attempt.
+    /// Divides the limits of a configuration. Servers get at least as many connections as clients: a client
+    /// connection has at most one attempt in flight, so an idle server connection can always be closed to
+    /// make room for an attempt.
     pub fn new(config: &Config) -> ResourceBudget {
         let reserved = RESERVED_DESCRIPTORS.min(config.max_descriptors / 2);
         let connections = config.max_descriptors - reserved;
--- a/crates/gateway/src/lifecycle/services.rs
+++ b/crates/gateway/src/lifecycle/services.rs
@@ -1,4 +1,5 @@
-//! What the gateway runs before it accepts clients: the decision driver, its transports and the control plane.
+//! Services that start before clients are accepted: the decision driver, its transports and the control
+//! plane.
 
 use crate::config::document::{Config, RejectedSettings};
 use crate::control::counter::SharedCounter;
@@ -18,27 +19,27 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// The path of health checks where servers report their load.
+/// HTTP path of health checks if servers report their load.
 const LOAD_REPORT_PATH: &str = "/_load";
-/// The path of health checks where they do not.
+/// HTTP path of health checks if servers do not report their load.
 const PING_PATH: &str = "/ping";
 
-/// The running services.
+/// Running services of the gateway.
 pub struct Services {
-    /// The decision driver.
+    /// Driver that runs the decision core and carries out its actions.
     pub driver: Rc<DecisionDriver>,
-    /// The shared counter, where there is one.
+    /// Client of the shared counter, if the gateway uses one.
     pub counter: Option<Rc<SharedCounter>>,
-    /// Moves the endpoint watch to another discovery agent.
+    /// Sends the address of another discovery agent to the endpoint watch.
     pub discovery_agent: watch::Sender<SocketAddr>,
 }
 
-/// Starts the services with the endpoint list of the configuration, which is moved out of it.
+/// Starts the services. The known endpoint list is moved out of the configuration.
 pub async fn start(config: &mut Config, resources: &ResourceBudget) -> Result<Services, RunError> {
     let clock = Clock::start();
     let gateway = Gateway::new(config.settings.clone(), config.seed, clock.now());
     let gateway = gateway.map_err(RejectedSettings::from)?;
-    let transports = transports(config, resources).await?;
+    let transports = create_transports(config, resources).await?;
     let counter = transports.counter.clone();
     let peers = transports.peers.clone();
     let request_counters = RequestCounters::new(config.names.classes.clone());
@@ -58,8 +59,8 @@
     Ok(Services { driver, counter, discovery_agent })
 }
 
-/// What the actions of the decision core are carried out with.
-async fn transports(config: &Config, resources: &ResourceBudget) -> Result<Transports, RunError> {
+/// Creates the transports with which the actions of the decision core are carried out.
+async fn create_transports(config: &Config, resources: &ResourceBudget) -> Result<Transports, RunError> {
     let pool = Pool::new(resources.server_connections, config.connect_timeout, config.server_idle_timeout);
     let upstream = Upstream::new(pool, resources.response_bytes, config.max_units);
     let peers = match config.peer_listen {
--- a/crates/gateway/src/lifecycle/serving.rs
+++ b/crates/gateway/src/lifecycle/serving.rs
@@ -1,4 +1,4 @@
-//! Serves clients until the process has to stop, and hands over to a successor process that asks for it.
+//! Serving of clients until a stop signal, with hand-over to successor processes.
 
 use crate::clients::server::ClientServer;
 use crate::driver::decision_driver::DecisionDriver;
@@ -10,15 +10,16 @@
 use tokio::task::JoinError;
 use tracing::warn;
 
-/// How serving ended.
+/// Outcome of serving: when it ended, and whether a successor process has taken over.
 pub struct ServingEnd {
-    /// When the stop signal arrived.
+    /// Time at which the stop signal arrived.
     pub signalled_at: Instant,
-    /// A successor process accepts clients at the same listener.
+    /// Whether a successor process accepts clients at the same listener.
     pub is_handed_over: bool,
 }
 
-/// Accepts clients until a stop signal, also after successor processes that ended before this one.
+/// Accepts clients until a stop signal arrives. Pauses while a successor process accepts them, and resumes if
+/// that process ends first.
 pub async fn serve_until_stopped(
     clients: &Rc<ClientServer>,
     driver: &Rc<DecisionDriver>,
@@ -34,7 +35,7 @@
             signalled_at = &mut *stop => {
                 return Ok(ServingEnd { signalled_at: signalled_at?, is_handed_over: false });
             }
-            successor = takeover::successor(control_socket) => successor,
+            successor = takeover::accept_successor(control_socket) => successor,
         };
         clients.hand_over(true);
         let error = tokio::select! {
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -1,5 +1,5 @@
-//! The graceful shutdown: until when clients are accepted, by when every request has its answer and when the process
-//! exits, all before SIGKILL may come.
+//! Graceful shutdown: accepts late clients, completes their requests and exits, all before SIGKILL may be
+//! sent.
 
 use crate::clients::server::ClientServer;
 use crate::driver::decision_driver::DecisionDriver;
@@ -11,43 +11,44 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use tracing::{info, warn};
 
-/// SIGKILL comes no sooner after the stop signal than the longest deadline, of which no more than this counts...
+/// Upper bound of the longest deadline in the calculation of the kill time: SIGKILL is sent no sooner after
+/// the stop signal than the longest deadline, limited to this value, plus [`KILL_GRACE`].
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_millis(3_000);
-/// ...plus this.
+/// Time from the longest deadline, limited to [`MAX_COUNTED_DEADLINE`], to the earliest SIGKILL.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// How long before SIGKILL every request has its answer, which leaves time to write it.
+/// Time before SIGKILL by which every request has its final answer, which leaves time to write it.
 const ANSWER_MARGIN: Duration = Duration::from_millis(200);
-/// How long before SIGKILL the process exits.
+/// Time before SIGKILL at which the process exits at the latest.
 const EXIT_MARGIN: Duration = Duration::from_millis(50);
-/// How long clients are accepted at least.
+/// Minimum time for which clients are accepted after the stop signal.
 const MIN_ACCEPT_TIME: Duration = Duration::from_millis(500);
-/// How long they are accepted at most.
+/// Maximum time for which clients are accepted after the stop signal.
 const MAX_ACCEPT_TIME: Duration = Duration::from_millis(800);
-/// How long after the last client the listener closes, and how long after that idle connections close: a client
-/// that has just connected needs time to send its request.
+/// Time from the last accepted client to the close of the listener, and from that to the close of idle
+/// connections. A client that has just connected needs this time to send its request.
 const QUIET_PERIOD: Duration = Duration::from_millis(200);
-/// How long a handshake may take that has begun when new ones are refused: a round trip between zones.
+/// Time for handshakes in progress to complete once new ones are refused: a round trip between zones.
 const HANDSHAKE_TIME: Duration = Duration::from_millis(20);
-/// How often idle connections are closed.
+/// Interval at which idle connections are closed.
 const CLOSE_IDLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The times of a shutdown.
+/// Schedule of a graceful shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
-    /// When the stop signal arrived.
+    /// Time at which the stop signal arrived.
     signalled_at: Instant,
-    /// From the signal to the earliest SIGKILL.
+    /// Time from the stop signal to the earliest SIGKILL.
     time_to_kill: Duration,
 }
 
 impl Shutdown {
-    /// The shutdown that follows a stop signal, with the longest deadline of any request.
+    /// Schedules the shutdown after a stop signal, for the longest deadline of any request.
     pub fn new(signalled_at: Instant, longest_deadline: Duration) -> Shutdown {
         Shutdown { signalled_at, time_to_kill: longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE }
     }
 
-    /// Shuts down: accepts late clients unless a successor process does so at the same listener, and waits until
-    /// every client has disconnected or the time has run out.
+    /// Accepts late clients, unless a successor process does so at the same listener, and waits until every
+    /// client has disconnected or the exit deadline is reached.
     pub async fn run(
         &self,
         clients: &Rc<ClientServer>,
@@ -55,46 +56,48 @@
         listener: ClientListener,
         serving_end: &ServingEnd,
     ) {
-        driver.shut_down_by(self.answers_by());
+        driver.shut_down_by(self.answer_deadline());
         clients.stop();
         if serving_end.is_handed_over {
-            // Its queue stays open for as long as any process has the listener, and the successor may end first.
+            // The backlog stays open as long as any process holds the listener, and the successor may end
+            // before this process, which no longer accepts clients.
             drop(listener);
         } else {
-            self.accept_late(clients, listener).await;
+            self.accept_late_clients(clients, listener).await;
         }
         self.drain_clients(clients).await;
     }
 
-    /// When every request has its final answer.
-    fn answers_by(&self) -> Instant {
+    /// Returns the time by which every request has its final answer.
+    fn answer_deadline(&self) -> Instant {
         self.signalled_at + self.time_to_kill - ANSWER_MARGIN
     }
 
-    /// When the process exits.
-    fn exits_by(&self) -> Instant {
+    /// Returns the time at which the process exits at the latest.
+    fn exit_deadline(&self) -> Instant {
         self.signalled_at + self.time_to_kill - EXIT_MARGIN
     }
 
-    /// When idle connections close at the latest: a request that arrives later could not be answered.
-    fn closes_idle_by(&self) -> Instant {
-        self.answers_by()
+    /// Returns the time at which idle connections close at the latest; a request that arrived later could not
+    /// be answered.
+    fn idle_close_deadline(&self) -> Instant {
+        self.answer_deadline()
     }
 
-    /// Until when clients are accepted, if the last one connected at a time.
-    fn accepts_until(&self, last_accepted: Instant) -> Instant {
+    /// Returns the time until which clients are accepted, given the time at which the last one was accepted.
+    fn accept_deadline(&self, last_accepted: Instant) -> Instant {
         let earliest = self.signalled_at + MIN_ACCEPT_TIME;
-        let latest = (self.signalled_at + MAX_ACCEPT_TIME).min(self.closes_idle_by() - QUIET_PERIOD / 2);
+        let latest = (self.signalled_at + MAX_ACCEPT_TIME).min(self.idle_close_deadline() - QUIET_PERIOD / 2);
         earliest.max(last_accepted + QUIET_PERIOD).min(latest)
     }
 
-    /// Accepts the clients that still connect, then closes the listener.
-    async fn accept_late(&self, clients: &Rc<ClientServer>, listener: ClientListener) {
+    /// Accepts clients until the accept deadline, then closes the listener.
+    async fn accept_late_clients(&self, clients: &Rc<ClientServer>, listener: ClientListener) {
         loop {
-            let until = self.accepts_until(clients.last_accepted_at());
-            let remaining = until.saturating_duration_since(Instant::now());
+            let deadline = self.accept_deadline(clients.last_accepted_at());
+            let remaining = deadline.saturating_duration_since(Instant::now());
             let accepted = timeout(remaining, clients.accept(&listener.socket)).await;
-            if accepted.is_err() && Instant::now() >= self.accepts_until(clients.last_accepted_at()) {
+            if accepted.is_err() && Instant::now() >= self.accept_deadline(clients.last_accepted_at()) {
                 break;
             }
         }
@@ -102,8 +105,9 @@
         info!("no longer accepting clients");
     }
 
-    /// Accepts the clients whose handshake has begun, and closes the listener. Unless new handshakes are refused
-    /// meanwhile, one may end between the last `accept` and the close, and its client loses its request.
+    /// Accepts the clients whose handshakes are in progress, and closes the listener. New handshakes are
+    /// refused in the meantime, since one that completed between the last `accept` and the close would lose
+    /// its client's request.
     async fn close_listener(&self, clients: &Rc<ClientServer>, listener: ClientListener) {
         let is_shared = listener.is_shared();
         let Ok(socket) = listener.socket.into_std() else { return };
@@ -113,12 +117,12 @@
                 Err(error) => warn!(%error, "new connections cannot be refused while the listener closes"),
             }
         }
-        clients.accept_backlog(&socket, self.closes_idle_by()).await;
+        clients.accept_backlog(&socket, self.idle_close_deadline()).await;
     }
 
-    /// Closes idle connections and waits until no client is left, or the process has to exit.
+    /// Closes idle connections until no client is left or the exit deadline is reached.
     async fn drain_clients(&self, clients: &Rc<ClientServer>) {
-        let first_close = (Instant::now() + QUIET_PERIOD).min(self.closes_idle_by());
+        let first_close = (Instant::now() + QUIET_PERIOD).min(self.idle_close_deadline());
         let close_idle = async {
             sleep_until(first_close.into()).await;
             loop {
@@ -129,7 +133,9 @@
         tokio::select! {
             () = clients.wait_until_empty() => {}
             () = close_idle => {}
-            () = sleep_until(self.exits_by().into()) => warn!("exiting with requests still open"),
+            () = sleep_until(self.exit_deadline().into()) => {
+                warn!("exit deadline reached; exiting with client connections still open");
+            }
         }
     }
 }
--- a/crates/gateway/src/lifecycle/shutdown/tests.rs
+++ b/crates/gateway/src/lifecycle/shutdown/tests.rs
@@ -1,23 +1,28 @@
+//! Tests of the schedule of a graceful shutdown.
+
 use super::{Shutdown, KILL_GRACE, MAX_ACCEPT_TIME, MAX_COUNTED_DEADLINE};
 use std::time::{Duration, Instant};
 
-const NEW_CONNECTIONS_COME_FOR: Duration = Duration::from_millis(400);
+/// Time after the stop signal during which clients still connect.
+const NEW_CONNECTIONS_PERIOD: Duration = Duration::from_millis(400);
 
-/// However short the deadlines: whoever connects in time is accepted, and answers are written before idle connections
-/// close and the process exits, all before SIGKILL.
+/// Guards against schedules in which short deadlines cut off clients that connect in time, or in which idle
+/// connections close before the listener or after the process exits, or the exit comes after SIGKILL.
 #[test]
 fn shutdown_times_are_in_order_however_short_the_deadlines() {
     for deadline in [1, 50, 100, 300, 500, 1_000, 3_000, 20_000].map(Duration::from_millis) {
         let signalled_at = Instant::now();
         let shutdown = Shutdown::new(signalled_at, deadline);
         let killed_at = signalled_at + deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE;
-        let crowd = signalled_at + Duration::from_secs(10);
-        for last_accepted in [signalled_at, signalled_at + NEW_CONNECTIONS_COME_FOR, crowd] {
-            let accepts_until = shutdown.accepts_until(last_accepted);
-            assert!(accepts_until >= signalled_at + NEW_CONNECTIONS_COME_FOR, "{deadline:?}");
-            assert!(accepts_until < shutdown.closes_idle_by(), "{deadline:?}");
-            assert!(accepts_until <= signalled_at + MAX_ACCEPT_TIME, "{deadline:?}");
+        let after_kill = signalled_at + Duration::from_secs(10);
+        for last_accepted in [signalled_at, signalled_at + NEW_CONNECTIONS_PERIOD, after_kill] {
+            let accept_deadline = shutdown.accept_deadline(last_accepted);
+            assert!(accept_deadline >= signalled_at + NEW_CONNECTIONS_PERIOD, "{deadline:?}");
+            assert!(accept_deadline < shutdown.idle_close_deadline(), "{deadline:?}");
+            assert!(accept_deadline <= signalled_at + MAX_ACCEPT_TIME, "{deadline:?}");
         }
-        assert!(shutdown.closes_idle_by() < shutdown.exits_by() && shutdown.exits_by() < killed_at);
+        assert!(
+            shutdown.idle_close_deadline() < shutdown.exit_deadline() && shutdown.exit_deadline() < killed_at
+        );
     }
 }
--- a/crates/gateway/src/lifecycle/signals.rs
+++ b/crates/gateway/src/lifecycle/signals.rs
@@ -1,24 +1,24 @@
-//! The signals that the process handles.
+//! Handling of SIGTERM, SIGINT and SIGHUP.
 
 use std::io;
 use std::time::Instant;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::task::JoinHandle;
 
-/// Completes at SIGTERM or SIGINT, with the time of the signal.
+/// Future that completes at SIGTERM or SIGINT with the time of the signal.
 pub type StopSignal = JoinHandle<Instant>;
 
-/// The signals that the process handles.
+/// Handlers of the signals that stop the process or reload its configuration.
 pub struct Signals {
-    /// SIGTERM or SIGINT: shut down.
+    /// Completes at SIGTERM or SIGINT, which shut the process down.
     pub stop: StopSignal,
-    /// SIGHUP: read the configuration again.
+    /// Receives SIGHUP, which reloads the configuration.
     pub reload: Signal,
 }
 
 impl Signals {
-    /// Handles the signals from now on. The time of a stop signal is recorded by a task of its own, so that it is
-    /// right however long the start takes.
+    /// Installs the signal handlers. A separate task records the time of a stop signal, so that the time is
+    /// correct however long startup takes.
     pub fn install() -> io::Result<Signals> {
         let mut terminate = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
--- a/crates/gateway/src/lifecycle/startup.rs
+++ b/crates/gateway/src/lifecycle/startup.rs
@@ -1,5 +1,5 @@
-//! What a start needs from the system: the runtime, listeners and the configuration. Calls that fail for a reason
-//! that may pass are retried, since a gateway that exits at its start serves nobody.
+//! Startup of the process: configuration, async runtime and listeners. Calls that fail with a transient error
+//! are retried, since a gateway that exits at startup serves nobody.
 
 use crate::config::document::{Config, ConfigError};
 use crate::driver::decision_driver::DecisionDriver;
@@ -17,55 +17,59 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::time::sleep;
 
-/// How long a call is retried. A gateway has 30 s to be ready, and 10 s at a planned restart.
-const RETRY_TIME: Duration = Duration::from_secs(9);
-/// The delay before a call is retried.
+/// Time for which a call is retried. A gateway has 30 s to become ready, and 10 s at a planned restart.
+const RETRY_PERIOD: Duration = Duration::from_secs(9);
+/// Delay before a call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The system's send buffer of a client connection.
+/// Size of the system's send buffer of a client connection.
 const SEND_BUFFER_BYTES: u32 = 128 << 10;
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1_024;
 
-/// Where clients connect.
+/// Listener for clients, bound by this process or handed over by its predecessor.
 pub struct ClientListener {
-    /// The listening socket.
+    /// Listening socket.
     pub socket: TcpListener,
-    /// The connection to the process that handed the listener over, which accepts again once this is closed. It closes
-    /// with the listener.
+    /// Connection to the predecessor that handed the listener over, which resumes accepting clients once this
+    /// is closed. It is dropped together with the listener.
     pub predecessor: Option<ControlConnection>,
 }
 
 impl ClientListener {
-    /// Whether the process that handed the listener over still has it, and accepts again once this one closes it.
+    /// Returns whether the predecessor still holds the listener and resumes accepting once this process
+    /// closes it.
     pub fn is_shared(&self) -> bool {
-        // Neither process sends anything after the state, so that only the end of the connection can be read.
+        // Neither process sends anything after the state, so unread input can only be the end of the
+        // connection.
         self.predecessor.as_ref().is_some_and(ControlConnection::has_no_unread_input)
     }
 }
 
-/// Reads the configuration.
-pub fn load(path: &Path) -> Result<Config, ConfigError> {
-    let is_readable_later =
+/// Reads the configuration file; retries transient errors.
+pub fn load_config(path: &Path) -> Result<Config, ConfigError> {
+    let is_transient_error =
         |error: &ConfigError| matches!(error, ConfigError::Unreadable { source, .. } if is_transient(source));
-    retry_blocking(|| Config::load(path), is_readable_later)
+    retry_blocking(|| Config::load(path), is_transient_error)
 }
 
-/// Creates the runtime, including what it needs for signals.
-pub fn runtime() -> Result<Runtime, RunError> {
+/// Creates the single-threaded async runtime; retries transient errors.
+pub fn create_runtime() -> Result<Runtime, RunError> {
     let build = || {
-        // tokio panics if it cannot create the socket pair on which it is notified of signals.
+        // tokio panics if it cannot create the socket pair for signal notifications; this finds out first
+        // whether a socket pair can be created.
         drop(UnixStream::pair()?);
         Builder::new_current_thread().enable_all().build()
     };
     retry_blocking(build, is_transient).map_err(RunError::Runtime)
 }
 
-/// Retries a call until it succeeds or fails for a reason that does not pass.
+/// Calls a function until it succeeds or fails with a permanent error, for at most [`RETRY_PERIOD`]. Blocks
+/// the thread between calls.
 fn retry_blocking<T, E>(call: impl Fn() -> Result<T, E>, is_transient: impl Fn(&E) -> bool) -> Result<T, E> {
     let start = Instant::now();
     loop {
         match call() {
-            Err(error) if is_transient(&error) && start.elapsed() < RETRY_TIME => {
+            Err(error) if is_transient(&error) && start.elapsed() < RETRY_PERIOD => {
                 std::thread::sleep(RETRY_DELAY);
             }
             result => return result,
@@ -73,7 +77,7 @@
     }
 }
 
-/// Binds a socket; retries until that succeeds or fails for a reason that does not pass.
+/// Binds a socket; retries transient errors for at most [`RETRY_PERIOD`].
 pub async fn retry_bind<T, F: Future<Output = io::Result<T>>>(
     purpose: &'static str,
     bind: impl Fn() -> F,
@@ -81,14 +85,15 @@
     let start = Instant::now();
     loop {
         match bind().await {
-            Err(error) if is_transient(&error) && start.elapsed() < RETRY_TIME => sleep(RETRY_DELAY).await,
+            Err(error) if is_transient(&error) && start.elapsed() < RETRY_PERIOD => sleep(RETRY_DELAY).await,
             result => return result.map_err(|source| RunError::Bind { purpose, source }),
         }
     }
 }
 
-/// Takes the listener and the state over from the process that serves at this address, or else binds a new listener.
-pub async fn client_listener(
+/// Takes over the listener and the state of the process that serves at the address, or binds a new listener
+/// if there is none.
+pub async fn open_client_listener(
     driver: &Rc<DecisionDriver>,
     address: SocketAddr,
 ) -> Result<ClientListener, RunError> {
@@ -100,17 +105,17 @@
         driver.take_over(&state);
         return Ok(ClientListener { socket: listener, predecessor: Some(control_connection) });
     }
-    let socket = retry_bind("clients", || async { listen(address) }).await?;
+    let socket = retry_bind("clients", || async { bind_client_listener(address) }).await?;
     Ok(ClientListener { socket, predecessor: None })
 }
 
-/// Binds a listener for clients. A process that replaces this one may listen beside it at the same address.
-fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+/// Binds a listener for clients. `SO_REUSEPORT` lets a successor process listen at the same address.
+fn bind_client_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(true)?;
-    // What a slow client has not read yet stays at its server. A small buffer is written to often enough to show
-    // that the client makes progress, and takes little of the system's memory.
+    // A small send buffer leaves what a slow client has not read at the server, is written to often enough to
+    // show that the client makes progress, and takes little of the system's memory.
     socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
--- a/crates/gateway/src/lifecycle/takeover.rs
+++ b/crates/gateway/src/lifecycle/takeover.rs
@@ -1,6 +1,6 @@
-//! The hand-over between two processes. Over a control socket, a Unix socket in `$TMPDIR`, the serving process
-//! sends its successor the client listener, with all connections that wait there, and the state of the decision
-//! core.
+//! Hand-over between two processes of a gateway. Over a control socket, a Unix socket in `$TMPDIR`, the
+//! serving process sends its successor the client listener, with all connections in its backlog, and the
+//! state of the decision core.
 
 use crate::driver::decision_driver::DecisionDriver;
 use crate::network::socket::Socket;
@@ -21,38 +21,41 @@
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
-/// How long the serving process may take to hand everything over.
-const TAKE_OVER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The delay after an accept error.
+/// Timeout for receiving the listener and the state from the predecessor.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delay after an `accept` error of the control socket.
 const ACCEPT_ERROR_DELAY: Duration = Duration::from_millis(20);
-/// Largest state that is read.
+/// Maximum size of the state that is read.
 const MAX_STATE_BYTES: u64 = 16 << 20;
-/// The one byte of the message that carries the listener. The length of the state and the state follow it.
+/// Payload of the one-byte message that carries the listener. The length of the state and the state follow
+/// it.
 const LISTENER_MESSAGE: u8 = b'L';
 
-/// A connection between the two processes.
+/// Connection between predecessor and successor over the control socket.
 pub type ControlConnection = Socket<UnixStream>;
 
-/// What the process that served before has handed over.
+/// Listener and state received from the predecessor.
 pub struct Predecessor {
-    /// The client listener, with the connections that wait there.
+    /// Client listener, with the connections in its backlog.
     pub listener: TcpListener,
-    /// The state of its decision core.
+    /// Serialized state of the predecessor's decision core.
     pub state: String,
-    /// While this is open the predecessor accepts no clients.
+    /// Connection to the predecessor, which accepts no clients while it is open.
     pub control_connection: ControlConnection,
 }
 
-/// The path of the control socket of the gateway at an address; `None` without `$TMPDIR`.
+/// Returns the path of the control socket of the gateway that listens at an address, or `None` if `$TMPDIR`
+/// is not set.
 pub fn control_socket_path(listen: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     Some(PathBuf::from(folder).join(format!("takeover-{listen}")))
 }
 
-/// Asks the process that serves to hand over. `None` if there is none, as after a kill, or if it fails to.
+/// Takes over from the serving process. Returns `None` if no process serves, as after a kill, or if the
+/// hand-over fails.
 pub async fn take_over(path: &Path) -> Option<Predecessor> {
     let connection = Socket::new(UnixStream::connect(path).await.ok()?);
-    let received = timeout(TAKE_OVER_TIMEOUT, receive_all(connection)).await;
+    let received = timeout(HANDOVER_TIMEOUT, receive_listener_and_state(connection)).await;
     match received.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
         Ok(predecessor) => Some(predecessor),
         Err(error) => {
@@ -63,8 +66,7 @@
     }
 }
 
-/// Receives the listener and the state.
-async fn receive_all(mut connection: ControlConnection) -> io::Result<Predecessor> {
+async fn receive_listener_and_state(mut connection: ControlConnection) -> io::Result<Predecessor> {
     let malformed = || io::Error::from(io::ErrorKind::InvalidData);
     let descriptor = receive_descriptor(connection.get_ref()).await?.ok_or_else(malformed)?;
     let listener = std::net::TcpListener::from(descriptor);
@@ -79,8 +81,8 @@
     Ok(Predecessor { listener, state, control_connection: connection })
 }
 
-/// Listens for a successor of the gateway at an address. Without a control socket the successor can only listen
-/// beside this process.
+/// Binds the control socket of the gateway that listens at an address. Without one, a successor process
+/// cannot take over and can only bind a listener of its own at the same address.
 pub fn listen_for_successor(listen: SocketAddr) -> Option<UnixListener> {
     let path = control_socket_path(listen)?;
     match bind_control_socket(&path) {
@@ -93,7 +95,7 @@
     }
 }
 
-/// Binds the control socket in place of the one of an earlier process, which has ended or handed over.
+/// Binds the control socket, replacing that of an earlier process, which has ended or handed over.
 fn bind_control_socket(path: &Path) -> io::Result<UnixListener> {
     match std::fs::remove_file(path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
@@ -101,8 +103,8 @@
     }
 }
 
-/// Waits for a successor to connect; for ever without a control socket.
-pub async fn successor(control_socket: Option<&UnixListener>) -> ControlConnection {
+/// Waits for a successor to connect; never completes without a control socket.
+pub async fn accept_successor(control_socket: Option<&UnixListener>) -> ControlConnection {
     let Some(control_socket) = control_socket else { return std::future::pending().await };
     loop {
         match control_socket.accept().await {
@@ -112,21 +114,22 @@
     }
 }
 
-/// Hands the listener and the state over, and waits for the end of the successor. Returns the error that showed it.
+/// Hands over the listener and the state, and waits for the successor to end. Returns the error that ended
+/// the connection.
 pub async fn hand_over(
     successor: &mut ControlConnection,
     listener: &TcpListener,
     driver: &Rc<DecisionDriver>,
 ) -> io::Error {
-    match send_all(successor, listener, driver).await {
-        // The successor sends nothing; its end closes the connection.
+    match send_listener_and_state(successor, listener, driver).await {
+        // The successor sends nothing, so the read completes only when the successor ends and the connection
+        // closes.
         Ok(()) => successor.read_u8().await.err().unwrap_or(io::ErrorKind::InvalidData.into()),
         Err(error) => error,
     }
 }
 
-/// Sends the listener and the state.
-async fn send_all(
+async fn send_listener_and_state(
     successor: &mut ControlConnection,
     listener: &TcpListener,
     driver: &Rc<DecisionDriver>,
@@ -138,7 +141,7 @@
     successor.write_all(state.as_bytes()).await
 }
 
-/// Sends a descriptor.
+/// Sends a file descriptor as ancillary data of a [`LISTENER_MESSAGE`].
 async fn send_descriptor(to: &UnixStream, descriptor: BorrowedFd<'_>) -> io::Result<()> {
     to.async_io(Interest::WRITABLE, || {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -154,7 +157,7 @@
     .await
 }
 
-/// Receives a descriptor; `None` if the message is another one.
+/// Receives a file descriptor; returns `None` if the message is not a [`LISTENER_MESSAGE`] that carries one.
 async fn receive_descriptor(from: &UnixStream) -> io::Result<Option<OwnedFd>> {
     from.async_io(Interest::READABLE, || {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -1,17 +1,18 @@
-//! The log, on standard error: one line for each event, as text or, on demand, as JSON.
+//! Logging to standard error, one line per event, as text or JSON.
 
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
 use tracing::level_filters::LevelFilter;
 use tracing::warn;
 
-/// The environment variable that names the format of the log.
+/// Environment variable that selects the log format.
 const FORMAT_VARIABLE: &str = "GW_LOG_FORMAT";
 
-/// Starts the log in the format that the environment names: `json`, or else text.
-pub fn start() {
-    // By default the library reports a log that cannot be written on standard error, and panics if that fails too.
-    let log = tracing_subscriber::fmt()
+/// Initializes logging in the format selected by the environment: `json`, or text for any other value.
+pub fn init() {
+    // Internal errors are off: by default tracing-subscriber reports a failed write to standard error, and
+    // panics if that fails too.
+    let subscriber = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_max_level(LevelFilter::INFO)
         .with_ansi(false)
@@ -19,16 +20,16 @@
         .log_internal_errors(false);
     let format = std::env::var(FORMAT_VARIABLE).unwrap_or_default();
     if format == "json" {
-        log.json().flatten_event(true).init();
+        subscriber.json().flatten_event(true).init();
         return;
     }
-    log.init();
+    subscriber.init();
     if !matches!(format.as_str(), "" | "text") {
-        warn!(format, "{FORMAT_VARIABLE} is neither 'text' nor 'json'; the log is text");
+        warn!(format, "{FORMAT_VARIABLE} is neither 'text' nor 'json'; logging as text");
     }
 }
 
-/// Displays an error with all of its sources, separated by colons.
+/// Displays an error and its chain of sources, separated by colons.
 pub struct ErrorChain<'a>(pub &'a dyn Error);
 
 impl Display for ErrorChain<'_> {
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,5 +1,5 @@
-//! grebehook: an HTTP/1.1 gateway that enforces customers' quotas. This file is the life of the process: it
-//! parses the command line, starts, serves until a signal, and shuts down.
+//! grebehook: an HTTP/1.1 gateway that enforces customers' quotas. The program parses its command line,
+//! starts the gateway, serves clients until a stop signal arrives, and shuts down gracefully.
 
 mod bodies;
 mod clients;
@@ -18,7 +18,7 @@
 use crate::config::document::Config;
 use crate::driver::decision_driver::DecisionDriver;
 use crate::lifecycle::error::RunError;
-use crate::lifecycle::reload::Reload;
+use crate::lifecycle::reload::ConfigReloader;
 use crate::lifecycle::resources::ResourceBudget;
 use crate::lifecycle::services::{self, Services};
 use crate::lifecycle::serving::serve_until_stopped;
@@ -38,21 +38,20 @@
 use tokio::task::{spawn_local, LocalSet};
 use tracing::{error, info};
 
-/// The exit code for a configuration that cannot be used; the same as for an invalid command line.
+/// Exit code for an invalid configuration; clap uses the same code for an invalid command line.
 const EXIT_BAD_CONFIGURATION: u8 = 2;
 
-/// Checks a configuration, or serves with one.
 fn main() -> ExitCode {
     let command_line = CommandLine::parse();
     if let Some(file) = &command_line.check {
         return check_config(file);
     }
-    logging::start();
+    logging::init();
     let Some(path) = command_line.config_path() else {
         error!("configuration: {CONFIG_VARIABLE} is not set, and there is no --config");
         return ExitCode::from(EXIT_BAD_CONFIGURATION);
     };
-    let config = match startup::load(&path) {
+    let config = match startup::load_config(&path) {
         Ok(config) => config,
         Err(error) => {
             let file = path.display();
@@ -74,7 +73,7 @@
     let errors = config::check::validate_file(path);
     let mut output = std::io::stdout().lock();
     for error in &errors {
-        // If the reader of a pipe has closed it, the exit code still gives the result.
+        // A write error, such as a closed pipe, is ignored: the exit code still gives the result.
         let _ = writeln!(output, "{error}");
     }
     if errors.is_empty() {
@@ -84,16 +83,17 @@
     }
 }
 
-/// Runs the gateway on a runtime of its own.
+/// Creates the async runtime and runs the gateway on it.
 fn run(config: Config, path: PathBuf) -> Result<(), RunError> {
-    let runtime = startup::runtime()?;
+    let runtime = startup::create_runtime()?;
     let local = LocalSet::new();
-    // A task of its own: the future that block_on is given is polled whenever any task wakes.
+    // The gateway runs in a separate task because `block_on` polls the future passed to it whenever any task
+    // wakes.
     let gateway = local.run_until(async { spawn_local(serve(config, path)).await });
     runtime.block_on(gateway)?
 }
 
-/// Starts, serves until a stop signal, and shuts down.
+/// Starts the gateway, serves clients until a stop signal, and shuts down.
 async fn serve(mut config: Config, path: PathBuf) -> Result<(), RunError> {
     let mut signals = Signals::install().map_err(RunError::Signal)?;
     let shutdown_limit = config.longest_deadline();
@@ -103,16 +103,17 @@
     let operations_listen = config.operations_listen;
 
     let listener: ClientListener = tokio::select! {
-        // The predecessor may have handed over already; its clients are shut down gracefully like any others.
+        // The listener has priority over the stop signal: the predecessor may already have handed over, and
+        // the clients connecting there need a graceful shutdown like any others.
         biased;
-        listener = startup::client_listener(&driver, config.listen) => listener?,
-        // Nobody has been accepted yet, and a predecessor that was asked to hand over continues.
+        listener = startup::open_client_listener(&driver, config.listen) => listener?,
+        // No client has been accepted yet, and a predecessor that was asked to hand over resumes accepting.
         _ = &mut signals.stop => return Ok(()),
     };
     let address = listener.socket.local_addr().map_err(RunError::LocalAddress)?;
     let control_socket = takeover::listen_for_successor(address);
-    spawn_local(Reload { path, discovery_agent, counter }.run(signals.reload));
-    let clients = client_server(config, &resources, &driver);
+    spawn_local(ConfigReloader { path, discovery_agent, counter }.run(signals.reload));
+    let clients = start_client_server(config, &resources, &driver);
     info!(gateway = %name, %address, "accepting clients");
     if let Some(address) = operations_listen {
         serve_operators(&name, address, &clients, &driver).await?;
@@ -120,15 +121,16 @@
 
     let stop = &mut signals.stop;
     let end = serve_until_stopped(&clients, &driver, &listener.socket, control_socket.as_ref(), stop).await?;
-    // A successor that connects to it from now on would wait for a hand-over that does not come.
+    // Closed before the shutdown, since a successor that connected now would wait for a hand-over that never
+    // takes place.
     drop(control_socket);
     Shutdown::new(end.signalled_at, shutdown_limit).run(&clients, &driver, listener, &end).await;
     info!(gateway = %name, "stopped");
     Ok(())
 }
 
-/// The server for clients, with its periodic task.
-fn client_server(
+/// Creates the server for clients and starts its task that closes expired connections.
+fn start_client_server(
     config: Config,
     resources: &ResourceBudget,
     driver: &Rc<DecisionDriver>,
@@ -141,7 +143,7 @@
     clients
 }
 
-/// Starts the server for operators.
+/// Binds the operators' listener and starts their server.
 async fn serve_operators(
     name: &str,
     address: SocketAddr,
