--- a/crates/scale-laboratory/src/core_cost.rs
+++ b/crates/scale-laboratory/src/core_cost.rs
@@ -1,6 +1,6 @@
-//! What single events cost in one decision core: processor time and heap at one size of the fleet.
+//! Measures the processor time and heap that single events cost in one decision core, at one fleet size.
 
-use crate::cpu::measure_micros;
+use crate::cpu::measure_cpu_micros;
 use crate::error::Result;
 use crate::experiment::Experiment;
 use crate::memory::heap_bytes;
@@ -17,78 +17,77 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// The period of the core's regular tick.
-const TIMER_PERIOD: Micros = 100_000;
-/// The same as a frequency.
-const TIMERS_PER_SECOND: f64 = 10.0;
-/// When the core starts.
+/// Interval of the core's periodic tick, in microseconds.
+const TICK_INTERVAL: Micros = 100_000;
+/// Frequency of the core's periodic tick.
+const TICKS_PER_SECOND: f64 = 10.0;
+/// Simulated time at which the core starts, in microseconds.
 const START: Micros = 1_000_000;
-/// When the tenants send their first requests, after the start.
+/// Time from the core's start to the tenants' first requests, in microseconds.
 const FIRST_REQUEST_DELAY: Micros = 1_000_000;
-/// Time until a server responds.
+/// Response time of a server, in microseconds.
 const SERVER_LATENCY: Micros = 30_000;
-/// Time until the counter replies.
+/// Response time of the shared counter, in microseconds.
 const COUNTER_LATENCY: Micros = 1_000;
-/// Time between two timed requests.
+/// Time between two timed requests, in microseconds.
 const REQUEST_INTERVAL: Micros = 570;
-/// The use of its quota that responses report of a tenant.
+/// Quota usage that each response reports for its tenant, as a share of the quota.
 const REPORTED_USAGE: f64 = 0.1;
-/// The gateway under test; any of the fleet would do.
+/// Index of the gateway under test; any other of the fleet would do as well.
 const GATEWAY: usize = 0;
-/// Batches of a measurement.
+/// Number of batches per measurement.
 const BATCHES: usize = 5;
-/// Changes of the endpoint list timed in a batch.
+/// Number of endpoint changes timed per batch.
 const CHANGES_PER_BATCH: usize = 20;
-/// Tenants between two reports of progress.
-const TENANTS_PER_STEP: usize = 1_000;
+/// Number of tenants between two progress reports.
+const TENANTS_PER_PROGRESS_STEP: usize = 1_000;
 
-/// A decision core, the simulated time, and the state of its surroundings.
+/// A decision core under test, driven on simulated time with simulated servers and a simulated shared
+/// counter.
 struct CoreUnderTest<'a> {
-    /// What is played.
     experiment: &'a Experiment,
-    /// The decision core.
     gateway: Gateway,
-    /// The simulated time.
+    /// Current simulated time, in microseconds.
     now: Micros,
-    /// The number of the last request.
-    last_request: u64,
-    /// The shared counter's totals.
+    last_request_id: u64,
+    /// Totals of the shared counter by key.
     totals: BTreeMap<CounterId, f64>,
 }
 
 impl<'a> CoreUnderTest<'a> {
-    /// A core that has just started.
+    /// Returns a core that has just started.
     fn new(experiment: &'a Experiment) -> Result<Self> {
         let settings = core_settings(experiment, GATEWAY, 0);
         let gateway = Gateway::new(settings, experiment.seed, START)?;
-        Ok(CoreUnderTest { experiment, gateway, now: START, last_request: 0, totals: BTreeMap::new() })
+        Ok(CoreUnderTest { experiment, gateway, now: START, last_request_id: 0, totals: BTreeMap::new() })
     }
 
-    /// Hands an event to the core; the actions that follow.
+    /// Passes an event to the core and returns the resulting actions.
     fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Plays a request with all that follows from it.
-    fn play_request(&mut self, tenant: u64) {
-        self.last_request += 1;
+    /// Simulates a request of a tenant, with its attempts and counter calls, until the core issues no more
+    /// actions.
+    fn simulate_request(&mut self, tenant: u64) {
+        self.last_request_id += 1;
         let fleet = &self.experiment.fleet;
         let arrival = RequestArrival {
             customer_gateway_count: fleet.gateways_per_tenant.min(fleet.gateways),
             first_gateway: GATEWAY,
-            ..request_arrival(RequestId(self.last_request), CustomerId(tenant))
+            ..request_arrival(RequestId(self.last_request_id), CustomerId(tenant))
         };
         let actions = self.handle(Event::RequestArrived(arrival));
-        self.respond(actions);
+        self.respond_to_actions(actions);
     }
 
-    /// Servers and the counter respond, until the core wants nothing more of them.
-    fn respond(&mut self, mut actions: Vec<Action>) {
+    /// Responds to the core's attempts and counter calls until it issues no more of them.
+    fn respond_to_actions(&mut self, mut actions: Vec<Action>) {
         while let Some(action) = actions.pop() {
             let event = match action {
-                Action::Send { id, server, .. } => attempt_served(id, server),
+                Action::Send { id, server, .. } => served_attempt_event(id, server),
                 Action::AddToCounter { counter, amount, .. } => self.add_to_counter(counter, amount),
                 _ => continue,
             };
@@ -96,26 +95,26 @@
         }
     }
 
-    /// The counter adds an amount and replies.
+    /// Adds an amount to a counter key and returns the counter's reply.
     fn add_to_counter(&mut self, counter: CounterId, amount: f64) -> Event {
         let total = self.totals.entry(counter).or_default();
         *total += amount;
         Event::CounterReplied { counter, result: CounterResult::Total(*total), elapsed: COUNTER_LATENCY }
     }
 
-    /// The core's periodic timer fires.
-    fn fire_timer(&mut self) -> Vec<Action> {
+    /// Fires the core's periodic tick and returns the resulting actions.
+    fn tick(&mut self) -> Vec<Action> {
         self.handle(Event::Timer { timer: TimerId::TICK })
     }
 
-    /// Tenants of random requests.
-    fn draw_tenants(&self, count: usize, rng: &mut ChaCha8Rng) -> Vec<u64> {
+    /// Returns the tenants of `count` random requests.
+    fn sample_tenants(&self, count: usize, rng: &mut ChaCha8Rng) -> Vec<u64> {
         (0..count).map(|_| rng.random_range(0..self.experiment.fleet.tenants as u64)).collect()
     }
 }
 
-/// A server responded to the first attempt of a request.
-fn attempt_served(id: RequestId, server: ServerId) -> Event {
+/// Returns the event of a successful first attempt of a request.
+fn served_attempt_event(id: RequestId, server: ServerId) -> Event {
     Event::AttemptCompleted(AttemptReport {
         id,
         attempt: 0,
@@ -129,8 +128,8 @@
     })
 }
 
-/// The entry of a server that is ready.
-fn endpoint(topology: &Topology, server: usize, started_at: Option<NonZeroMicros>) -> Endpoint {
+/// Returns the endpoint list entry of a server in the ready state.
+fn ready_endpoint(topology: &Topology, server: usize, started_at: Option<NonZeroMicros>) -> Endpoint {
     let zone = topology.zone_of_server(server) as u32;
     Endpoint {
         server: ServerId(server as u64),
@@ -142,7 +141,7 @@
     }
 }
 
-/// Measures one size.
+/// Measures the costs at one fleet size.
 pub fn measure(experiment: &Experiment, size: Option<u64>, progress: &Progress) -> Result<Point> {
     let rng = ChaCha8Rng::seed_from_u64(experiment.seed);
     let heap_before = heap_bytes();
@@ -150,45 +149,43 @@
     let base_heap = heap_bytes().saturating_sub(heap_before);
     let mut measurement = Measurement { core, rng, progress, point: Point { size, ..Point::default() } };
     measurement.record(Metric::BaseHeap, base_heap as f64);
-    measurement.measure_list();
+    measurement.measure_endpoint_list();
     progress.step()?;
     measurement.measure_tenants()?;
     measurement.measure_requests()?;
-    measurement.measure_timers()?;
-    measurement.measure_changes()?;
+    measurement.measure_ticks()?;
+    measurement.measure_endpoint_changes()?;
     Ok(measurement.point)
 }
 
-/// What one batch cost.
+/// Cost of one batch.
 struct BatchCost {
-    /// Processor time, microseconds.
+    /// Processor time, in microseconds.
     cpu_us: f64,
-    /// Entries of the core's stores that were visited.
+    /// Number of entries visited in the core's stores.
     entries: u64,
 }
 
-/// What all batches cost.
+/// Cost of all batches of a measurement.
 struct BatchesCost {
-    /// Processor time of the median batch, microseconds: what disturbs a few of them does not show.
+    /// Processor time of the median batch, in microseconds; a few disturbed batches do not affect the median.
     median_cpu_us: f64,
-    /// Entries that all batches visited.
+    /// Number of entries visited in all batches.
     entries: u64,
 }
 
-/// The measurement of one size.
+/// Measurement of all costs at one fleet size.
 struct Measurement<'a> {
-    /// The core under test.
     core: CoreUnderTest<'a>,
-    /// Random tenants and servers.
+    /// Random numbers that select tenants and servers.
     rng: ChaCha8Rng,
-    /// Shared with the watcher of the run.
+    /// Progress shared with the thread that watches the run.
     progress: &'a Progress,
-    /// What was measured so far.
+    /// Metrics measured so far.
     point: Point,
 }
 
 impl Measurement<'_> {
-    /// Records a value.
     fn record(&mut self, metric: Metric, value: f64) {
         self.point.metrics.insert(metric, value);
     }
@@ -210,26 +207,26 @@
         Ok(BatchesCost { median_cpu_us: cpu_us[BATCHES / 2], entries })
     }
 
-    /// The core takes in the complete endpoint list.
-    fn measure_list(&mut self) {
+    /// Measures the cost of processing a complete endpoint list.
+    fn measure_endpoint_list(&mut self) {
         let fleet = &self.core.experiment.fleet;
         let topology = Topology::new(fleet);
         let before = heap_bytes();
-        let endpoints = (0..fleet.servers()).map(|server| endpoint(&topology, server, None)).collect();
+        let endpoints = (0..fleet.servers()).map(|server| ready_endpoint(&topology, server, None)).collect();
         let event = Event::EndpointsChanged { watch_event: WatchEvent::Snapshot, endpoints };
-        let cpu_us = measure_micros(|| drop(self.core.handle(event)));
+        let cpu_us = measure_cpu_micros(|| drop(self.core.handle(event)));
         let heap = heap_bytes().saturating_sub(before);
         self.record(Metric::ListCpu, cpu_us);
         self.record(Metric::ListHeap, heap as f64);
     }
 
-    /// Each tenant sends one request, whose state stays.
+    /// Measures the heap of the tenants' state, which the core keeps after one request of each tenant.
     fn measure_tenants(&mut self) -> Result<()> {
         let before = heap_bytes();
         self.core.now += FIRST_REQUEST_DELAY;
         for tenant in 0..self.core.experiment.fleet.tenants {
-            self.core.play_request(tenant as u64);
-            if tenant.is_multiple_of(TENANTS_PER_STEP) {
+            self.core.simulate_request(tenant as u64);
+            if tenant.is_multiple_of(TENANTS_PER_PROGRESS_STEP) {
                 self.progress.step()?;
             }
         }
@@ -238,21 +235,21 @@
         Ok(())
     }
 
-    /// Requests of random tenants.
+    /// Measures the cost of requests of random tenants.
     fn measure_requests(&mut self) -> Result<()> {
         let count = self.core.experiment.load.timed_requests;
         let cost = self.run_batches(|core, rng| {
-            let tenants = core.draw_tenants(count, rng);
+            let tenants = core.sample_tenants(count, rng);
             let visited_before = core.gateway.entries_visited();
-            let cpu_us = measure_micros(|| {
+            let cpu_us = measure_cpu_micros(|| {
                 for tenant in tenants {
                     core.now += REQUEST_INTERVAL;
-                    core.play_request(tenant);
+                    core.simulate_request(tenant);
                 }
             });
             let entries = core.gateway.entries_visited() - visited_before;
-            let actions = core.fire_timer();
-            core.respond(actions);
+            let actions = core.tick();
+            core.respond_to_actions(actions);
             BatchCost { cpu_us: cpu_us / count as f64, entries }
         })?;
         self.record(Metric::RequestCpu, cost.median_cpu_us);
@@ -260,19 +257,19 @@
         Ok(())
     }
 
-    /// The periodic timer, after as many requests as come between two.
-    fn measure_timers(&mut self) -> Result<()> {
-        let requests = (self.core.experiment.load.requests_per_second / TIMERS_PER_SECOND) as usize;
+    /// Measures the cost of the periodic tick, each after as many requests as arrive between two ticks.
+    fn measure_ticks(&mut self) -> Result<()> {
+        let requests = (self.core.experiment.load.requests_per_second / TICKS_PER_SECOND) as usize;
         let cost = self.run_batches(|core, rng| {
-            for tenant in core.draw_tenants(requests, rng) {
-                core.play_request(tenant);
+            for tenant in core.sample_tenants(requests, rng) {
+                core.simulate_request(tenant);
             }
-            core.now += TIMER_PERIOD;
+            core.now += TICK_INTERVAL;
             let mut actions = Vec::new();
             let visited_before = core.gateway.entries_visited();
-            let cpu_us = measure_micros(|| actions = core.fire_timer());
+            let cpu_us = measure_cpu_micros(|| actions = core.tick());
             let entries = core.gateway.entries_visited() - visited_before;
-            core.respond(actions);
+            core.respond_to_actions(actions);
             BatchCost { cpu_us, entries }
         })?;
         self.record(Metric::RoundCpu, cost.median_cpu_us);
@@ -280,15 +277,15 @@
         Ok(())
     }
 
-    /// Deltas of one endpoint each, which has restarted.
-    fn measure_changes(&mut self) -> Result<()> {
+    /// Measures the cost of deltas with a single endpoint, which has restarted.
+    fn measure_endpoint_changes(&mut self) -> Result<()> {
         let topology = Topology::new(&self.core.experiment.fleet);
         let servers = self.core.experiment.fleet.servers();
         let cost = self.run_batches(|core, rng| {
             let mut changed =
-                || endpoint(&topology, rng.random_range(0..servers), NonZeroMicros::new(core.now));
+                || ready_endpoint(&topology, rng.random_range(0..servers), NonZeroMicros::new(core.now));
             let changed: Vec<Endpoint> = (0..CHANGES_PER_BATCH).map(|_| changed()).collect();
-            let cpu_us = measure_micros(|| {
+            let cpu_us = measure_cpu_micros(|| {
                 for endpoint in changed {
                     let endpoints = vec![endpoint];
                     core.handle(Event::EndpointsChanged { watch_event: WatchEvent::Delta, endpoints });
--- a/crates/scale-laboratory/src/memory.rs
+++ b/crates/scale-laboratory/src/memory.rs
@@ -1,4 +1,4 @@
-//! The bound on memory, half of the machine's: kept by an estimate before a run and by checks during it.
+//! The laboratory's memory bound, half of the machine's memory: estimated before a run and checked during it.
 
 use crate::error::{LaboratoryError, Result};
 use crate::experiment::{Experiment, Mode};
@@ -6,30 +6,31 @@
 use std::alloc::System;
 use std::fs;
 
-/// Counts what is allocated, so that a gateway's heap is measured exactly.
+/// Allocator that counts allocated bytes, so that the heap of a gateway is measured exactly.
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
-/// One MiB.
+/// Bytes per MiB.
 const MIB: u64 = 1 << 20;
-/// Heap of a listed server in a decision core, rounded up: entry, state and share of the tree.
+/// Heap of a listed server in a decision core, in bytes, rounded up: its entry, its state and its share of
+/// the tree.
 const SERVER_BYTES: u64 = 500;
-/// Heap of a tenant in a decision core, rounded up.
+/// Heap of a tenant in a decision core, in bytes, rounded up.
 const TENANT_BYTES: u64 = 900;
-/// Heap of another gateway in a decision core: its last gossip and its outbox.
+/// Heap of another gateway in a decision core, in bytes: its last gossip message and its outbox.
 const PEER_BYTES: u64 = 40;
-/// Other memory of a gateway process, with its connections.
+/// Other memory of a gateway process, including its connections, in bytes.
 const PROCESS_BYTES: u64 = 64 * MIB;
-/// Memory of the laboratory besides gateways.
+/// Memory of the laboratory without the gateways, in bytes.
 const BASE_BYTES: u64 = 64 * MIB;
 
-/// Bytes on this process's heap.
+/// Returns the number of bytes allocated on the heap of this process.
 pub fn heap_bytes() -> u64 {
     ALLOCATOR.allocated() as u64
 }
 
-/// Half of the machine's memory, in bytes.
-fn bound_bytes() -> Result<u64> {
+/// Returns half of the machine's memory, in bytes.
+fn memory_bound_bytes() -> Result<u64> {
     let text =
         fs::read_to_string("/proc/meminfo").map_err(|error| LaboratoryError::io("/proc/meminfo", error))?;
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:")).unwrap_or_default();
@@ -37,7 +38,7 @@
     Ok(kib * 1024 / 2)
 }
 
-/// What an experiment at one size needs at most, in bytes.
+/// Returns an upper estimate of the memory that an experiment needs at one size, in bytes.
 fn estimate_bytes(experiment: &Experiment) -> u64 {
     let fleet = &experiment.fleet;
     let gateways = fleet.gateways as u64;
@@ -47,8 +48,8 @@
         let peers_bytes = gateways * PEER_BYTES;
         list_bytes.saturating_add(peers_bytes).saturating_add(tenants.saturating_mul(TENANT_BYTES))
     };
-    let tenants_of_all_gateways = tenants * (fleet.gateways_per_tenant as u64).min(gateways);
-    let tenants_per_gateway = tenants_of_all_gateways / gateways.max(1);
+    let tenant_states = tenants * (fleet.gateways_per_tenant as u64).min(gateways);
+    let tenants_per_gateway = tenant_states / gateways.max(1);
     let gateways_bytes = match experiment.mode {
         Mode::Core => core_bytes(tenants),
         Mode::Hollow => gateways.saturating_mul(core_bytes(tenants_per_gateway)),
@@ -58,9 +59,9 @@
     BASE_BYTES.saturating_add(shared_bytes).saturating_add(gateways_bytes)
 }
 
-/// Refuses an experiment whose largest point does not fit.
+/// Rejects an experiment if one of its points needs more memory than the bound.
 pub fn check_estimate(experiment: &Experiment) -> Result<()> {
-    let bound = bound_bytes()?;
+    let bound = memory_bound_bytes()?;
     for point in experiment.points() {
         let needed = estimate_bytes(&point.experiment);
         if needed > bound {
@@ -68,23 +69,23 @@
                 (Some(sweep), Some(size)) => format!("size {size} of {}", sweep.parameter),
                 _ => experiment.name.clone(),
             };
-            return Err(exceeded(what, needed, bound));
+            return Err(memory_bound_error(what, needed, bound));
         }
     }
     Ok(())
 }
 
-/// Fails if a run uses more than the bound, with `children_bytes` in the processes it started.
+/// Returns an error if a run uses more memory than the bound, with `children_bytes` used by the processes it
+/// started.
 pub fn check_memory(children_bytes: u64) -> Result<()> {
     let used = heap_bytes() + children_bytes;
-    let bound = bound_bytes()?;
+    let bound = memory_bound_bytes()?;
     if used > bound {
-        return Err(exceeded("the run".to_owned(), used, bound));
+        return Err(memory_bound_error("the run".to_owned(), used, bound));
     }
     Ok(())
 }
 
-/// The error of something that needs more than the bound.
-fn exceeded(what: String, needed: u64, bound: u64) -> LaboratoryError {
+fn memory_bound_error(what: String, needed: u64, bound: u64) -> LaboratoryError {
     LaboratoryError::MemoryBound { what, needed_mib: needed / MIB, bound_mib: bound / MIB }
 }
--- a/crates/scale-laboratory/src/wire.rs
+++ b/crates/scale-laboratory/src/wire.rs
@@ -1,61 +1,61 @@
-//! The messages of the protocol as they stand on the wire, for the length that they have. Headers of TCP and IP
-//! are not counted.
+//! Messages of the discovery and counter protocols as sent on the wire, used to compute their length. TCP and
+//! IP headers are not counted.
 
 use serde::Serialize;
 
-/// The machine type of all servers.
+/// Machine type of all servers.
 pub const MACHINE_TYPE: &str = "std";
 
-/// A server's name on the wire.
+/// Returns the name of a server on the wire.
 pub fn server_name(server: usize) -> String {
     format!("s-{server:08x}")
 }
 
-/// One server as discovery names it.
+/// Entry of a server in the endpoint list.
 #[derive(Clone, Debug, Serialize)]
 pub struct EndpointMessage {
-    /// The same at every gateway.
+    /// Name of the server, the same at every gateway.
     pub name: String,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: String,
-    /// Its zone.
+    /// Name of the server's zone.
     pub zone: String,
-    /// Its machine type.
+    /// Machine type of the server.
     #[serde(rename = "type")]
     pub machine_type: &'static str,
-    /// The group of servers that share the idempotency keys they have seen.
+    /// Group of servers that share the idempotency keys they have seen.
     pub group: u32,
-    /// `ready`, `draining` or `gone`.
+    /// State of the server: `ready`, `draining` or `gone`.
     pub status: &'static str,
-    /// Its capacity relative to other servers'.
+    /// Capacity relative to that of other servers.
     pub weight: f64,
-    /// Last start, Unix time.
+    /// Time of the last start, in milliseconds since the Unix epoch.
     #[serde(rename = "since_ms")]
     pub started_at_ms: u64,
 }
 
-/// The body of a response of discovery.
+/// Body of a discovery response.
 #[derive(Clone, Debug, Serialize)]
 pub struct EndpointListMessage {
-    /// The version.
+    /// Version of the endpoint list.
     pub index: u64,
-    /// Whether this is the complete list.
+    /// Whether this is the complete list rather than a delta.
     pub snapshot: bool,
-    /// The entries.
+    /// Entries of the list or of the delta.
     pub endpoints: Vec<EndpointMessage>,
 }
 
-/// The length of a value as JSON.
+/// Returns the length of a value as JSON, in bytes.
 pub fn json_length<T: Serialize>(value: &T) -> u64 {
     serde_json::to_vec(value).map_or(0, |text| text.len() as u64)
 }
 
-/// A watch call of a discovery agent.
+/// Returns a watch request to a discovery agent.
 pub fn watch_call(agent: &str, index: u64, wait_ms: u64) -> String {
     format!("GET /catalog/members?index={index}&wait={wait_ms} HTTP/1.1\r\nhost: {agent}\r\n\r\n")
 }
 
-/// The head of a response with a JSON body.
+/// Returns the head of a response with a JSON body.
 pub fn response_head(body_length: u64) -> String {
     format!(
         "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: {body_length}\r\n\
@@ -63,7 +63,7 @@
     )
 }
 
-/// A counter call.
+/// Returns a request to the shared counter.
 pub fn counter_call(address: &str, key: u64, amount: f64, ttl_ms: u64) -> String {
     format!(
         "POST /v2/numbers/{key:x}?delta={amount}&life_ms={ttl_ms} HTTP/1.1\r\nhost: {address}\r\n\
@@ -71,7 +71,7 @@
     )
 }
 
-/// The counter's reply with a total.
+/// Returns the shared counter's response with a total.
 pub fn counter_reply(total: f64) -> String {
     let body = total.to_string();
     format!(
--- a/crates/scale-laboratory/tests/core_cost.rs
+++ b/crates/scale-laboratory/tests/core_cost.rs
@@ -1,4 +1,5 @@
-//! Costs of single events in the decision core, by entries visited and heap: what no machine's speed changes.
+//! Tests of the cost of single events in a decision core. They assert on visited entries and heap only, which
+//! do not depend on the speed of the machine.
 
 mod common;
 
@@ -8,10 +9,10 @@
 use grebehook_scale_laboratory::progress::Progress;
 use grebehook_scale_laboratory::results::Point;
 
-/// Entries that a request may visit however many servers are listed.
+/// Largest number of entries that a request may visit, for any number of listed servers.
 const MAX_REQUEST_ENTRIES: f64 = 200.0;
 
-/// Measures a core at one size.
+/// Measures the costs of a core at one fleet size.
 fn measure(servers: usize, tenants: usize) -> Point {
     let servers = format!("servers_per_service = {servers}");
     let tenants = format!("tenants = {tenants}");
@@ -25,7 +26,7 @@
     core_cost::measure(&parse(&text(&changes, "")).unwrap(), None, &Progress::default()).unwrap()
 }
 
-/// One test, since the heap is that of the whole process.
+/// A single test, because the measured heap is that of the whole process.
 #[test]
 fn request_and_periodic_timer_visit_a_bounded_part_of_the_fleet() {
     let points = [61, 6_100, 30_500].map(|servers| measure(servers, 200));
