--- a/crates/scale-laboratory/src/hollow/attempts.rs
+++ b/crates/scale-laboratory/src/hollow/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in the event loop, from their send to their end.
+//! Event handlers for attempts, from sending to completion.
 
 use super::event_queue::{Incarnation, SimulationEvent};
 use super::gateway::Attempt;
@@ -9,7 +9,8 @@
 use grebehook_core::{AttemptReport, AttemptStatus, Event, Micros, RequestId, ServerId};
 
 impl Simulation {
-    /// Sends an attempt; how and when it ends is known at once, unless the server stops before.
+    /// Sends an attempt and schedules its end. The result is computed in advance; `handle_attempt_end`
+    /// revises it if the server stops or becomes unreachable meanwhile.
     pub(super) fn send_attempt(
         &mut self,
         incarnation: Incarnation,
@@ -18,7 +19,7 @@
         timeout: Micros,
     ) {
         let server = server.0 as usize;
-        let response = self.response(incarnation.gateway, server, timeout);
+        let response = self.compute_response(incarnation.gateway, server, timeout);
         let Some(request) = self.gateways[incarnation.gateway].requests.get_mut(&id) else { return };
         request.attempts.push(Attempt {
             server,
@@ -30,15 +31,15 @@
         });
         let attempt = request.attempts.len() as u32 - 1;
         self.measurements.record_attempt(server, incarnation.gateway);
-        self.queue.push(response.at, SimulationEvent::AttemptEnds { incarnation, request: id, attempt });
+        self.queue.push(response.at, SimulationEvent::AttemptEnded { incarnation, request: id, attempt });
         if let Some(pending) = self.pending.get_mut(&id).filter(|pending| !pending.attempted) {
             pending.attempted = true;
             self.measurements.record_queueing_time(self.now - pending.sent_at);
         }
     }
 
-    /// What the gateway sees of an attempt that it sends now.
-    fn response(&mut self, gateway: usize, server: usize, timeout: Micros) -> ServerResponse {
+    /// Returns when and how an attempt sent now ends for the gateway.
+    fn compute_response(&mut self, gateway: usize, server: usize, timeout: Micros) -> ServerResponse {
         let delay = self.network.delay_to_server(gateway, server);
         let reachable = self.servers.get(server).running && self.network.reaches_server(gateway, server);
         let response = if reachable {
@@ -53,8 +54,9 @@
         response
     }
 
-    /// An attempt is due to end. If its server stopped or cannot be reached any more, it ends at its timeout instead.
-    pub(super) fn attempt_ends(&mut self, incarnation: Incarnation, id: RequestId, number: u32) {
+    /// Ends an attempt. A successful attempt whose server has stopped or become unreachable since it was sent
+    /// ends at its timeout instead.
+    pub(super) fn handle_attempt_end(&mut self, incarnation: Incarnation, id: RequestId, number: u32) {
         let gateway = &mut self.gateways[incarnation.gateway];
         if !gateway.is_running(incarnation) {
             return;
@@ -67,13 +69,13 @@
         if attempt.status == AttemptStatus::Ok && (server_stopped || unreachable) {
             attempt.status = AttemptStatus::Timeout;
             let at = attempt.sent_at.saturating_add(attempt.timeout).max(self.now);
-            let event = SimulationEvent::AttemptEnds { incarnation, request: id, attempt: number };
+            let event = SimulationEvent::AttemptEnded { incarnation, request: id, attempt: number };
             return self.queue.push(at, event);
         }
         attempt.in_flight = false;
         let attempt = *attempt;
         let served = attempt.status == AttemptStatus::Ok;
-        let reported_usage = if served { self.serve(id, attempt.server) } else { None };
+        let reported_usage = if served { self.record_served_request(id, attempt.server) } else { None };
         if served && !finished {
             self.respond(incarnation, id, Outcome::Served);
         }
@@ -89,11 +91,12 @@
             load_report: None,
         };
         self.deliver(incarnation, Event::AttemptCompleted(report));
-        self.forget_if_over(incarnation.gateway, id);
+        self.remove_if_complete(incarnation.gateway, id);
     }
 
-    /// A server has served a request: records its tenant's usage and returns what the response reports of it.
-    fn serve(&mut self, id: RequestId, server: usize) -> Option<f64> {
+    /// Records the usage of a request that a server has served. Returns the tenant's usage that the response
+    /// reports.
+    fn record_served_request(&mut self, id: RequestId, server: usize) -> Option<f64> {
         let tenant = self.pending.get(&id)?.tenant;
         let region = self.topology.region_of_server(server);
         let reaches = |other| self.network.reaches(region, other);
@@ -102,12 +105,12 @@
         reported_usage
     }
 
-    /// Cancels an attempt.
+    /// Cancels an attempt that is in flight.
     pub(super) fn cancel_attempt(&mut self, incarnation: Incarnation, id: RequestId, number: u32) {
         let Some(request) = self.gateways[incarnation.gateway].requests.get_mut(&id) else { return };
         let Some(attempt) = request.attempt_in_flight(number) else { return };
         attempt.status = AttemptStatus::Cancelled;
-        let event = SimulationEvent::AttemptEnds { incarnation, request: id, attempt: number };
+        let event = SimulationEvent::AttemptEnded { incarnation, request: id, attempt: number };
         self.queue.push(self.now, event);
     }
 }
--- a/crates/scale-laboratory/src/hollow/clients.rs
+++ b/crates/scale-laboratory/src/hollow/clients.rs
@@ -1,4 +1,4 @@
-//! Clients on simulated time: requests at random times, tenants, and how much of its quota each has used.
+//! Clients on simulated time: random arrivals of requests, their tenants, and each tenant's quota usage.
 
 use crate::experiment::{Fleet, Load};
 use crate::settings::USAGE_REPORT_PERIOD;
@@ -6,44 +6,45 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Multiplier that spreads tenants' sets of gateways over the fleet (2^64 divided by the golden ratio).
+/// Hash multiplier that spreads the tenants' sets of gateways over the fleet (2^64 divided by the golden
+/// ratio).
 const TENANT_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A request that waits for its response.
+/// A request that has no response yet.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingRequest {
-    /// Whose it is.
+    /// Index of the tenant that sent the request.
     pub tenant: usize,
-    /// When it was sent.
+    /// Time at which the client sent the request, in microseconds.
     pub sent_at: Micros,
-    /// The gateway that has it.
+    /// Index of the gateway that accepted the request.
     pub gateway: usize,
-    /// Whether an attempt was sent for it.
+    /// Whether the gateway has sent an attempt.
     pub attempted: bool,
 }
 
-/// The gateways that serve a tenant; they follow one another.
+/// Gateways that serve a tenant. Their indices are consecutive and wrap around at the end of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct GatewaySet {
-    /// The first of them.
+    /// Index of the first gateway.
     pub first: usize,
-    /// How many they are.
+    /// Number of gateways.
     pub count: usize,
 }
 
 /// Units that a tenant used at the servers of one region.
 #[derive(Clone, Copy, Debug, Default)]
 struct Usage {
-    /// The period that `units` belong to.
+    /// Index of the report period that `units` belongs to.
     period: u64,
-    /// Units used in it.
+    /// Units used in that period.
     units: f64,
     /// Units used in the period before.
     previous_units: f64,
 }
 
 impl Usage {
-    /// Begins the current period, if it has not begun.
+    /// Starts the report period of `now`, unless it is the current one.
     fn roll_over(&mut self, now: Micros) {
         let period = now / USAGE_REPORT_PERIOD;
         if self.period == period {
@@ -55,30 +56,28 @@
     }
 }
 
-/// The clients of all tenants.
+/// Clients of all tenants.
 pub struct Clients {
-    /// How many tenants there are.
     tenants: usize,
-    /// How many gateways there are.
     gateways: usize,
-    /// How many gateways serve a tenant.
     gateways_per_tenant: usize,
-    /// Requests a second of all clients together.
+    /// Rate of requests of all clients together.
     requests_per_second: f64,
-    /// How many tenants are hot.
+    /// Number of hot tenants, which have the lowest indices.
     hot_tenants: usize,
     /// Share of the requests that hot tenants send.
     hot_share: f64,
-    /// Quota of a tenant, units a second.
+    /// Quota of each tenant, in units per second.
     quota_rate: f64,
-    /// Usage by tenant and by the region of the server: a server reports only the usage of regions it can reach.
+    /// Usage by tenant and by region of the server. A server reports only the usage of regions that it can
+    /// reach.
     usage: Vec<Vec<Usage>>,
-    /// Units served to hot tenants since they were last taken.
+    /// Units served to hot tenants since the last call of `take_hot_units`.
     hot_units: f64,
 }
 
 impl Clients {
-    /// Clients that have sent nothing yet.
+    /// Returns clients that have not sent any request.
     pub fn new(fleet: &Fleet, load: &Load) -> Clients {
         Clients {
             tenants: fleet.tenants,
@@ -93,7 +92,8 @@
         }
     }
 
-    /// Time to the next request, exponentially distributed; `None` if clients send nothing.
+    /// Returns the time to the next request, exponentially distributed, in microseconds; `None` if clients
+    /// send no requests.
     pub fn next_arrival(&self, rng: &mut ChaCha8Rng) -> Option<Micros> {
         if self.requests_per_second <= 0.0 {
             return None;
@@ -103,14 +103,14 @@
         Some(gap as Micros + 1)
     }
 
-    /// The tenant of the next request.
-    pub fn draw_tenant(&self, rng: &mut ChaCha8Rng) -> usize {
+    /// Returns a random tenant for the next request.
+    pub fn sample_tenant(&self, rng: &mut ChaCha8Rng) -> usize {
         let hot = self.hot_tenants > 0 && rng.random::<f64>() < self.hot_share;
         rng.random_range(0..if hot { self.hot_tenants } else { self.tenants })
     }
 
-    /// The gateways that serve a tenant.
-    pub fn gateways_of(&self, tenant: usize) -> GatewaySet {
+    /// Returns the gateways that serve a tenant.
+    pub fn gateway_set(&self, tenant: usize) -> GatewaySet {
         let hash = (tenant as u64).wrapping_mul(TENANT_HASH_MULTIPLIER) >> 32;
         GatewaySet { first: hash as usize % self.gateways, count: self.gateways_per_tenant }
     }
@@ -125,8 +125,8 @@
         }
     }
 
-    /// A tenant's usage in the last complete report period, as a share of its quota, summed over the regions that the
-    /// reporting server reaches; `None` without a quota.
+    /// Returns a tenant's usage in the last complete report period, as a share of its quota, summed over the
+    /// regions that the reporting server can reach; `None` without a quota.
     pub fn reported_usage(
         &mut self,
         now: Micros,
@@ -144,17 +144,17 @@
         (quota > 0.0).then(|| used / quota)
     }
 
-    /// Units served to the hot tenants since the last call.
+    /// Returns the units served to hot tenants since the last call.
     pub fn take_hot_units(&mut self) -> f64 {
         std::mem::take(&mut self.hot_units)
     }
 
-    /// Whether a tenant is one of the hot ones.
+    /// Returns whether a tenant belongs to the hot tenants.
     pub fn is_hot(&self, tenant: usize) -> bool {
         tenant < self.hot_tenants
     }
 
-    /// How many tenants are hot.
+    /// Returns the number of hot tenants.
     pub fn hot_tenants(&self) -> usize {
         self.hot_tenants
     }
--- a/crates/scale-laboratory/src/hollow/counter_calls.rs
+++ b/crates/scale-laboratory/src/hollow/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Counter calls in the event loop.
+//! Event handlers for calls to the shared counter.
 
 use super::event_queue::{Incarnation, SimulationEvent};
 use super::gateway::MAX_COUNTER_CALLS;
@@ -7,7 +7,7 @@
 use grebehook_core::{CounterId, CounterResult, Event, Micros};
 
 impl Simulation {
-    /// A gateway calls the counter.
+    /// Sends a gateway's call to the shared counter and schedules its end.
     pub(super) fn call_counter(
         &mut self,
         incarnation: Incarnation,
@@ -18,16 +18,17 @@
         let gateway = &mut self.gateways[incarnation.gateway];
         gateway.counter_calls_in_flight += 1;
         if gateway.counter_calls_in_flight > MAX_COUNTER_CALLS {
-            // No connection is free, and none is opened.
+            // All connections are in use, and the gateway opens no further ones.
             return self.schedule_counter_reply(self.now, incarnation, counter, CounterResult::Refused);
         }
-        let address = gateway.configuration_version;
-        let reachable = self.network.reaches_home(incarnation.gateway);
-        let reply = self.counter.call(self.now, CounterCall { counter, amount, ttl, address, reachable });
+        let address_version = gateway.configuration_version;
+        let reachable = self.network.reaches_home_region(incarnation.gateway);
+        let reply =
+            self.counter.call(self.now, CounterCall { counter, amount, ttl, address_version, reachable });
         self.measurements.counts.counter_calls += 1;
         self.measurements.counts.counter_bytes += reply.bytes;
         let round_trip = match reply.result {
-            CounterResult::Total(_) => 2 * self.network.delay_to_home(incarnation.gateway),
+            CounterResult::Total(_) => 2 * self.network.delay_to_home_region(incarnation.gateway),
             CounterResult::Refused | CounterResult::Unknown => 0,
         };
         self.schedule_counter_reply(reply.at + round_trip, incarnation, counter, reply.result);
@@ -42,11 +43,11 @@
         result: CounterResult,
     ) {
         let called_at = self.now;
-        self.queue.push(at, SimulationEvent::CounterReplies { incarnation, counter, called_at, result });
+        self.queue.push(at, SimulationEvent::CounterReplied { incarnation, counter, called_at, result });
     }
 
-    /// A call has ended.
-    pub(super) fn counter_replied(
+    /// Passes the result of a call to the gateway.
+    pub(super) fn handle_counter_reply(
         &mut self,
         incarnation: Incarnation,
         counter: CounterId,
--- a/crates/scale-laboratory/src/hollow/endpoint_history.rs
+++ b/crates/scale-laboratory/src/hollow/endpoint_history.rs
@@ -1,5 +1,5 @@
-//! Discovery's endpoint list on simulated time: its versions, what an agent is sent to get from one to another, and
-//! the lengths of these messages on the wire.
+//! Endpoint list of discovery on simulated time: its versions, the updates from one version to another, and
+//! the length of these messages on the wire.
 
 use crate::settings::zone_name;
 use crate::topology::Topology;
@@ -7,76 +7,75 @@
 use grebehook_core::{Endpoint, EndpointState, Micros, NonZeroMicros, ServerId};
 use std::collections::BTreeSet;
 
-/// An agent's address in calls, for their length.
+/// Address of an agent, which counts towards the length of its calls.
 const AGENT_ADDRESS: &str = "127.0.0.1:8500";
-/// How long a gateway lets a watch wait.
+/// Time after which a watch without changes ends, in microseconds.
 pub const WATCH_TIMEOUT: Micros = 600_000;
-/// How long a failing watch takes: its shorter wait and the backoff after it.
+/// Duration of a failing watch, in microseconds: its shorter timeout and the backoff after it.
 pub const FAILING_WATCH_TIMEOUT: Micros = 400_000;
-/// Version of the list at the start.
+/// First version of the list.
 const FIRST_VERSION: u64 = 1;
 
-/// What the list says of a server.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerRecord {
-    /// Its number.
+    /// Index of the server.
     pub server: usize,
-    /// Its state.
+    /// State that discovery reports for the server.
     pub state: EndpointState,
-    /// When it last started; 0 if that was long ago.
+    /// Time of the last start, in microseconds; 0 for a server that has long been warm.
     pub started_at: Micros,
 }
 
-/// One version of the list, by its difference to the one before.
+/// A version of the list, as its difference from the one before.
 struct Version {
-    /// When it was published.
+    /// Time of publication, in microseconds.
     published_at: Micros,
-    /// The servers whose entries changed.
+    /// Servers whose entries changed.
     servers: Vec<usize>,
 }
 
-/// What an agent hands to its gateway.
+/// Message that an agent delivers to its gateway.
 pub struct EndpointUpdate {
-    /// The version that the gateway has then.
+    /// Version of the list after the update.
     pub version: u64,
-    /// The entries.
+    /// Entries of the list or of the delta.
     pub endpoints: Vec<Endpoint>,
-    /// Whether they are the complete list.
+    /// Whether `endpoints` is the complete list.
     pub is_snapshot: bool,
-    /// Length of the list as JSON.
+    /// Length of the message as JSON, in bytes.
     pub body_bytes: u64,
-    /// When each change in it was published.
+    /// Publication times of the versions that the update contains, in microseconds.
     pub published_at: Vec<Micros>,
 }
 
-/// The list of servers and its versions.
+/// Endpoint list with its versions.
 pub struct EndpointHistory {
-    /// Where servers stand.
     topology: Topology,
-    /// The current record of each server.
+    /// Current record of each server.
     records: Vec<ServerRecord>,
     /// All versions after the first.
     versions: Vec<Version>,
-    /// Versions that a relay keeps; an agent further behind is sent a snapshot.
-    kept_versions: usize,
-    /// Length of the current snapshot, once it was asked for.
+    /// Number of versions that a relay retains; an agent that is further behind gets a snapshot.
+    retained_versions: usize,
+    /// Length of the current snapshot in bytes, computed on first use.
     snapshot_bytes: Option<u64>,
 }
 
 impl EndpointHistory {
-    /// A list of servers that are all ready and warm.
-    pub fn new(topology: Topology, servers: usize, kept_versions: usize) -> EndpointHistory {
+    /// Returns a list of servers that are all ready and warm.
+    pub fn new(topology: Topology, servers: usize, retained_versions: usize) -> EndpointHistory {
         let record = |server| ServerRecord { server, state: EndpointState::Ready, started_at: 0 };
         let records = (0..servers).map(record).collect();
-        EndpointHistory { topology, records, versions: Vec::new(), kept_versions, snapshot_bytes: None }
+        EndpointHistory { topology, records, versions: Vec::new(), retained_versions, snapshot_bytes: None }
     }
 
-    /// The newest version.
+    /// Returns the newest version.
     pub fn version(&self) -> u64 {
         FIRST_VERSION + self.versions.len() as u64
     }
 
-    /// Publishes changes as one new version.
+    /// Publishes changes as one new version and returns it.
     pub fn publish(&mut self, now: Micros, changes: &[ServerRecord]) -> u64 {
         for change in changes {
             self.records[change.server] = *change;
@@ -87,14 +86,16 @@
         self.version()
     }
 
-    /// What a gateway needs to get from one version to another; `None` if it has that already.
-    pub fn update(&mut self, known: u64, version: u64) -> Option<EndpointUpdate> {
-        if known >= version {
+    /// Returns the update from a known version to a later one, as a snapshot if the relay no longer retains
+    /// all versions between; `None` if the version is already known.
+    pub fn update(&mut self, known_version: u64, version: u64) -> Option<EndpointUpdate> {
+        if known_version >= version {
             return None;
         }
-        let missed = &self.versions[(known - FIRST_VERSION) as usize..(version - FIRST_VERSION) as usize];
+        let missed =
+            &self.versions[(known_version - FIRST_VERSION) as usize..(version - FIRST_VERSION) as usize];
         let published_at = missed.iter().map(|missed| missed.published_at).collect();
-        if missed.len() > self.kept_versions {
+        if missed.len() > self.retained_versions {
             return Some(EndpointUpdate { published_at, ..self.snapshot() });
         }
         let servers: BTreeSet<usize> =
@@ -106,7 +107,7 @@
         Some(EndpointUpdate { version, endpoints, is_snapshot: false, body_bytes, published_at })
     }
 
-    /// The complete list.
+    /// Returns the complete list at the newest version.
     pub fn snapshot(&mut self) -> EndpointUpdate {
         let listed = self.records.iter().filter(|record| record.state != EndpointState::Removed);
         let listed: Vec<usize> = listed.map(|record| record.server).collect();
@@ -120,7 +121,7 @@
         EndpointUpdate { version, endpoints, is_snapshot: true, body_bytes, published_at: Vec::new() }
     }
 
-    /// A server's entry, as the decision core takes it.
+    /// Returns the entry of a server in the form that the decision core uses.
     fn endpoint(&self, server: usize) -> Endpoint {
         let record = self.records[server];
         let zone = self.topology.zone_of_server(server) as u32;
@@ -134,7 +135,7 @@
         }
     }
 
-    /// A server's entry on the wire.
+    /// Returns the entry of a server in its form on the wire.
     fn message(&self, server: usize) -> EndpointMessage {
         let record = self.records[server];
         let zone = self.topology.zone_of_server(server);
@@ -155,17 +156,17 @@
     }
 }
 
-/// Bytes of a watch: its call and a response with a list of this length.
+/// Returns the length of a watch in bytes: its call and a response with a list of `body_bytes`.
 pub fn watch_bytes(version: u64, body_bytes: u64) -> u64 {
     watch_call_bytes(version) + wire::response_head(body_bytes).len() as u64 + body_bytes
 }
 
-/// Bytes of a watch without a response.
+/// Returns the length of a watch call without a response, in bytes.
 pub fn watch_call_bytes(version: u64) -> u64 {
     wire::watch_call(AGENT_ADDRESS, version, WATCH_TIMEOUT / 1_000).len() as u64
 }
 
-/// Length of a list without changes.
+/// Returns the length of a list without changes, in bytes.
 pub fn empty_body_bytes(version: u64) -> u64 {
     wire::json_length(&EndpointListMessage { index: version, snapshot: false, endpoints: Vec::new() })
 }
--- a/crates/scale-laboratory/src/hollow/event_queue.rs
+++ b/crates/scale-laboratory/src/hollow/event_queue.rs
@@ -1,135 +1,135 @@
-//! The events of a simulation, in the order of their times.
+//! Priority queue of simulation events, ordered by time.
 
 use grebehook_core::{CounterId, CounterResult, Micros, RequestId, TimerId};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A gateway between a start and its end; what was meant for an earlier incarnation is dropped.
+/// A period of a gateway between a start and the following stop. Events for an earlier incarnation are
+/// dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Incarnation {
-    /// The gateway's number.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// Which of its starts, from 1.
+    /// Number of the gateway's start, from 1.
     pub number: u32,
 }
 
-/// Something that happens in the simulation.
+/// Something that happens in the simulation, or an operation scheduled for a time.
 #[derive(Clone, Debug)]
 pub enum SimulationEvent {
-    /// A client sends a request.
-    RequestArrives,
-    /// The measured time begins.
-    MeasurementBegins,
-    /// The measured time ends.
-    MeasurementEnds,
-    /// A gateway's timer is due.
-    TimerFires {
-        /// The gateway.
+    /// A client has sent a request to the load balancer.
+    RequestArrived,
+    /// Begins the measurement and discards what was counted during the warm-up.
+    BeginMeasurement,
+    /// Ends the measurement, after which clients send no more requests.
+    EndMeasurement,
+    /// A timer of a gateway's decision core has fired.
+    TimerFired {
+        /// Gateway that set the timer.
         incarnation: Incarnation,
-        /// The timer.
+        /// Timer that fires.
         timer: TimerId,
     },
-    /// An attempt ends with the status that the gateway's host has noted.
-    AttemptEnds {
-        /// The gateway.
+    /// An attempt has ended with the status stored in its `Attempt`.
+    AttemptEnded {
+        /// Gateway that sent the attempt.
         incarnation: Incarnation,
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// Which of its attempts.
+        /// Index of the attempt within its request.
         attempt: u32,
     },
-    /// A counter call ends.
-    CounterReplies {
-        /// The gateway.
+    /// A call to the shared counter has ended.
+    CounterReplied {
+        /// Gateway that sent the call.
         incarnation: Incarnation,
-        /// The counter's key.
+        /// Counter key of the call.
         counter: CounterId,
-        /// When the call was sent.
+        /// Time at which the call was sent, in microseconds.
         called_at: Micros,
-        /// How the call ended.
+        /// Result of the call.
         result: CounterResult,
     },
-    /// A relay has passed changes up to a version to a gateway's agent.
+    /// A relay has passed the changes up to a version to a gateway's agent.
     AgentUpdated {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
-        /// The version.
+        /// Version of the endpoint list.
         version: u64,
     },
-    /// A watch has waited for as long as it may.
-    WatchTimesOut {
-        /// The gateway.
+    /// A watch has reached its timeout.
+    WatchTimedOut {
+        /// Gateway that opened the watch.
         incarnation: Incarnation,
-        /// Which of its watches.
+        /// Number of the watch at this gateway.
         watch: u64,
     },
-    /// A new configuration reaches a gateway.
-    ConfigurationArrives {
-        /// The gateway.
+    /// A new configuration has reached a gateway.
+    ConfigurationArrived {
+        /// Index of the gateway.
         gateway: usize,
-        /// The configuration's version.
+        /// Version of the configuration.
         version: u32,
     },
-    /// A gossip message reaches a gateway.
-    GossipArrives {
-        /// The gateway.
+    /// A gossip message has reached a gateway.
+    GossipArrived {
+        /// Index of the receiving gateway.
         to: usize,
-        /// The sender.
+        /// Index of the sending gateway.
         from: usize,
-        /// The message.
+        /// Encoded message.
         message: Vec<u8>,
     },
-    /// Discovery notices that servers stopped or started.
-    ServersChange {
-        /// The servers.
+    /// Publishes the state of servers once discovery has detected that they stopped or started.
+    PublishServers {
+        /// Indices of the servers.
         servers: Vec<usize>,
     },
-    /// One of the load's changes of a server's entry.
-    ServerRestarts {
-        /// The server.
+    /// Restarts a server, as one of the changes that `load.changes` schedules.
+    RestartServer {
+        /// Index of the server.
         server: usize,
     },
-    /// One of the load's changes of the configuration.
-    ConfigurationChanges,
-    /// A gateway is killed.
-    GatewayKilled {
-        /// Its number.
+    /// Publishes a new configuration, as one of the changes that `load.configurations` schedules.
+    PublishConfiguration,
+    /// Kills a gateway, whose requests without a response are lost.
+    KillGateway {
+        /// Index of the gateway.
         gateway: usize,
     },
-    /// A gateway starts.
-    GatewayStarts {
-        /// Its number.
+    /// Starts a gateway, unless it is running already.
+    StartGateway {
+        /// Index of the gateway.
         gateway: usize,
     },
-    /// The load balancer before the gateways learns whether one of them is down.
-    LoadBalancerChecks {
-        /// Its number.
+    /// Updates the load balancer in front of the gateways on whether one of them is down.
+    UpdateLoadBalancer {
+        /// Index of the gateway.
         gateway: usize,
     },
-    /// A fault begins.
-    FaultBegins {
-        /// Its index in the experiment.
+    /// Begins a fault of the experiment.
+    BeginFault {
+        /// Index of the fault in the experiment.
         fault: usize,
     },
-    /// A fault ends.
-    FaultEnds {
-        /// Its index in the experiment.
+    /// Ends a fault of the experiment.
+    EndFault {
+        /// Index of the fault in the experiment.
         fault: usize,
     },
-    /// A client has waited longer than any response may take.
-    ClientTimesOut {
-        /// Its request.
+    /// A client has waited for a response longer than any gateway may take.
+    ClientTimedOut {
+        /// Request of the client.
         request: RequestId,
     },
 }
 
-/// An event and its place in the order.
+/// A scheduled event, ordered by time and then by sequence number.
 struct Scheduled {
-    /// When it happens.
+    /// Time of the event, in microseconds.
     at: Micros,
-    /// The order in which events were scheduled.
+    /// Number of events scheduled before this one.
     sequence: u64,
-    /// What happens.
     event: SimulationEvent,
 }
 
@@ -153,24 +153,24 @@
     }
 }
 
-/// Events to come; those of one time in the order in which they were scheduled.
+/// Queue of future events. Events of the same time are returned in the order in which they were scheduled.
 #[derive(Default)]
 pub struct EventQueue {
-    /// The events, the next one on top.
+    /// Scheduled events, the earliest on top.
     heap: BinaryHeap<Reverse<Scheduled>>,
-    /// The place of the next event that is scheduled.
+    /// Sequence number of the next event that is scheduled.
     next_sequence: u64,
 }
 
 impl EventQueue {
-    /// Schedules an event.
+    /// Schedules an event at a time in microseconds.
     pub fn push(&mut self, at: Micros, event: SimulationEvent) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         self.heap.push(Reverse(Scheduled { at, sequence, event }));
     }
 
-    /// The next event and its time.
+    /// Removes the earliest event and returns it with its time in microseconds.
     pub fn pop(&mut self) -> Option<(Micros, SimulationEvent)> {
         self.heap.pop().map(|Reverse(next)| (next.at, next.event))
     }
--- a/crates/scale-laboratory/src/hollow/faults.rs
+++ b/crates/scale-laboratory/src/hollow/faults.rs
@@ -1,64 +1,65 @@
-//! The experiment's faults and its scheduled changes in the event loop.
+//! Event handlers for the experiment's faults and its scheduled changes.
 
 use super::event_queue::SimulationEvent;
 use super::simulation::Simulation;
 use crate::experiment::{Domain, Fault};
-use crate::settings::{micros, micros_of_seconds};
+use crate::settings::{micros_from_milliseconds, micros_from_seconds};
 use grebehook_core::Micros;
 use rand::RngExt;
 
-/// A gateway restarted by the load is back after this time.
+/// Time from the kill to the start of a gateway that `load.restarts` restarts, in microseconds.
 const RESTART_DELAY: Micros = 500_000;
 
 impl Simulation {
-    /// Schedules the experiment's faults and its changes and restarts.
+    /// Schedules the experiment's faults, changes and restarts.
     pub(super) fn schedule_faults(&mut self) {
         for (index, fault) in self.experiment.faults.iter().enumerate() {
-            let begins_at = self.measure_from + micros_of_seconds(fault.at_seconds());
-            self.queue.push(begins_at, SimulationEvent::FaultBegins { fault: index });
+            let begins_at = self.measurement_start + micros_from_seconds(fault.at_seconds());
+            self.queue.push(begins_at, SimulationEvent::BeginFault { fault: index });
             if fault.lasts_seconds() > 0.0 {
-                let ends_at = begins_at + micros_of_seconds(fault.lasts_seconds());
-                self.queue.push(ends_at, SimulationEvent::FaultEnds { fault: index });
+                let ends_at = begins_at + micros_from_seconds(fault.lasts_seconds());
+                self.queue.push(ends_at, SimulationEvent::EndFault { fault: index });
             }
         }
         self.schedule_changes();
         self.schedule_restarts();
     }
 
-    /// Schedules the load's changes at random times.
+    /// Schedules the changes of servers and of the configuration at random times.
     fn schedule_changes(&mut self) {
         for _ in 0..self.experiment.load.changes {
             let server = self.rng.random_range(0..self.servers.len());
-            let at = self.rng.random_range(self.measure_from..self.measure_until);
-            self.queue.push(at, SimulationEvent::ServerRestarts { server });
+            let at = self.rng.random_range(self.measurement_start..self.measurement_end);
+            self.queue.push(at, SimulationEvent::RestartServer { server });
         }
         for _ in 0..self.experiment.load.configurations {
-            let at = self.rng.random_range(self.measure_from..self.measure_until);
-            self.queue.push(at, SimulationEvent::ConfigurationChanges);
+            let at = self.rng.random_range(self.measurement_start..self.measurement_end);
+            self.queue.push(at, SimulationEvent::PublishConfiguration);
         }
     }
 
-    /// Schedules the load's restarts of gateways, evenly so that a few of them never coincide.
+    /// Schedules the restarts of gateways at regular intervals, so that a small number of restarts never
+    /// overlap.
     fn schedule_restarts(&mut self) {
         let restarts = self.experiment.load.restarts;
-        let duration = self.measure_until - self.measure_from;
+        let duration = self.measurement_end - self.measurement_start;
         for restart in 0..restarts {
             let gateway = restart % self.gateways.len();
-            let at = self.measure_from + duration * restart as u64 / restarts as u64;
-            self.queue.push(at, SimulationEvent::GatewayKilled { gateway });
-            self.queue.push(at + RESTART_DELAY, SimulationEvent::GatewayStarts { gateway });
+            let at = self.measurement_start + duration * restart as u64 / restarts as u64;
+            self.queue.push(at, SimulationEvent::KillGateway { gateway });
+            self.queue.push(at + RESTART_DELAY, SimulationEvent::StartGateway { gateway });
         }
     }
 
-    /// Begins a fault.
+    /// Begins the fault with this index in the experiment.
     pub(super) fn begin_fault(&mut self, index: usize) {
         let fault = self.experiment.faults[index].clone();
         tracing::info!(fault = fault.name(), "fault begins");
         match fault {
             Fault::KillGateways { count, .. } => (0..count).for_each(|gateway| self.kill_gateway(gateway)),
-            Fault::Lose { domain, index, gateways_too, .. } => self.lose(domain, index, gateways_too),
-            Fault::SilenceCounter { .. } => self.counter.set_silent(true),
-            Fault::SilenceDiscovery { .. } => self.discovery_silent = true,
+            Fault::Lose { domain, index, gateways_too, .. } => self.stop_domain(domain, index, gateways_too),
+            Fault::SilenceCounter { .. } => self.counter.set_unresponsive(true),
+            Fault::SilenceDiscovery { .. } => self.discovery_unresponsive = true,
             Fault::ChangeMembers { count, .. } => self.restart_servers(&Vec::from_iter(0..count)),
             Fault::ChangeConfiguration { .. } => self.publish_configuration(),
             Fault::CutRegions { first, second, .. } => self.network.set_partitioned(first, second, true),
@@ -66,16 +67,18 @@
         }
     }
 
-    /// Ends a fault.
+    /// Ends the fault with this index in the experiment.
     pub(super) fn end_fault(&mut self, index: usize) {
         let fault = self.experiment.faults[index].clone();
         tracing::info!(fault = fault.name(), "fault ends");
         match fault {
             Fault::KillGateways { count, .. } => self.schedule_starts(0..count),
-            Fault::Lose { domain, index, gateways_too, .. } => self.restore(domain, index, gateways_too),
-            Fault::SilenceCounter { .. } => self.counter.set_silent(false),
+            Fault::Lose { domain, index, gateways_too, .. } => {
+                self.restart_domain(domain, index, gateways_too);
+            }
+            Fault::SilenceCounter { .. } => self.counter.set_unresponsive(false),
             Fault::SilenceDiscovery { .. } => {
-                self.discovery_silent = false;
+                self.discovery_unresponsive = false;
                 self.resend_to_agents();
             }
             Fault::CutRegions { first, second, .. } => {
@@ -87,25 +90,27 @@
         }
     }
 
-    /// Starts gateways, after what happens at the same time already.
+    /// Schedules the start of gateways, after the events already scheduled for the current time.
     fn schedule_starts(&mut self, gateways: impl IntoIterator<Item = usize>) {
         for gateway in gateways {
-            self.queue.push(self.now, SimulationEvent::GatewayStarts { gateway });
+            self.queue.push(self.now, SimulationEvent::StartGateway { gateway });
         }
     }
 
-    /// The servers of a domain.
+    /// Returns the servers of a failure domain.
     fn servers_in(&self, domain: Domain, index: usize) -> Vec<usize> {
-        (0..self.servers.len()).filter(|server| self.topology.is_in(*server, domain, index)).collect()
+        (0..self.servers.len()).filter(|server| self.topology.is_in_domain(*server, domain, index)).collect()
     }
 
-    /// The gateways of a domain.
+    /// Returns the gateways of a failure domain.
     fn gateways_in(&self, domain: Domain, index: usize) -> Vec<usize> {
-        (0..self.gateways.len()).filter(|gateway| self.topology.is_in(*gateway, domain, index)).collect()
+        (0..self.gateways.len())
+            .filter(|gateway| self.topology.is_in_domain(*gateway, domain, index))
+            .collect()
     }
 
-    /// The machines of a domain stop; discovery notices it later.
-    fn lose(&mut self, domain: Domain, index: usize, gateways_too: bool) {
+    /// Stops the machines of a failure domain; discovery detects it later.
+    fn stop_domain(&mut self, domain: Domain, index: usize, gateways_too: bool) {
         let servers = self.servers_in(domain, index);
         for server in &servers {
             self.servers.stop(*server);
@@ -115,12 +120,12 @@
                 self.kill_gateway(gateway);
             }
         }
-        let noticed_at = self.now + micros(self.experiment.discovery.notice_milliseconds);
-        self.queue.push(noticed_at, SimulationEvent::ServersChange { servers });
+        let detected_at = self.now + micros_from_milliseconds(self.experiment.discovery.notice_milliseconds);
+        self.queue.push(detected_at, SimulationEvent::PublishServers { servers });
     }
 
-    /// The machines of a domain start again.
-    fn restore(&mut self, domain: Domain, index: usize, gateways_too: bool) {
+    /// Starts the machines of a failure domain again.
+    fn restart_domain(&mut self, domain: Domain, index: usize, gateways_too: bool) {
         let servers = self.servers_in(domain, index);
         if gateways_too {
             self.schedule_starts(self.gateways_in(domain, index));
@@ -128,11 +133,12 @@
         self.restart_servers(&servers);
     }
 
-    /// Servers start, and discovery publishes it at once. Those that ran are replaced within an instant.
+    /// Starts servers, which discovery publishes at once. Servers that are running are replaced without
+    /// downtime.
     pub(super) fn restart_servers(&mut self, servers: &[usize]) {
         for server in servers {
             self.servers.start(self.now, *server);
         }
-        self.servers_change(servers);
+        self.publish_servers(servers);
     }
 }
--- a/crates/scale-laboratory/src/hollow/gateway.rs
+++ b/crates/scale-laboratory/src/hollow/gateway.rs
@@ -1,80 +1,80 @@
-//! The host of a hollow gateway: its decision core, its requests in flight, and its version of the endpoint list.
+//! Host of a hollow gateway: its decision core, its requests in flight and its version of the endpoint list.
 
 use super::event_queue::Incarnation;
 use crate::error::Result;
 use grebehook_core::{AttemptStatus, Gateway, Micros, RequestId, Settings};
 use std::collections::BTreeMap;
 
-/// Counter calls that a gateway has in flight at most.
+/// Largest number of counter calls that a gateway has in flight.
 pub const MAX_COUNTER_CALLS: usize = 16;
 
-/// An attempt that was sent.
+/// An attempt that was sent to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Where to.
+    /// Index of the server.
     pub server: usize,
-    /// The server's incarnation then.
+    /// Incarnation of the server when the attempt was sent.
     pub server_incarnation: u32,
-    /// When.
+    /// Time at which the attempt was sent, in microseconds.
     pub sent_at: Micros,
-    /// How long the core waits for it.
+    /// Time after which the attempt times out, in microseconds.
     pub timeout: Micros,
-    /// How it ends.
+    /// Status with which the attempt ends.
     pub status: AttemptStatus,
-    /// Whether it has not ended yet.
+    /// Whether the attempt has not ended yet.
     pub in_flight: bool,
 }
 
 /// A request that the host keeps until its last attempt has ended.
 #[derive(Debug, Default)]
 pub struct HostedRequest {
-    /// Its attempts, in the order of their sends.
+    /// Attempts of the request in the order in which they were sent.
     pub attempts: Vec<Attempt>,
-    /// The client has its response or has disconnected.
+    /// Whether the client has its response or has disconnected.
     pub finished: bool,
 }
 
 impl HostedRequest {
-    /// An attempt that has not ended.
+    /// Returns the attempt with this index, if it has not ended.
     pub fn attempt_in_flight(&mut self, number: u32) -> Option<&mut Attempt> {
         self.attempts.get_mut(number as usize).filter(|attempt| attempt.in_flight)
     }
 
-    /// Whether nothing more happens to it.
-    pub fn is_over(&self) -> bool {
+    /// Returns whether the client has its response and no attempt is in flight.
+    pub fn is_complete(&self) -> bool {
         self.finished && self.attempts.iter().all(|attempt| !attempt.in_flight)
     }
 }
 
-/// A hollow gateway.
+/// A gateway that consists of a decision core and a minimal host, without sockets.
 pub struct HollowGateway {
-    /// Its number.
-    pub number: usize,
-    /// Counts its starts.
+    /// Index of the gateway.
+    pub index: usize,
+    /// Number of starts.
     starts: u32,
-    /// Its decision core; `None` while it is down.
+    /// Decision core; `None` while the gateway is down.
     pub core: Option<Gateway>,
-    /// The requests it keeps.
+    /// Requests that the host keeps.
     pub requests: BTreeMap<RequestId, HostedRequest>,
-    /// The version of the endpoint list that it has.
+    /// Version of the endpoint list that the gateway has.
     pub list_version: u64,
-    /// The number of its last watch, so that an answered one does not time out.
+    /// Number of the last watch; the timeout of an earlier watch, which was answered, is ignored.
     pub last_watch: u64,
-    /// Counter calls that have not ended.
+    /// Number of counter calls in flight.
     pub counter_calls_in_flight: usize,
-    /// The version of its configuration, which says which counter it calls.
+    /// Version of the configuration, which determines the address of the shared counter.
     pub configuration_version: u32,
-    /// Its host carries out no more actions.
+    /// Whether the host no longer carries out actions of the core, as a `stop-answering` fault causes.
     pub stalled: bool,
-    /// The load balancer knows that it is down.
+    /// Whether the load balancer knows that the gateway is down.
     pub marked_down: bool,
 }
 
 impl HollowGateway {
-    /// One that is down.
-    pub fn new(number: usize) -> HollowGateway {
+    /// Returns a gateway that is down.
+    pub fn new(index: usize) -> HollowGateway {
         HollowGateway {
-            number,
+            index,
             starts: 0,
             core: None,
             requests: BTreeMap::new(),
@@ -87,29 +87,29 @@
         }
     }
 
-    /// Starts it without any state of an earlier incarnation.
+    /// Starts the gateway without the state of earlier incarnations.
     pub fn start(&mut self, now: Micros, settings: Settings, seed: u64) -> Result<()> {
         self.starts += 1;
-        let seed = seed ^ ((self.number as u64) << 32) ^ u64::from(self.starts);
+        let seed = seed ^ ((self.index as u64) << 32) ^ u64::from(self.starts);
         self.core = Some(Gateway::new(settings, seed, now)?);
         self.counter_calls_in_flight = 0;
         self.marked_down = false;
         Ok(())
     }
 
-    /// Kills it; the requests that had no response.
+    /// Kills the gateway and returns the requests that had no response.
     pub fn kill(&mut self) -> Vec<RequestId> {
         self.core = None;
         let requests = std::mem::take(&mut self.requests);
         requests.into_iter().filter(|(_, request)| !request.finished).map(|(id, _)| id).collect()
     }
 
-    /// Its current incarnation.
+    /// Returns the current incarnation.
     pub fn incarnation(&self) -> Incarnation {
-        Incarnation { gateway: self.number, number: self.starts }
+        Incarnation { gateway: self.index, number: self.starts }
     }
 
-    /// Whether it still runs as this incarnation.
+    /// Returns whether the gateway is running as the given incarnation.
     pub fn is_running(&self, incarnation: Incarnation) -> bool {
         self.core.is_some() && self.starts == incarnation.number
     }
--- a/crates/scale-laboratory/src/hollow/lifecycle.rs
+++ b/crates/scale-laboratory/src/hollow/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts and ends of gateways in the event loop.
+//! Event handlers for starts and stops of gateways.
 
 use super::event_queue::SimulationEvent;
 use super::simulation::Simulation;
@@ -7,7 +7,7 @@
 use crate::timeline::Outcome;
 use grebehook_core::{Micros, WatchEvent};
 
-/// The load balancer notices a dead gateway after this time.
+/// Time after which the load balancer detects that a gateway is down, in microseconds.
 const LOAD_BALANCER_DELAY: Micros = 1_000_000;
 
 impl Simulation {
@@ -22,21 +22,21 @@
         self.gateways[gateway].configuration_version = self.configuration_version;
         let snapshot = self.endpoints.snapshot();
         self.measurements.counts.relay_bytes += snapshot.body_bytes;
-        self.deliver_list(gateway, WatchEvent::CachedSnapshot, snapshot);
+        self.deliver_endpoints(gateway, WatchEvent::CachedSnapshot, snapshot);
         Ok(())
     }
 
-    /// Kills a gateway; requests without a response are lost.
+    /// Kills a gateway; its requests without a response are lost.
     pub(super) fn kill_gateway(&mut self, gateway: usize) {
         for id in self.gateways[gateway].kill() {
             self.finish_pending(id, Outcome::Lost);
         }
-        let noticed_at = self.now + LOAD_BALANCER_DELAY;
-        self.queue.push(noticed_at, SimulationEvent::LoadBalancerChecks { gateway });
+        let detected_at = self.now + LOAD_BALANCER_DELAY;
+        self.queue.push(detected_at, SimulationEvent::UpdateLoadBalancer { gateway });
     }
 
-    /// The load balancer learns whether a gateway is down.
-    pub(super) fn load_balancer_checks(&mut self, gateway: usize) {
+    /// Updates the load balancer's view of whether a gateway is down.
+    pub(super) fn update_load_balancer(&mut self, gateway: usize) {
         let gateway = &mut self.gateways[gateway];
         gateway.marked_down = gateway.core.is_none();
     }
--- a/crates/scale-laboratory/src/hollow/measurements.rs
+++ b/crates/scale-laboratory/src/hollow/measurements.rs
@@ -1,97 +1,99 @@
-//! What is measured in a simulation.
+//! Measurements of a simulation.
 
 use crate::metric::Metric;
-use crate::timeline::{histogram, Outcome, OutcomeCounts, Timeline};
+use crate::timeline::{latency_histogram, Outcome, OutcomeCounts, Timeline};
 use grebehook_core::Micros;
 use hdrhistogram::Histogram;
 use std::collections::BTreeSet;
 
-/// What the hollow gateways did.
+/// Counts of the fleet's requests, events and messages.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     /// Requests that clients sent.
     pub arrivals: u64,
-    /// How requests ended.
+    /// Outcomes of the requests.
     pub outcomes: OutcomeCounts,
     /// Events handled by decision cores.
     pub gateway_events: u64,
     /// Attempts sent to servers.
     pub attempts: u64,
-    /// Counter calls.
+    /// Calls to the shared counter.
     pub counter_calls: u64,
-    /// Their bytes.
+    /// Bytes of the counter calls and their replies.
     pub counter_bytes: u64,
-    /// Calls of discovery agents.
+    /// Watch calls to discovery agents.
     pub discovery_calls: u64,
-    /// Their bytes.
+    /// Bytes of the watch calls and their responses.
     pub discovery_bytes: u64,
     /// Bytes passed from relays to agents.
     pub relay_bytes: u64,
-    /// Gossip messages.
+    /// Gossip messages between gateways.
     pub gossip_messages: u64,
-    /// Their bytes.
+    /// Bytes of the gossip messages.
     pub gossip_bytes: u64,
 }
 
-/// What was measured since the measured time began.
+/// Quantities measured since the measurement began.
 pub struct Measurements {
-    /// The counts so far.
+    /// Current counts.
     pub counts: Counts,
-    /// When the measured time begins.
+    /// Start of the measurement, in microseconds.
     begins_at: Micros,
-    /// The counts when the measured time ended.
+    /// Counts at the end of the measurement.
     counts_at_end: Option<Counts>,
-    /// Longest time until a change of the endpoint list was in force at a gateway.
-    change_in_force: Micros,
-    /// Longest time until a configuration was in force at a gateway.
-    configuration_in_force: Micros,
-    /// Times from a request's arrival to its first attempt.
+    /// Longest time from a change of the endpoint list until a gateway applied it, in microseconds.
+    longest_change_propagation: Micros,
+    /// Longest time from the publication of a configuration until a gateway applied it, in microseconds.
+    longest_configuration_propagation: Micros,
+    /// Times from the arrival of a request to its first attempt, in microseconds.
     queueing_times: Histogram<u64>,
-    /// Requests of tenants that keep to their quotas: a rejection of a hot tenant is no cost of a fault.
+    /// Requests of tenants that stay within their quotas; the rejection of a hot tenant's request is not
+    /// caused by a fault.
     pub timeline: Timeline,
-    /// Servers and the gateways that sent to them.
-    pub senders: BTreeSet<(usize, usize)>,
-    /// Units served to hot tenants in the measured time.
+    /// Pairs of a server and a gateway that sent attempts to it.
+    pub server_gateway_pairs: BTreeSet<(usize, usize)>,
+    /// Units served to hot tenants during the measurement.
     pub hot_units: f64,
 }
 
 impl Measurements {
-    /// Nothing measured yet.
+    /// Returns empty measurements.
     pub fn new(begins_at: Micros) -> Measurements {
         Measurements {
             counts: Counts::default(),
             begins_at,
             counts_at_end: None,
-            change_in_force: 0,
-            configuration_in_force: 0,
-            queueing_times: histogram(),
+            longest_change_propagation: 0,
+            longest_configuration_propagation: 0,
+            queueing_times: latency_histogram(),
             timeline: Timeline::default(),
-            senders: BTreeSet::new(),
+            server_gateway_pairs: BTreeSet::new(),
             hot_units: 0.0,
         }
     }
 
-    /// Forgets what was counted during the warm-up.
+    /// Discards what was recorded during the warm-up, except the timeline, which has only requests sent after
+    /// it.
     pub fn begin(&mut self) {
         self.counts = Counts::default();
-        self.change_in_force = 0;
-        self.configuration_in_force = 0;
+        self.longest_change_propagation = 0;
+        self.longest_configuration_propagation = 0;
         self.queueing_times.reset();
-        self.senders.clear();
+        self.server_gateway_pairs.clear();
     }
 
-    /// The measured time is over: from now on only the outcomes of its requests count.
+    /// Ends the measurement; afterwards only the outcomes of its requests are counted.
     pub fn end(&mut self, hot_units: f64) {
         self.counts_at_end = Some(self.counts);
         self.hot_units = hot_units;
     }
 
-    /// Counts of the measured time, with the outcomes of all requests sent in it.
+    /// Returns the counts of the measurement, with the outcomes of all requests sent during it.
     pub fn final_counts(&self) -> Counts {
         Counts { outcomes: self.counts.outcomes, ..self.counts_at_end.unwrap_or(self.counts) }
     }
 
-    /// A client sent a request; `hot` for a tenant beyond its quota.
+    /// Counts a request that a client sent; `hot` is set for a hot tenant, which exceeds its quota.
     pub fn record_arrival(&mut self, now: Micros, hot: bool) {
         self.counts.arrivals += 1;
         if let Some(at) = now.checked_sub(self.begins_at).filter(|_| !hot) {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// A request sent at some time has ended.
+    /// Counts the outcome of a request, unless it was sent before the measurement.
     pub fn record_outcome(&mut self, sent_at: Micros, outcome: Outcome, hot: bool) {
         let Some(at) = sent_at.checked_sub(self.begins_at) else { return };
         self.counts.outcomes.record(outcome);
@@ -108,42 +110,42 @@
         }
     }
 
-    /// A gateway sent an attempt to a server.
+    /// Counts an attempt that a gateway sent to a server.
     pub fn record_attempt(&mut self, server: usize, gateway: usize) {
         self.counts.attempts += 1;
-        self.senders.insert((server, gateway));
+        self.server_gateway_pairs.insert((server, gateway));
     }
 
-    /// A request waited so long for its first attempt.
+    /// Records the time from the arrival of a request to its first attempt, in microseconds.
     pub fn record_queueing_time(&mut self, time: Micros) {
         self.queueing_times.saturating_record(time);
     }
 
-    /// A change of the endpoint list came into force at a gateway.
-    pub fn record_change_in_force(&mut self, elapsed: Micros) {
-        self.change_in_force = self.change_in_force.max(elapsed);
+    /// Records the time in microseconds from a change of the endpoint list until a gateway applied it.
+    pub fn record_change_propagation(&mut self, elapsed: Micros) {
+        self.longest_change_propagation = self.longest_change_propagation.max(elapsed);
     }
 
-    /// A configuration came into force at a gateway.
-    pub fn record_configuration_in_force(&mut self, elapsed: Micros) {
-        self.configuration_in_force = self.configuration_in_force.max(elapsed);
+    /// Records the time in microseconds from the publication of a configuration until a gateway applied it.
+    pub fn record_configuration_propagation(&mut self, elapsed: Micros) {
+        self.longest_configuration_propagation = self.longest_configuration_propagation.max(elapsed);
     }
 
-    /// The counts and the times that were measured at all, under the names of the results.
+    /// Returns the counts, and the times that have been measured, by metric.
     pub fn metrics(&self) -> impl Iterator<Item = (Metric, f64)> {
         let queueing_times = Some(&self.queueing_times).filter(|times| !times.is_empty());
         let milliseconds = |time: Micros| (time > 0).then_some(time as f64 / 1e3);
         let times = [
             (Metric::HoldP99, queueing_times.map(|times| times.value_at_quantile(0.99) as f64)),
-            (Metric::ChangeInForce, milliseconds(self.change_in_force)),
-            (Metric::ConfigurationInForce, milliseconds(self.configuration_in_force)),
+            (Metric::ChangeInForce, milliseconds(self.longest_change_propagation)),
+            (Metric::ConfigurationInForce, milliseconds(self.longest_configuration_propagation)),
         ];
         let times = times.into_iter().filter_map(|(metric, time)| Some((metric, time?)));
         count_metrics(&self.final_counts()).chain(times)
     }
 }
 
-/// The counts as metrics.
+/// Returns the counts by metric.
 fn count_metrics(counts: &Counts) -> impl Iterator<Item = (Metric, f64)> {
     let metrics = [
         (Metric::Arrivals, counts.arrivals),
--- a/crates/scale-laboratory/src/hollow/mod.rs
+++ b/crates/scale-laboratory/src/hollow/mod.rs
@@ -1,9 +1,9 @@
-//! Hollow gateways: decision cores and their control traffic, many to a process, on simulated time. A run depends
-//! on nothing but its experiment and seed.
+//! Simulation of hollow gateways: many decision cores and their control traffic in one process, on simulated
+//! time. A run is determined by its experiment and seed.
 //!
-//! `simulation` is the event loop. It owns the state of the network, the servers, discovery, the counter and the
-//! clients; the modules `requests`, `attempts`, `counter_calls`, `discovery`, `lifecycle` and `faults` are its
-//! handlers of events.
+//! `simulation` is the event loop. It owns the state of the network, the servers, discovery, the shared
+//! counter and the clients. The modules `requests`, `attempts`, `counter_calls`, `discovery`, `lifecycle` and
+//! `faults` contain its event handlers.
 
 mod attempts;
 mod clients;
@@ -27,7 +27,7 @@
 use crate::progress::Progress;
 use crate::results::Point;
 
-/// Plays an experiment at one size.
+/// Simulates an experiment at one size and returns its measurements.
 pub fn measure(experiment: &Experiment, size: Option<u64>, progress: &Progress) -> Result<Point> {
     let mut simulation = simulation::Simulation::new(experiment.clone(), progress.clone())?;
     simulation.run()?;
--- a/crates/scale-laboratory/src/hollow/requests.rs
+++ b/crates/scale-laboratory/src/hollow/requests.rs
@@ -1,4 +1,4 @@
-//! Requests in the event loop, from their arrival to their response.
+//! Event handlers for requests, from arrival to response.
 
 use super::clients::PendingRequest;
 use super::event_queue::{Incarnation, SimulationEvent};
@@ -11,40 +11,40 @@
 use rand::RngExt;
 
 impl Simulation {
-    /// A client sends a request, and the next one is scheduled.
-    pub(super) fn request_arrives(&mut self) {
+    /// Sends a client's request to a gateway and schedules the next arrival.
+    pub(super) fn handle_request_arrival(&mut self) {
         let Some(gap) = self.clients.next_arrival(&mut self.rng) else { return };
-        if self.now + gap < self.measure_until {
-            self.queue.push(self.now + gap, SimulationEvent::RequestArrives);
+        if self.now + gap < self.measurement_end {
+            self.queue.push(self.now + gap, SimulationEvent::RequestArrived);
         }
-        let tenant = self.clients.draw_tenant(&mut self.rng);
+        let tenant = self.clients.sample_tenant(&mut self.rng);
         let hot = self.clients.is_hot(tenant);
-        self.last_request += 1;
+        self.last_request_id += 1;
         self.measurements.record_arrival(self.now, hot);
-        match self.balance(tenant).filter(|gateway| self.gateways[*gateway].core.is_some()) {
-            Some(gateway) => self.accept(RequestId(self.last_request), tenant, gateway),
+        match self.select_gateway(tenant).filter(|gateway| self.gateways[*gateway].core.is_some()) {
+            Some(gateway) => self.accept_request(RequestId(self.last_request_id), tenant, gateway),
             None => self.measurements.record_outcome(self.now, Outcome::Lost, hot),
         }
     }
 
-    /// The gateway that the load balancer sends a tenant's request to: the first one not marked down, from a random one
-    /// of the tenant's set on.
-    fn balance(&mut self, tenant: usize) -> Option<usize> {
-        let set = self.clients.gateways_of(tenant);
+    /// Returns the gateway to which the load balancer routes a tenant's request: the first one of the
+    /// tenant's set not marked down, searched from a random position.
+    fn select_gateway(&mut self, tenant: usize) -> Option<usize> {
+        let set = self.clients.gateway_set(tenant);
         let start = self.rng.random_range(0..set.count);
         let mut gateways =
             (0..set.count).map(|k| (set.first + (start + k) % set.count) % self.gateways.len());
         gateways.find(|gateway| !self.gateways[*gateway].marked_down)
     }
 
-    /// A gateway accepts a request.
-    fn accept(&mut self, id: RequestId, tenant: usize, gateway: usize) {
+    /// Delivers a request to a gateway and schedules its timeout.
+    fn accept_request(&mut self, id: RequestId, tenant: usize, gateway: usize) {
         let pending = PendingRequest { tenant, sent_at: self.now, gateway, attempted: false };
         self.pending.insert(id, pending);
         self.gateways[gateway].requests.insert(id, HostedRequest::default());
         let times_out_at = self.now + DEADLINE + RESPONSE_SLACK;
-        self.queue.push(times_out_at, SimulationEvent::ClientTimesOut { request: id });
-        let set = self.clients.gateways_of(tenant);
+        self.queue.push(times_out_at, SimulationEvent::ClientTimedOut { request: id });
+        let set = self.clients.gateway_set(tenant);
         let arrival = RequestArrival {
             customer_gateway_count: set.count,
             first_gateway: set.first,
@@ -53,28 +53,29 @@
         self.deliver(self.gateways[gateway].incarnation(), Event::RequestArrived(arrival));
     }
 
-    /// A client has waited too long: no gateway that runs may leave a request without a response.
-    pub(super) fn client_times_out(&mut self, id: RequestId) -> Result<()> {
+    /// Processes the timeout of a client. It fails the run if the request has no response, because a running
+    /// gateway must respond to every request.
+    pub(super) fn handle_client_timeout(&mut self, id: RequestId) -> Result<()> {
         let Some(request) = self.pending.remove(&id) else { return Ok(()) };
         Err(LaboratoryError::GatewayStalled {
             gateway: request.gateway,
-            at_seconds: self.now.saturating_sub(self.measure_from) as f64 / 1e6,
-            symptom: "a request had no answer by its deadline".to_owned(),
+            at_seconds: self.now.saturating_sub(self.measurement_start) as f64 / 1e6,
+            symptom: "a request got no response by its deadline".to_owned(),
         })
     }
 
-    /// A client gets its response.
+    /// Delivers a response to the client.
     pub(super) fn respond(&mut self, incarnation: Incarnation, id: RequestId, outcome: Outcome) {
         self.finish_pending(id, outcome);
         if let Some(request) = self.gateways[incarnation.gateway].requests.get_mut(&id) {
             request.finished = true;
         }
         if outcome != Outcome::Served {
-            self.forget_if_over(incarnation.gateway, id);
+            self.remove_if_complete(incarnation.gateway, id);
         }
     }
 
-    /// A client waits no longer.
+    /// Records the outcome of a request whose client no longer waits.
     pub(super) fn finish_pending(&mut self, id: RequestId, outcome: Outcome) {
         if let Some(request) = self.pending.remove(&id) {
             let hot = self.clients.is_hot(request.tenant);
@@ -82,10 +83,10 @@
         }
     }
 
-    /// Forgets a request to which nothing more happens.
-    pub(super) fn forget_if_over(&mut self, gateway: usize, id: RequestId) {
+    /// Removes a request that has its response and no attempt in flight.
+    pub(super) fn remove_if_complete(&mut self, gateway: usize, id: RequestId) {
         let requests = &mut self.gateways[gateway].requests;
-        if requests.get(&id).is_some_and(HostedRequest::is_over) {
+        if requests.get(&id).is_some_and(HostedRequest::is_complete) {
             requests.remove(&id);
         }
     }
--- a/crates/scale-laboratory/src/hollow/servers.rs
+++ b/crates/scale-laboratory/src/hollow/servers.rs
@@ -1,47 +1,47 @@
-//! Servers on simulated time: a few requests at once, a short queue, slow start, and loss.
+//! Servers on simulated time, each with a number of workers, a bounded queue and slow start. Servers can
+//! stop.
 
 use crate::experiment::Backend;
-use crate::settings::micros;
+use crate::settings::micros_from_milliseconds;
 use grebehook_core::{AttemptStatus, Micros, ProtocolRules};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// How a server responds to a request that reaches it.
+/// Response of a server to a request that reaches it.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerResponse {
-    /// When.
+    /// Time of the response, in microseconds.
     pub at: Micros,
-    /// With which status.
+    /// Status with which the attempt ends.
     pub status: AttemptStatus,
 }
 
-/// One server.
+/// State of one server.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// When each of its workers is idle.
+    /// Time from which each worker is idle, in microseconds.
     workers_idle_at: Vec<Micros>,
-    /// Counts its stops: a response of an earlier incarnation never comes.
+    /// Number of stops; responses of earlier incarnations are never delivered.
     pub incarnation: u32,
-    /// Whether it runs.
+    /// Whether the server is running.
     pub running: bool,
-    /// When it last started; 0 if that was long ago.
+    /// Time of the last start, in microseconds; 0 for a server that has long been warm.
     pub started_at: Micros,
 }
 
-/// All servers.
+/// Servers of the fleet.
 pub struct Servers {
-    /// The servers by their numbers.
     servers: Vec<Server>,
-    /// Mean service time of a warm server, microseconds.
+    /// Mean service time of a warm server, in microseconds.
     mean_service_time_us: f64,
-    /// Requests that may wait for a worker.
-    queue_length: usize,
-    /// The figures of slow start.
+    /// Largest number of requests that wait for a worker.
+    max_queued: usize,
+    /// Protocol rules, which include the parameters of slow start.
     rules: ProtocolRules,
 }
 
 impl Servers {
-    /// Warm servers.
+    /// Returns servers that are all running and warm.
     pub fn new(count: usize, backend: &Backend, rules: ProtocolRules) -> Servers {
         let server = Server {
             workers_idle_at: vec![0; backend.concurrency],
@@ -51,30 +51,30 @@
         };
         Servers {
             servers: vec![server; count],
-            mean_service_time_us: micros(backend.service_milliseconds) as f64,
-            queue_length: backend.queue,
+            mean_service_time_us: micros_from_milliseconds(backend.service_milliseconds) as f64,
+            max_queued: backend.queue,
             rules,
         }
     }
 
-    /// How many there are.
+    /// Returns the number of servers.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// One server.
+    /// Returns the state of one server.
     pub fn get(&self, server: usize) -> &Server {
         &self.servers[server]
     }
 
-    /// A server stops; its requests get no response.
+    /// Stops a server; its requests get no response.
     pub fn stop(&mut self, server: usize) {
         let server = &mut self.servers[server];
         server.running = false;
         server.incarnation += 1;
     }
 
-    /// A server starts, and has to warm up.
+    /// Starts a server, which then has to warm up.
     pub fn start(&mut self, now: Micros, server: usize) {
         let server = &mut self.servers[server];
         server.running = true;
@@ -82,13 +82,14 @@
         server.workers_idle_at.fill(now);
     }
 
-    /// A request reaches a server that runs. Service times are exponentially distributed around the mean.
+    /// Serves or rejects a request that reaches a running server. Service times are exponentially
+    /// distributed.
     pub fn serve(&mut self, arrives_at: Micros, server: usize, rng: &mut ChaCha8Rng) -> ServerResponse {
         let mean_us = self.mean_service_time_us / self.slow_start_factor(arrives_at, server);
-        let queue_length = self.queue_length as f64;
+        let max_queued = self.max_queued as f64;
         let rejected = ServerResponse { at: arrives_at, status: AttemptStatus::Rejected };
         let workers = &mut self.servers[server].workers_idle_at;
-        let max_wait_us = queue_length * mean_us / workers.len() as f64;
+        let max_wait_us = max_queued * mean_us / workers.len() as f64;
         let Some(idle_at) = workers.iter_mut().min() else { return rejected };
         let begins_at = arrives_at.max(*idle_at);
         if (begins_at - arrives_at) as f64 > max_wait_us {
@@ -100,7 +101,7 @@
         ServerResponse { at, status: AttemptStatus::Ok }
     }
 
-    /// Share of its capacity that a server has.
+    /// Returns the share of its full capacity that a server has during slow start.
     fn slow_start_factor(&self, now: Micros, server: usize) -> f64 {
         let started_at = self.servers[server].started_at;
         if started_at == 0 {
--- a/crates/scale-laboratory/src/hollow/shared_counter.rs
+++ b/crates/scale-laboratory/src/hollow/shared_counter.rs
@@ -1,96 +1,98 @@
-//! The shared counter on simulated time: one queue with a capacity, keys that expire, and an outage.
+//! Shared counter on simulated time: a queue with limited capacity, keys that expire, and outages.
 
 use crate::experiment::CounterService;
-use crate::settings::{micros, CONNECT_TIMEOUT};
+use crate::settings::{micros_from_milliseconds, CONNECT_TIMEOUT};
 use crate::wire;
 use grebehook_core::{CounterId, CounterResult, Micros};
 use std::collections::BTreeMap;
 
-/// The counter's address in calls, for their length.
-const ADDRESS: &str = "10.2.0.2:6400";
-/// Longest life of a key.
+/// Address of the counter, which counts towards the length of its calls.
+const COUNTER_ADDRESS: &str = "10.2.0.2:6400";
+/// Longest time to live of a key, in microseconds.
 const MAX_TTL: Micros = 60_000_000;
 
-/// A call by a gateway.
+/// A gateway's call to the counter.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterCall {
-    /// The key.
+    /// Key to add to.
     pub counter: CounterId,
-    /// What to add.
+    /// Amount to add to the key's total.
     pub amount: f64,
-    /// How long a new key lives.
+    /// Time to live of a new key, in microseconds.
     pub ttl: Micros,
-    /// Which of the counters that configurations have named.
-    pub address: u32,
-    /// Whether the network lets it through.
+    /// Version of the configuration that specifies the counter's address; totals are separate for each
+    /// address.
+    pub address_version: u32,
+    /// Whether the network connects the gateway to the counter.
     pub reachable: bool,
 }
 
-/// When a call ends, how, and the bytes that went both ways.
+/// Result of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterReply {
-    /// When the gateway learns of it.
+    /// Time at which the call ends, in microseconds, without the network delay.
     pub at: Micros,
-    /// How it ended.
+    /// Result that the gateway receives.
     pub result: CounterResult,
-    /// Bytes of the call and its reply.
+    /// Length of the call and of its reply, in bytes.
     pub bytes: u64,
 }
 
-/// A key's total.
+/// A key's total with its expiry.
 #[derive(Clone, Copy)]
 struct Total {
-    /// The total.
     value: f64,
-    /// When the key expires.
+    /// Time at which the key expires, in microseconds.
     expires_at: Micros,
 }
 
-/// The shared counter.
+/// Shared counter with its queue, its totals and its availability.
 pub struct SharedCounter {
-    /// Time of a call without a queue.
+    /// Latency of a call without queueing, in microseconds.
     latency: Micros,
-    /// A gateway gives up a call after this time.
+    /// Time after which a gateway gives up on a call, in microseconds.
     timeout: Micros,
-    /// Time that the counter works on a call, microseconds.
+    /// Time for which a call occupies the counter, in microseconds.
     service_time_us: f64,
-    /// When it has worked off its queue, microseconds.
+    /// Time at which the queue will be empty, in microseconds.
     busy_until_us: f64,
-    /// It takes calls and answers none.
-    silent: bool,
-    /// Totals by address and key.
+    /// Whether the counter accepts calls without replying to them.
+    unresponsive: bool,
+    /// Totals by address version and key.
     totals: BTreeMap<(u32, CounterId), Total>,
 }
 
 impl SharedCounter {
-    /// A counter without any keys.
+    /// Returns a counter without keys.
     pub fn new(settings: &CounterService) -> SharedCounter {
         SharedCounter {
-            latency: micros(settings.latency_milliseconds),
-            timeout: micros(settings.limit_milliseconds),
+            latency: micros_from_milliseconds(settings.latency_milliseconds),
+            timeout: micros_from_milliseconds(settings.limit_milliseconds),
             service_time_us: 1e6 / settings.capacity_per_second,
             busy_until_us: 0.0,
-            silent: false,
+            unresponsive: false,
             totals: BTreeMap::new(),
         }
     }
 
-    /// Whether it answers no call from now on.
-    pub fn set_silent(&mut self, silent: bool) {
-        self.silent = silent;
+    /// Sets whether the counter accepts calls without replying to them.
+    pub fn set_unresponsive(&mut self, unresponsive: bool) {
+        self.unresponsive = unresponsive;
     }
 
-    /// Takes a call at the moment it is sent, and says how it will end.
+    /// Processes a call when it is sent and returns when and how it will end. A call that times out in the
+    /// queue is added to the total nevertheless.
     pub fn call(&mut self, now: Micros, call: CounterCall) -> CounterReply {
         if !call.reachable {
             let at = now + CONNECT_TIMEOUT.min(self.timeout);
             return CounterReply { at, result: CounterResult::Refused, bytes: 0 };
         }
-        let request = wire::counter_call(ADDRESS, call.counter.0, call.amount, call.ttl.div_ceil(1_000));
+        let request =
+            wire::counter_call(COUNTER_ADDRESS, call.counter.0, call.amount, call.ttl.div_ceil(1_000));
         let request_bytes = request.len() as u64;
         let timed_out =
             CounterReply { at: now + self.timeout, result: CounterResult::Unknown, bytes: request_bytes };
-        if self.silent {
+        if self.unresponsive {
             return timed_out;
         }
         self.busy_until_us = self.busy_until_us.max(now as f64) + self.service_time_us;
@@ -103,10 +105,10 @@
         CounterReply { at, result: CounterResult::Total(total), bytes }
     }
 
-    /// Adds an amount to a key; its total.
+    /// Adds the amount of a call to its key and returns the key's new total.
     fn add(&mut self, now: Micros, call: CounterCall) -> f64 {
         let new = Total { value: 0.0, expires_at: now + call.ttl.min(MAX_TTL) };
-        let total = self.totals.entry((call.address, call.counter)).or_insert(new);
+        let total = self.totals.entry((call.address_version, call.counter)).or_insert(new);
         if total.expires_at <= now {
             *total = new;
         }
--- a/crates/scale-laboratory/src/hollow/simulation.rs
+++ b/crates/scale-laboratory/src/hollow/simulation.rs
@@ -1,4 +1,5 @@
-//! The event loop: plays events in the order of their times and carries out the actions of the decision cores.
+//! Event loop of the simulation: dispatches events in chronological order and carries out the actions of the
+//! decision cores.
 
 use super::clients::{Clients, PendingRequest};
 use super::endpoint_history::EndpointHistory;
@@ -12,7 +13,7 @@
 use crate::experiment::Experiment;
 use crate::memory::check_memory;
 use crate::progress::Progress;
-use crate::settings::{core_settings, micros, micros_of_seconds, DEADLINE};
+use crate::settings::{core_settings, micros_from_milliseconds, micros_from_seconds, DEADLINE};
 use crate::timeline::Outcome;
 use crate::topology::Topology;
 use grebehook_core::{Action, Event, Micros, RequestId};
@@ -21,122 +22,125 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// When a simulation begins.
+/// Simulated time at the start of a simulation, in microseconds.
 const START: Micros = 1_000_000;
-/// Gateways start within this time, so that their periodic timers do not coincide.
+/// Period over which the starts of the gateways are spread, so that their ticks do not coincide; in
+/// microseconds.
 const START_SPREAD: Micros = 100_000;
-/// A response may come so long after the client's deadline.
+/// Time after the client timeout by which a gateway must have responded, in microseconds.
 pub(super) const RESPONSE_SLACK: Micros = 100_000;
-/// Time after the measurement in which its last requests get their responses.
+/// Time after the measurement in which its last requests get their responses, in microseconds.
 const DRAIN_TIME: Micros = DEADLINE + 2 * RESPONSE_SLACK;
-/// Events between two reports of progress.
+/// Number of events between two progress reports.
 const PROGRESS_EVENTS: u64 = 1_024;
-/// Events between two checks of memory.
+/// Number of events between two memory checks.
 const MEMORY_CHECK_EVENTS: u64 = 1 << 16;
-/// Wall time between two lines of the log.
+/// Wall time between two log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A fleet of hollow gateways and all that surrounds it.
+/// A fleet of hollow gateways with its simulated surroundings: network, servers, discovery, counter and
+/// clients.
 pub struct Simulation {
-    /// What is played.
+    /// Experiment that is simulated.
     pub(super) experiment: Experiment,
-    /// Where servers and gateways stand.
+    /// Placement of servers and gateways.
     pub(super) topology: Topology,
-    /// The network between them.
+    /// Network between servers, gateways and the home region.
     pub(super) network: Network,
-    /// Events to come.
+    /// Future events.
     pub(super) queue: EventQueue,
-    /// The simulated time.
+    /// Current simulated time, in microseconds.
     pub(super) now: Micros,
-    /// When the measured time begins.
-    pub(super) measure_from: Micros,
-    /// When it ends.
-    pub(super) measure_until: Micros,
-    /// The gateways by their numbers.
+    /// Start of the measurement, in microseconds.
+    pub(super) measurement_start: Micros,
+    /// End of the measurement, in microseconds.
+    pub(super) measurement_end: Micros,
+    /// Gateways by index.
     pub(super) gateways: Vec<HollowGateway>,
-    /// The servers.
+    /// Servers that the gateways send attempts to.
     pub(super) servers: Servers,
-    /// The endpoint list of the origin of discovery.
+    /// Endpoint list at the origin of discovery.
     pub(super) endpoints: EndpointHistory,
-    /// The shared counter.
+    /// Shared counter that the gateways call.
     pub(super) counter: SharedCounter,
-    /// The clients.
+    /// Clients of all tenants.
     pub(super) clients: Clients,
-    /// Requests whose clients wait for a response.
+    /// Requests without a response.
     pub(super) pending: BTreeMap<RequestId, PendingRequest>,
-    /// What is measured.
+    /// Measurements of the simulation so far.
     pub(super) measurements: Measurements,
-    /// All random numbers.
+    /// Random numbers of everything outside the decision cores.
     pub(super) rng: ChaCha8Rng,
-    /// Discovery answers no calls.
-    pub(super) discovery_silent: bool,
-    /// The newest version of the configuration.
+    /// Whether discovery responds to no calls.
+    pub(super) discovery_unresponsive: bool,
+    /// Newest version of the configuration.
     pub(super) configuration_version: u32,
-    /// When it was published.
+    /// Time at which the newest configuration was published, in microseconds.
     pub(super) configuration_published_at: Micros,
-    /// The number of the last request.
-    pub(super) last_request: u64,
-    /// Shared with the watcher of the run.
+    /// Number of the last request.
+    pub(super) last_request_id: u64,
+    /// Progress shared with the thread that watches the run.
     progress: Progress,
 }
 
 impl Simulation {
-    /// A fleet at its start.
+    /// Returns a simulation at its start.
     pub fn new(experiment: Experiment, progress: Progress) -> Result<Simulation> {
         let topology = Topology::new(&experiment.fleet);
         let servers = experiment.fleet.servers();
-        let measure_from = START + START_SPREAD + micros_of_seconds(experiment.load.warm_up_seconds);
+        let measurement_start = START + START_SPREAD + micros_from_seconds(experiment.load.warm_up_seconds);
         let rules = core_settings(&experiment, 0, 0).rules;
-        let between_regions = micros(experiment.discovery.region_milliseconds) / 2;
+        let inter_region_delay = micros_from_milliseconds(experiment.discovery.region_milliseconds) / 2;
         let mut simulation = Simulation {
-            network: Network::new(topology.clone(), between_regions),
+            network: Network::new(topology.clone(), inter_region_delay),
             queue: EventQueue::default(),
             now: START,
-            measure_from,
-            measure_until: measure_from + micros_of_seconds(experiment.load.duration_seconds),
+            measurement_start,
+            measurement_end: measurement_start + micros_from_seconds(experiment.load.duration_seconds),
             gateways: (0..experiment.fleet.gateways).map(HollowGateway::new).collect(),
             servers: Servers::new(servers, &experiment.backend, rules),
             endpoints: EndpointHistory::new(topology.clone(), servers, experiment.discovery.history),
             counter: SharedCounter::new(&experiment.counter),
             clients: Clients::new(&experiment.fleet, &experiment.load),
             pending: BTreeMap::new(),
-            measurements: Measurements::new(measure_from),
+            measurements: Measurements::new(measurement_start),
             rng: ChaCha8Rng::seed_from_u64(experiment.seed),
-            discovery_silent: false,
+            discovery_unresponsive: false,
             configuration_version: 0,
             configuration_published_at: START,
-            last_request: 0,
+            last_request_id: 0,
             progress,
             topology,
             experiment,
         };
-        simulation.schedule_all();
+        simulation.schedule_initial_events();
         Ok(simulation)
     }
 
-    /// Schedules what is known beforehand.
-    fn schedule_all(&mut self) {
+    /// Schedules the events that are known in advance.
+    fn schedule_initial_events(&mut self) {
         let gateways = self.gateways.len() as u64;
         for gateway in 0..self.gateways.len() {
             let at = START + START_SPREAD * gateway as u64 / gateways;
-            self.queue.push(at, SimulationEvent::GatewayStarts { gateway });
+            self.queue.push(at, SimulationEvent::StartGateway { gateway });
         }
-        self.queue.push(START + START_SPREAD, SimulationEvent::RequestArrives);
-        self.queue.push(self.measure_from, SimulationEvent::MeasurementBegins);
-        self.queue.push(self.measure_until, SimulationEvent::MeasurementEnds);
+        self.queue.push(START + START_SPREAD, SimulationEvent::RequestArrived);
+        self.queue.push(self.measurement_start, SimulationEvent::BeginMeasurement);
+        self.queue.push(self.measurement_end, SimulationEvent::EndMeasurement);
         self.schedule_faults();
     }
 
-    /// Plays to the end of the measured time and a little longer, so that the last requests get their responses.
+    /// Runs to the end of the measurement and for `DRAIN_TIME` longer, so that the last requests get their
+    /// responses.
     pub fn run(&mut self) -> Result<()> {
         let mut events = 0_u64;
         let mut logged_at = Instant::now();
         while let Some((at, event)) = self.queue.pop() {
-            if at > self.measure_until + DRAIN_TIME {
+            if at > self.measurement_end + DRAIN_TIME {
                 break;
             }
             self.now = at;
-            self.play(event)?;
+            self.dispatch(event)?;
             events += 1;
             if events.is_multiple_of(PROGRESS_EVENTS) {
                 self.progress.step()?;
@@ -147,61 +151,63 @@
             if logged_at.elapsed() >= LOG_INTERVAL {
                 logged_at = Instant::now();
                 let simulated_seconds = (at - START) as f64 / 1e6;
-                tracing::info!(simulated_seconds, events, "simulating");
+                tracing::info!(simulated_seconds, events, "simulation in progress");
             }
         }
         Ok(())
     }
 
-    /// Plays one event.
-    fn play(&mut self, event: SimulationEvent) -> Result<()> {
+    /// Dispatches an event to its handler.
+    fn dispatch(&mut self, event: SimulationEvent) -> Result<()> {
         match event {
-            SimulationEvent::RequestArrives => self.request_arrives(),
-            SimulationEvent::MeasurementBegins => self.begin_measurement(),
-            SimulationEvent::MeasurementEnds => self.end_measurement(),
-            SimulationEvent::TimerFires { incarnation, timer } => {
+            SimulationEvent::RequestArrived => self.handle_request_arrival(),
+            SimulationEvent::BeginMeasurement => self.begin_measurement(),
+            SimulationEvent::EndMeasurement => self.end_measurement(),
+            SimulationEvent::TimerFired { incarnation, timer } => {
                 self.deliver(incarnation, Event::Timer { timer });
             }
-            SimulationEvent::AttemptEnds { incarnation, request, attempt } => {
-                self.attempt_ends(incarnation, request, attempt);
+            SimulationEvent::AttemptEnded { incarnation, request, attempt } => {
+                self.handle_attempt_end(incarnation, request, attempt);
             }
-            SimulationEvent::CounterReplies { incarnation, counter, called_at, result } => {
-                self.counter_replied(incarnation, counter, called_at, result);
+            SimulationEvent::CounterReplied { incarnation, counter, called_at, result } => {
+                self.handle_counter_reply(incarnation, counter, called_at, result);
             }
-            SimulationEvent::AgentUpdated { gateway, version } => self.agent_updated(gateway, version),
-            SimulationEvent::WatchTimesOut { incarnation, watch } => self.watch_timed_out(incarnation, watch),
-            SimulationEvent::ConfigurationArrives { gateway, version } => {
-                self.configuration_arrived(gateway, version);
+            SimulationEvent::AgentUpdated { gateway, version } => self.handle_agent_update(gateway, version),
+            SimulationEvent::WatchTimedOut { incarnation, watch } => {
+                self.handle_watch_timeout(incarnation, watch);
             }
-            SimulationEvent::GossipArrives { to, from, message } => {
+            SimulationEvent::ConfigurationArrived { gateway, version } => {
+                self.handle_configuration_arrival(gateway, version);
+            }
+            SimulationEvent::GossipArrived { to, from, message } => {
                 self.deliver(self.gateways[to].incarnation(), Event::GossipReceived { from, message });
             }
-            SimulationEvent::ServersChange { servers } => self.servers_change(&servers),
-            SimulationEvent::ServerRestarts { server } => self.restart_servers(&[server]),
-            SimulationEvent::ConfigurationChanges => self.publish_configuration(),
-            SimulationEvent::GatewayKilled { gateway } => self.kill_gateway(gateway),
-            SimulationEvent::GatewayStarts { gateway } => self.start_gateway(gateway)?,
-            SimulationEvent::LoadBalancerChecks { gateway } => self.load_balancer_checks(gateway),
-            SimulationEvent::FaultBegins { fault } => self.begin_fault(fault),
-            SimulationEvent::FaultEnds { fault } => self.end_fault(fault),
-            SimulationEvent::ClientTimesOut { request } => self.client_times_out(request)?,
+            SimulationEvent::PublishServers { servers } => self.publish_servers(&servers),
+            SimulationEvent::RestartServer { server } => self.restart_servers(&[server]),
+            SimulationEvent::PublishConfiguration => self.publish_configuration(),
+            SimulationEvent::KillGateway { gateway } => self.kill_gateway(gateway),
+            SimulationEvent::StartGateway { gateway } => self.start_gateway(gateway)?,
+            SimulationEvent::UpdateLoadBalancer { gateway } => self.update_load_balancer(gateway),
+            SimulationEvent::BeginFault { fault } => self.begin_fault(fault),
+            SimulationEvent::EndFault { fault } => self.end_fault(fault),
+            SimulationEvent::ClientTimedOut { request } => self.handle_client_timeout(request)?,
         }
         Ok(())
     }
 
-    /// The measured time begins.
+    /// Begins the measurement and discards the counts of the warm-up.
     fn begin_measurement(&mut self) {
         self.measurements.begin();
         self.clients.take_hot_units();
     }
 
-    /// The measured time ends.
+    /// Ends the measurement and records the units served to hot tenants.
     fn end_measurement(&mut self) {
         let hot_units = self.clients.take_hot_units();
         self.measurements.end(hot_units);
     }
 
-    /// Hands an event to a gateway's decision core and carries out the actions that follow.
+    /// Passes an event to a gateway's decision core and carries out the resulting actions.
     pub(super) fn deliver(&mut self, incarnation: Incarnation, event: Event) {
         let gateway = &mut self.gateways[incarnation.gateway];
         if !gateway.is_running(incarnation) {
@@ -219,7 +225,7 @@
         }
     }
 
-    /// Carries out an action.
+    /// Carries out an action of a decision core.
     fn perform(&mut self, incarnation: Incarnation, action: Action) {
         match action {
             Action::Send { id, server, timeout } => self.send_attempt(incarnation, id, server, timeout),
@@ -227,7 +233,7 @@
             Action::Fail { id } => self.respond(incarnation, id, Outcome::Failed),
             Action::Cancel { id, attempt } => self.cancel_attempt(incarnation, id, attempt),
             Action::Timer { at, timer } => {
-                self.queue.push(at.max(self.now), SimulationEvent::TimerFires { incarnation, timer });
+                self.queue.push(at.max(self.now), SimulationEvent::TimerFired { incarnation, timer });
             }
             Action::SendGossip { to, message } => self.send_gossip(incarnation.gateway, to, message),
             Action::AddToCounter { counter, amount, ttl } => {
@@ -242,6 +248,6 @@
         self.measurements.counts.gossip_messages += 1;
         self.measurements.counts.gossip_bytes += message.len() as u64;
         let arrives_at = self.now + self.network.delay_to_gateway(from, to);
-        self.queue.push(arrives_at, SimulationEvent::GossipArrives { to, from, message });
+        self.queue.push(arrives_at, SimulationEvent::GossipArrived { to, from, message });
     }
 }
--- a/crates/scale-laboratory/src/real/clients.rs
+++ b/crates/scale-laboratory/src/real/clients.rs
@@ -1,8 +1,8 @@
 //! Clients of a real fleet: each has one connection to one gateway and sends requests at random times.
 
 use crate::metric::Metric;
-use crate::settings::{CLASS, DEADLINE, PLAN};
-use crate::timeline::{histogram, Outcome, OutcomeCounts, Timeline};
+use crate::settings::{CLASS_NAME, DEADLINE, PLAN_NAME};
+use crate::timeline::{latency_histogram, Outcome, OutcomeCounts, Timeline};
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Empty};
@@ -73,7 +73,7 @@
             timeline: Timeline::default(),
             arrivals: 0,
             outcomes: OutcomeCounts::default(),
-            added_latency: histogram(),
+            added_latency: latency_histogram(),
             unanswered_in_a_row: vec![0; gateways],
             begun_at: None,
         };
@@ -265,8 +265,8 @@
     Request::get("/api")
         .header("Host", "service.internal")
         .header("X-Call-Id", format!("{id:016x}"))
-        .header("X-Call-Class", CLASS)
-        .header("Api-Plan", PLAN)
+        .header("X-Call-Class", CLASS_NAME)
+        .header("Api-Plan", PLAN_NAME)
         .header("Api-Customer", format!("{tenant:016x}"))
         .header("X-Budget-Ms", (DEADLINE / 1_000).to_string())
         .header("Api-Terms", format!("units=1,spread={},first={first}", workload.gateways_per_tenant))
--- a/crates/scale-laboratory/src/real/faults.rs
+++ b/crates/scale-laboratory/src/real/faults.rs
@@ -44,7 +44,7 @@
 
     /// The servers of a domain.
     fn servers_in(&self, domain: Domain, index: usize) -> Vec<usize> {
-        (0..self.servers.len()).filter(|server| self.topology.is_in(*server, domain, index)).collect()
+        (0..self.servers.len()).filter(|server| self.topology.is_in_domain(*server, domain, index)).collect()
     }
 
     /// The servers of a domain fall silent, or respond again.
--- a/crates/scale-laboratory/src/real/fleet.rs
+++ b/crates/scale-laboratory/src/real/fleet.rs
@@ -8,7 +8,7 @@
 use crate::error::{LaboratoryError, Result};
 use crate::experiment::Experiment;
 use crate::progress::Progress;
-use crate::settings::{json_settings, micros, zone_name};
+use crate::settings::{json_settings, micros_from_milliseconds, zone_name};
 use crate::topology::Topology;
 use crate::wire::{self, EndpointMessage};
 use serde_json::{json, Value};
@@ -173,7 +173,8 @@
 
 /// Starts all servers.
 async fn start_servers(experiment: &Experiment) -> io::Result<Vec<ServerStub>> {
-    let mean_service_time = Duration::from_micros(micros(experiment.backend.service_milliseconds));
+    let mean_service_time =
+        Duration::from_micros(micros_from_milliseconds(experiment.backend.service_milliseconds));
     let mut servers = Vec::new();
     for server in 0..experiment.fleet.servers() {
         let seed = experiment.seed ^ (server as u64) << 32;
--- a/crates/scale-laboratory/src/real/measurements.rs
+++ b/crates/scale-laboratory/src/real/measurements.rs
@@ -5,7 +5,7 @@
 use super::traffic::TrafficCount;
 use crate::metric::Metric;
 use crate::results::Point;
-use crate::settings::micros_of_seconds;
+use crate::settings::micros_from_seconds;
 use std::time::Duration;
 
 /// Processor time and traffic at one moment.
@@ -43,7 +43,7 @@
         if let Some(elapsed) = self.configuration_in_force() {
             point.metrics.insert(Metric::ConfigurationInForce, milliseconds(elapsed));
         }
-        let duration = micros_of_seconds(self.experiment.load.duration_seconds);
+        let duration = micros_from_seconds(self.experiment.load.duration_seconds);
         point.faults = measured.timeline.fault_costs(&self.experiment.faults, duration);
         point
     }
--- a/crates/scale-laboratory/src/real/schedule.rs
+++ b/crates/scale-laboratory/src/real/schedule.rs
@@ -136,5 +136,5 @@
 /// The gateways of a domain.
 fn gateways_in(experiment: &Experiment, domain: Domain, index: usize) -> Vec<usize> {
     let topology = Topology::new(&experiment.fleet);
-    (0..experiment.fleet.gateways).filter(|gateway| topology.is_in(*gateway, domain, index)).collect()
+    (0..experiment.fleet.gateways).filter(|gateway| topology.is_in_domain(*gateway, domain, index)).collect()
 }
--- a/crates/scale-laboratory/src/settings.rs
+++ b/crates/scale-laboratory/src/settings.rs
@@ -1,4 +1,5 @@
-//! The decision core's settings for an experiment, and the same as the JSON that a gateway process reads.
+//! Decision core settings of an experiment, and the same settings as the JSON configuration of a gateway
+//! process.
 
 use crate::experiment::Experiment;
 use grebehook_core::{
@@ -7,36 +8,36 @@
 };
 use serde_json::{json, Value};
 
-/// Client timeout, and the deadline of the only class.
+/// Client timeout and deadline of the only class, in microseconds.
 pub const DEADLINE: Micros = 2_000_000;
-/// A response within this time earns the full weight.
+/// Response time up to which a request earns its full priority weight, in microseconds.
 const LATENCY_OBJECTIVE: Micros = 500_000;
-/// Period of the quota usage that responses report.
+/// Period of the quota usage that responses report, in microseconds.
 pub const USAGE_REPORT_PERIOD: Micros = 1_000_000;
-/// A connection that is not established by then has failed.
+/// Time after which an attempt to connect fails, in microseconds.
 pub const CONNECT_TIMEOUT: Micros = 250_000;
-/// Servers close connections that were idle for so long.
+/// Time after which servers close idle connections, in microseconds.
 const SERVER_IDLE_TIMEOUT: Micros = 15_000_000;
-/// Most units that one request may take.
-const MAX_UNITS: u32 = 20;
-/// Shortest time between two batches of events.
+/// Largest number of units of a single request.
+const MAX_UNITS_PER_REQUEST: u32 = 20;
+/// Shortest time between two batches of events, in microseconds.
 const BATCH_INTERVAL: Micros = 2_000;
-/// The only class; its requests are idempotent.
-pub const CLASS: &str = "lookup";
-/// The only plan.
-pub const PLAN: &str = "standard";
+/// Name of the only class, whose requests are idempotent.
+pub const CLASS_NAME: &str = "lookup";
+/// Name of the only plan.
+pub const PLAN_NAME: &str = "standard";
 
-/// Milliseconds of an experiment's file as the core's time.
-pub fn micros(milliseconds: f64) -> Micros {
+/// Converts milliseconds, as in experiment files, to microseconds.
+pub fn micros_from_milliseconds(milliseconds: f64) -> Micros {
     (milliseconds * 1_000.0) as Micros
 }
 
-/// Seconds of an experiment's file as the core's time.
-pub fn micros_of_seconds(seconds: f64) -> Micros {
-    micros(seconds * 1_000.0)
+/// Converts seconds, as in experiment files, to microseconds.
+pub fn micros_from_seconds(seconds: f64) -> Micros {
+    micros_from_milliseconds(seconds * 1_000.0)
 }
 
-/// A request of the only class and plan, of a customer that one gateway serves.
+/// Returns a request of the only class and plan, from a customer served by a single gateway.
 pub fn request_arrival(id: RequestId, customer: CustomerId) -> RequestArrival {
     RequestArrival {
         id,
@@ -53,7 +54,7 @@
     }
 }
 
-/// The settings of one gateway of the fleet.
+/// Returns the settings of one gateway of the fleet.
 pub fn core_settings(experiment: &Experiment, gateway: usize, zone: u32) -> Settings {
     Settings {
         gateway_index: gateway,
@@ -81,7 +82,8 @@
             max_retry_after: 1_000_000,
             max_attempts: 4,
             shared_counter: experiment.counter.enabled,
-            counter_timeout: Some(micros(experiment.counter.limit_milliseconds)).filter(|limit| *limit > 0),
+            counter_timeout: Some(micros_from_milliseconds(experiment.counter.limit_milliseconds))
+                .filter(|limit| *limit > 0),
             usage_report_period: Some(USAGE_REPORT_PERIOD),
             ..Capabilities::default()
         },
@@ -95,7 +97,7 @@
     }
 }
 
-/// The same settings in the form of a gateway's configuration file.
+/// Returns the settings of one gateway in the form of its configuration file.
 pub fn json_settings(experiment: &Experiment, gateway: usize, zones: usize, zone: u32) -> Value {
     let settings = core_settings(experiment, gateway, zone);
     let zones: Vec<String> = (0..zones).map(zone_name).collect();
@@ -107,18 +109,18 @@
         "zones": zones,
         "classes": settings.classes.iter().map(json_class).collect::<Vec<_>>(),
         "plans": settings.plans.iter().map(json_plan).collect::<Vec<_>>(),
-        "limits": json_limits(&settings.capabilities),
-        "familyInfo": json_customer_interface(&settings.capabilities),
+        "limits": json_capabilities(&settings.capabilities),
+        "familyInfo": json_quota_settings(&settings.capabilities),
         "rules": json_rules(&settings.rules),
         "stats": {"columns": [], "how": "none"},
         "discovery": "push",
     })
 }
 
-/// A class, as the configuration file has it.
+/// Returns an entry of `classes` in the configuration file.
 fn json_class(class: &Class) -> Value {
     json!({
-        "name": CLASS,
+        "name": CLASS_NAME,
         "aimUs": class.latency_objective,
         "deadlineUs": class.deadline,
         "lateWorth": class.late_priority_weight,
@@ -128,10 +130,10 @@
     })
 }
 
-/// A plan, as the configuration file has it.
+/// Returns an entry of `plans` in the configuration file.
 fn json_plan(plan: &Plan) -> Value {
     json!({
-        "name": PLAN,
+        "name": PLAN_NAME,
         "rate": plan.rate,
         "depth": plan.burst,
         "concurrency": plan.max_concurrency.unwrap_or(0),
@@ -144,8 +146,9 @@
     })
 }
 
-/// What a gateway may do, as the configuration file has it.
-fn json_limits(capabilities: &Capabilities) -> Value {
+/// Returns the `limits` section of the configuration file: connection limits and the permitted protocol
+/// features.
+fn json_capabilities(capabilities: &Capabilities) -> Value {
     json!({
         "attemptsCap": capabilities.max_attempts,
         "cancel": capabilities.cancellation,
@@ -159,11 +162,12 @@
     })
 }
 
-/// What the customers' interface says, as the configuration file has it.
-fn json_customer_interface(capabilities: &Capabilities) -> Value {
+/// Returns the `familyInfo` section of the configuration file: usage reports, the shared counter and the
+/// gossip rate.
+fn json_quota_settings(capabilities: &Capabilities) -> Value {
     json!({
         "mailPerS": capabilities.gossip_messages_per_s,
-        "maxUnits": MAX_UNITS,
+        "maxUnits": MAX_UNITS_PER_REQUEST,
         "meterUs": capabilities.usage_report_period.unwrap_or(0),
         "sharedCounter": capabilities.shared_counter,
         "countLimitUs": capabilities.counter_timeout.unwrap_or(0),
@@ -171,7 +175,7 @@
     })
 }
 
-/// The protocol's rules, as the configuration file has them.
+/// Returns the `rules` section of the configuration file.
 fn json_rules(rules: &ProtocolRules) -> Value {
     json!({
         "coldFrom": rules.initial_capacity,
@@ -182,7 +186,7 @@
     })
 }
 
-/// A zone's name on the wire.
+/// Returns the name of a zone on the wire.
 pub fn zone_name(zone: usize) -> String {
     format!("zone-{zone}")
 }
--- a/crates/scale-laboratory/src/timeline.rs
+++ b/crates/scale-laboratory/src/timeline.rs
@@ -1,59 +1,55 @@
-//! Requests by the time at which they were sent, and what faults cost among them.
+//! Counts of requests by the time at which they were sent, and the cost of faults computed from them.
 
 use crate::experiment::Fault;
 use crate::metric::Metric;
 use crate::results::FaultCost;
-use crate::settings::micros_of_seconds;
+use crate::settings::micros_from_seconds;
 use grebehook_core::Micros;
 use hdrhistogram::Histogram;
 
-/// Width of a bin of the timeline.
+/// Width of a bin, in microseconds.
 const BIN_WIDTH: Micros = 100_000;
-/// Bins of the sliding window whose share of served requests is compared: one second.
+/// Number of bins of the sliding window over which the share of served requests is computed; one second.
 const WINDOW_BINS: usize = 10;
-/// Bins before a fault whose share of served requests is normal.
+/// Number of bins before a fault that give the baseline share of served requests.
 const BASELINE_BINS: usize = 20;
-/// A window that serves this part of the normal share has recovered.
-const RECOVERED_PART: f64 = 0.97;
-/// Largest value of a histogram of times, microseconds.
+/// Share of the baseline that a window must serve to count as recovered.
+const RECOVERED_SHARE: f64 = 0.97;
+/// Largest value of a latency histogram, in microseconds.
 const MAX_RECORDED_TIME_US: u64 = 10_000_000;
-/// Significant digits of such a histogram.
-const RECORDED_DIGITS: u8 = 3;
+/// Number of significant digits of a latency histogram.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// An empty histogram of times in microseconds.
-pub fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_RECORDED_TIME_US, RECORDED_DIGITS)
-        .expect("the bounds are constants that suit each other")
+/// Returns an empty histogram of times in microseconds.
+pub fn latency_histogram() -> Histogram<u64> {
+    Histogram::new_with_bounds(1, MAX_RECORDED_TIME_US, SIGNIFICANT_DIGITS)
+        .expect("the bounds and precision of latency histograms are valid")
 }
 
-/// How a request ended for its client.
+/// How a request ended, from the client's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The client got the response of a server.
     Served,
-    /// Rejected.
+    /// A gateway rejected the request.
     Rejected,
-    /// Failed.
+    /// A gateway reported a failure.
     Failed,
-    /// Without a response.
+    /// The client got no response.
     Lost,
 }
 
-/// How many requests ended in which way.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutcomeCounts {
-    /// Served.
     served: u64,
-    /// Rejected.
     rejected: u64,
-    /// Failed.
     failed: u64,
-    /// Without a response.
     lost: u64,
 }
 
 impl OutcomeCounts {
-    /// A request ended.
+    /// Counts a request that ended.
     pub fn record(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Served => self.served += 1,
@@ -63,7 +59,7 @@
         }
     }
 
-    /// The counts under the names of the results.
+    /// Returns the counts under their metric names.
     pub fn metrics(&self) -> [(Metric, u64); 4] {
         [
             (Metric::Served, self.served),
@@ -74,33 +70,29 @@
     }
 }
 
-/// Requests sent within one bin.
+/// Counts of the requests sent within one bin.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bin {
-    /// Sent.
     sent: u64,
-    /// Of these, served.
     served: u64,
-    /// Of these, rejected or failed.
     rejected_or_failed: u64,
-    /// Of these, without a response.
     lost: u64,
 }
 
-/// Requests by the time at which they were sent, from the begin of the measured time.
+/// Requests by the time at which they were sent, relative to the start of the measurement.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
-    /// The bins, in the order of their times.
+    /// The bins in chronological order.
     bins: Vec<Bin>,
 }
 
 impl Timeline {
-    /// A client sent a request.
+    /// Counts a request that a client sent.
     pub fn record_arrival(&mut self, at: Micros) {
         self.bin(at).sent += 1;
     }
 
-    /// A request sent at some time has ended.
+    /// Counts the outcome of a request under the time at which it was sent.
     pub fn record_outcome(&mut self, sent_at: Micros, outcome: Outcome) {
         let bin = self.bin(sent_at);
         match outcome {
@@ -110,7 +102,7 @@
         }
     }
 
-    /// The bin of a time.
+    /// Returns the bin of a time, extending the timeline if necessary.
     fn bin(&mut self, at: Micros) -> &mut Bin {
         let index = bin_index(at);
         if index >= self.bins.len() {
@@ -119,39 +111,43 @@
         &mut self.bins[index]
     }
 
-    /// What each fault cost, until the next begins or the measured time ends; in the order of their begins.
+    /// Returns the cost of each fault in chronological order, up to the start of the next fault or the end of
+    /// the measurement.
     pub fn fault_costs(&self, faults: &[Fault], duration: Micros) -> Vec<FaultCost> {
         let mut faults: Vec<&Fault> = faults.iter().collect();
         faults.sort_by(|first, second| first.at_seconds().total_cmp(&second.at_seconds()));
-        let begins = faults.iter().map(|fault| micros_of_seconds(fault.at_seconds()));
-        let ends = begins.skip(1).chain([duration]);
+        let starts = faults.iter().map(|fault| micros_from_seconds(fault.at_seconds()));
+        let ends = starts.skip(1).chain([duration]);
         faults.iter().zip(ends).map(|(fault, until)| self.fault_cost(fault, until)).collect()
     }
 
-    /// What a fault cost until a time. It has recovered at the first window from which on no window falls behind.
+    /// Returns the cost of a fault up to a time. The fleet has recovered at the first window from which no
+    /// window is below the recovery threshold.
     fn fault_cost(&self, fault: &Fault, until: Micros) -> FaultCost {
-        let first = bin_index(micros_of_seconds(fault.at_seconds()));
+        let first = bin_index(micros_from_seconds(fault.at_seconds()));
         let last = bin_index(until).min(self.bins.len());
-        let normal = self.served_share(first.saturating_sub(BASELINE_BINS), first).unwrap_or(1.0);
-        let falls_behind = |from: &usize| {
+        let baseline = self.served_share(first.saturating_sub(BASELINE_BINS), first).unwrap_or(1.0);
+        let is_below_threshold = |from: &usize| {
             let share = self.served_share(*from, from + WINDOW_BINS);
-            share.is_some_and(|share| share < RECOVERED_PART * normal)
+            share.is_some_and(|share| share < RECOVERED_SHARE * baseline)
         };
         let windows = first..(last + 1).saturating_sub(WINDOW_BINS).max(first);
-        let recovered = windows.clone().rev().find(falls_behind).map_or(first, |from| from + 1);
-        let was_seen = recovered < windows.end;
-        let cost_until = if was_seen { (recovered + WINDOW_BINS).min(last) } else { last };
-        let during = self.bins.get(first..cost_until).unwrap_or_default();
+        let recovery_bin = windows.clone().rev().find(is_below_threshold).map_or(first, |from| from + 1);
+        let has_recovered = recovery_bin < windows.end;
+        let cost_end = if has_recovered { (recovery_bin + WINDOW_BINS).min(last) } else { last };
+        let fault_bins = self.bins.get(first..cost_end).unwrap_or_default();
         FaultCost {
             fault: fault.name(),
             at_seconds: fault.at_seconds(),
-            lost: during.iter().map(|bin| bin.lost).sum(),
-            refused_or_failed: during.iter().map(|bin| bin.rejected_or_failed).sum(),
-            recovery_milliseconds: was_seen.then(|| ((recovered - first) as Micros * BIN_WIDTH) as f64 / 1e3),
+            lost: fault_bins.iter().map(|bin| bin.lost).sum(),
+            refused_or_failed: fault_bins.iter().map(|bin| bin.rejected_or_failed).sum(),
+            recovery_milliseconds: has_recovered
+                .then(|| ((recovery_bin - first) as Micros * BIN_WIDTH) as f64 / 1e3),
         }
     }
 
-    /// Share of the requests of some bins that were served; `None` without requests or past the last bin.
+    /// Returns the share of the requests of a range of bins that were served; `None` if there were none or
+    /// the range ends past the last bin.
     fn served_share(&self, from: usize, to: usize) -> Option<f64> {
         let bins = self.bins.get(from..to)?;
         let sent: u64 = bins.iter().map(|bin| bin.sent).sum();
@@ -160,7 +156,6 @@
     }
 }
 
-/// The index of a time's bin.
 fn bin_index(at: Micros) -> usize {
     (at / BIN_WIDTH) as usize
 }
--- a/crates/scale-laboratory/src/topology.rs
+++ b/crates/scale-laboratory/src/topology.rs
@@ -1,20 +1,18 @@
-//! Where servers and gateways stand: regions of zones of racks, assigned round-robin.
+//! Placement of servers and gateways in regions, zones and racks. Machines are assigned to racks round-robin.
 
 use crate::experiment::{Domain, Fleet};
 
-/// The fleet's racks.
+/// Racks of a fleet, grouped into zones and regions.
 #[derive(Clone, Debug)]
 pub struct Topology {
-    /// Racks of all zones.
+    /// Number of racks in all zones.
     racks: usize,
-    /// Racks of each zone.
     racks_per_zone: usize,
-    /// Zones of each region.
     zones_per_region: usize,
 }
 
 impl Topology {
-    /// The racks of a fleet.
+    /// Creates the topology from the fleet's numbers of regions, zones and racks.
     pub fn new(fleet: &Fleet) -> Topology {
         Topology {
             racks: fleet.racks(),
@@ -23,38 +21,38 @@
         }
     }
 
-    /// Zones of all regions.
+    /// Returns the number of zones in all regions.
     pub fn zones(&self) -> usize {
         self.racks / self.racks_per_zone
     }
 
-    /// A server's zone.
+    /// Returns the index of a server's zone.
     pub fn zone_of_server(&self, server: usize) -> usize {
         server % self.racks / self.racks_per_zone
     }
 
-    /// A gateway's zone.
+    /// Returns the index of a gateway's zone.
     pub fn zone_of_gateway(&self, gateway: usize) -> usize {
         gateway % self.racks / self.racks_per_zone
     }
 
-    /// A zone's region.
+    /// Returns the index of a zone's region.
     pub fn region_of_zone(&self, zone: usize) -> usize {
         zone / self.zones_per_region
     }
 
-    /// A server's region.
+    /// Returns the index of a server's region.
     pub fn region_of_server(&self, server: usize) -> usize {
         self.region_of_zone(self.zone_of_server(server))
     }
 
-    /// A gateway's region.
+    /// Returns the index of a gateway's region.
     pub fn region_of_gateway(&self, gateway: usize) -> usize {
         self.region_of_zone(self.zone_of_gateway(gateway))
     }
 
-    /// Whether the machine of this number, server or gateway, stands in a domain.
-    pub fn is_in(&self, machine: usize, domain: Domain, index: usize) -> bool {
+    /// Returns whether the server or gateway with the index `machine` is located in a failure domain.
+    pub fn is_in_domain(&self, machine: usize, domain: Domain, index: usize) -> bool {
         let zone = self.zone_of_server(machine);
         match domain {
             Domain::Rack => machine % self.racks == index,
--- a/crates/scale-laboratory/tests/hollow.rs
+++ b/crates/scale-laboratory/tests/hollow.rs
@@ -1,4 +1,5 @@
-//! Hollow fleets, by counts alone: what no machine's speed changes.
+//! Tests of simulated hollow fleets. They assert on counts and simulated times only, which do not depend on
+//! the speed of the machine.
 
 mod common;
 
@@ -6,38 +7,39 @@
 use grebehook_scale_laboratory::error::LaboratoryError;
 use grebehook_scale_laboratory::metric::Metric;
 
-/// What makes the clients of the small fleet send requests.
-const REQUESTS: (&str, &str) = ("requests_per_second = 0.0", "requests_per_second = 300.0");
+/// Replacement in the small fleet's experiment that makes its clients send requests.
+const SEND_REQUESTS: (&str, &str) = ("requests_per_second = 0.0", "requests_per_second = 300.0");
 
 #[test]
 fn run_depends_on_its_seed_alone() {
     let fault =
         "[[fault]]\nkind = \"lose\"\nat_seconds = 1.0\nlasts_seconds = 2.0\ndomain = \"zone\"\nindex = 1\n\
                  gateways_too = true\n";
-    let first = play(&text(&[REQUESTS], fault));
-    assert_eq!(first, play(&text(&[REQUESTS], fault)));
-    let other = play(&text(&[REQUESTS, ("seed = 7", "seed = 8")], fault));
+    let first = play(&text(&[SEND_REQUESTS], fault));
+    assert_eq!(first, play(&text(&[SEND_REQUESTS], fault)));
+    let other = play(&text(&[SEND_REQUESTS, ("seed = 7", "seed = 8")], fault));
     assert_ne!(first.metrics, other.metrics);
 }
 
 #[test]
 fn every_request_has_exactly_one_outcome() {
-    let point = play(&text(&[REQUESTS], ""));
-    let endings = [Metric::Served, Metric::Refused, Metric::Failed, Metric::Lost];
-    let ended: f64 = endings.iter().map(|metric| value(&point, *metric)).sum();
+    let point = play(&text(&[SEND_REQUESTS], ""));
+    let outcomes = [Metric::Served, Metric::Refused, Metric::Failed, Metric::Lost];
+    let ended: f64 = outcomes.iter().map(|metric| value(&point, *metric)).sum();
     assert_eq!(ended, value(&point, Metric::Arrivals));
     assert!(value(&point, Metric::Served) > 0.95 * ended, "{point:?}");
     assert_eq!(value(&point, Metric::Lost), 0.0);
 }
 
-/// A watch waits 600 ms: each gateway calls ten times in six seconds, and nothing else happens.
+/// A watch times out after 600 ms, so each gateway makes ten watch calls in six seconds. Nothing else
+/// happens.
 #[test]
 fn idle_fleet_only_watches() {
     let point = play(&text(&[], ""));
     assert_eq!(value(&point, Metric::DiscoveryCalls), 60.0);
     assert_eq!(value(&point, Metric::CounterCalls), 0.0);
     assert_eq!(value(&point, Metric::RelayBytes), 0.0);
-    // Ten firings of the periodic timer a second at six gateways.
+    // Six gateways, ten ticks per second each, for six seconds.
     assert_eq!(value(&point, Metric::GatewayEvents), 360.0);
 }
 
@@ -53,8 +55,8 @@
     assert!(slowest > 0.0 && slowest <= 240.6, "{slowest} ms");
 }
 
-/// An entry of the list, as the protocol shows it: eight racks, two to a zone.
-fn endpoint(server: usize) -> serde_json::Value {
+/// Returns an entry of the endpoint list as sent on the wire. The fleet has eight racks, two per zone.
+fn endpoint_json(server: usize) -> serde_json::Value {
     let zone = server % 8 / 2;
     serde_json::json!({"name": format!("s-{server:08x}"), "address": format!("10.0.0.{server}:3000"),
         "zone": format!("zone-{zone}"), "type": "std", "group": zone, "status": "ready", "weight": 1.0,
@@ -65,7 +67,7 @@
 fn restart_transfers_a_snapshot() {
     let one = play(&text(&[("warm_up_seconds = 1.0", "warm_up_seconds = 1.0\nrestarts = 1")], ""));
     let two = play(&text(&[("warm_up_seconds = 1.0", "warm_up_seconds = 1.0\nrestarts = 2")], ""));
-    let endpoints: Vec<_> = (0..24).map(endpoint).collect();
+    let endpoints: Vec<_> = (0..24).map(endpoint_json).collect();
     let list = serde_json::json!({"index": 1, "snapshot": true, "endpoints": endpoints});
     assert_eq!(value(&one, Metric::RelayBytes), list.to_string().len() as f64);
     assert_eq!(value(&two, Metric::RelayBytes), 2.0 * value(&one, Metric::RelayBytes));
@@ -82,21 +84,21 @@
 #[test]
 fn requests_are_lost_until_the_load_balancer_notices_a_killed_gateway() {
     let fault = "[[fault]]\nkind = \"kill-gateways\"\nat_seconds = 2.0\nlasts_seconds = 2.0\ncount = 1\n";
-    let point = play(&text(&[REQUESTS], fault));
+    let point = play(&text(&[SEND_REQUESTS], fault));
     let lost = value(&point, Metric::Lost);
-    // A sixth of 300 requests a second for about a second.
+    // One sixth of 300 requests per second is lost for about one second.
     assert!((25.0..90.0).contains(&lost), "{lost} lost");
     assert_eq!(point.faults.len(), 1);
     assert!(point.faults[0].recovery_milliseconds.is_some_and(|ms| ms <= 1_000.0), "{:?}", point.faults);
 }
 
-/// The part of the fleet that cannot reach the counter's region serves without it.
+/// Gateways that cannot reach the region of the shared counter serve requests without it.
 #[test]
 fn partitioned_region_gets_no_counter_replies() {
     let fault =
         "[[fault]]\nkind = \"cut-regions\"\nat_seconds = 0.0\nlasts_seconds = 6.0\nfirst = 0\nsecond = 1\n";
-    let connected = play(&text(&[REQUESTS], ""));
-    let partitioned = play(&text(&[REQUESTS], fault));
+    let connected = play(&text(&[SEND_REQUESTS], ""));
+    let partitioned = play(&text(&[SEND_REQUESTS], fault));
     assert!(value(&partitioned, Metric::CounterBytes) < 0.8 * value(&connected, Metric::CounterBytes));
     assert!(value(&partitioned, Metric::Served) > 0.8 * value(&connected, Metric::Served));
 }
@@ -104,7 +106,7 @@
 #[test]
 fn stalled_gateway_fails_the_run() {
     let fault = "[[fault]]\nkind = \"stop-answering\"\nat_seconds = 1.0\ngateway = 2\n";
-    let error = try_play(&text(&[REQUESTS], fault)).unwrap_err();
+    let error = try_play(&text(&[SEND_REQUESTS], fault)).unwrap_err();
     assert!(matches!(error, LaboratoryError::GatewayStalled { gateway: 2, .. }), "{error}");
     assert_eq!(error.exit_code(), 1);
 }
