--- a/crates/scale-laboratory/src/hollow/shared_counter.rs
+++ b/crates/scale-laboratory/src/hollow/shared_counter.rs
@@ -30,7 +30,7 @@
 /// Result of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterReply {
-    /// Time at which the call ends, in microseconds, without the network delay.
+    /// Time at which the call ends, in microseconds; for a reply, without the network's round trip.
     pub at: Micros,
     /// Result that the gateway receives.
     pub result: CounterResult,
