--- a/crates/scale-laboratory/src/real/clients.rs
+++ b/crates/scale-laboratory/src/real/clients.rs
@@ -1,4 +1,5 @@
-//! Clients of a real fleet: each has one connection to one gateway and sends requests at random times.
+//! Load-generating clients of a real fleet. Each keeps one connection to one gateway and sends requests at
+//! exponentially distributed intervals.
 
 use crate::metric::Metric;
 use crate::settings::{CLASS, DEADLINE, PLAN};
@@ -17,36 +18,35 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// A client waits so much longer than the deadline.
+/// Time by which a client's timeout exceeds the deadline of its request.
 const DEADLINE_SLACK: Duration = Duration::from_millis(500);
-/// Backoff before a new connection where the last one failed.
+/// Delay before a client reconnects after a failed connection attempt.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
-/// A client that has fallen behind catches up with at most this time's requests at once.
-const MAX_BACKLOG: Duration = Duration::from_secs(1);
-/// Requests without a response in a row, at a gateway that runs, after which it counts as stalled.
-pub const MAX_UNANSWERED_REQUESTS: u32 = 20;
+/// Longest delay behind its schedule that a client catches up on at once; requests due earlier are skipped.
+const MAX_CATCH_UP: Duration = Duration::from_secs(1);
+/// Number of consecutive requests without a response after which a running gateway counts as stalled.
+pub const MAX_CONSECUTIVE_UNANSWERED: u32 = 20;
 
-/// A client's connection to its gateway.
+/// Sending half of a client's HTTP/1.1 connection to its gateway.
 type Connection = SendRequest<Empty<Bytes>>;
 
-/// What clients have measured since the measured time began.
+/// Measurements of all clients since the start of the measured time.
 pub struct ClientStatistics {
-    /// Requests by the time of their sending.
+    /// Requests and their outcomes by sending time.
     pub timeline: Timeline,
-    /// Requests sent.
+    /// Number of requests sent.
     pub arrivals: u64,
-    /// How they ended.
     outcomes: OutcomeCounts,
-    /// Time that gateways added to served requests, microseconds.
+    /// Latency that gateways added to served requests, in microseconds.
     added_latency: Histogram<u64>,
-    /// Requests without a response in a row, by gateway.
-    unanswered_in_a_row: Vec<u32>,
-    /// When the measured time began.
-    begun_at: Option<Instant>,
+    /// Number of consecutive requests without a response, by gateway.
+    consecutive_unanswered: Vec<u32>,
+    /// Start of the measured time; `None` during the warm-up.
+    measured_from: Option<Instant>,
 }
 
 impl ClientStatistics {
-    /// The statistics under the names of the results.
+    /// Returns the measurements under the metric names of the results.
     pub fn metrics(&self) -> Vec<(Metric, f64)> {
         let mut metrics = vec![(Metric::Arrivals, self.arrivals as f64)];
         metrics.extend(self.outcomes.metrics().map(|(metric, count)| (metric, count as f64)));
@@ -58,121 +58,117 @@
     }
 }
 
-/// Shared by all clients.
+/// State shared by all client tasks.
 pub struct Clients {
-    /// What they measure.
     statistics: Mutex<ClientStatistics>,
-    /// Where each gateway listens; `None` for one that is down.
+    /// Listener address of each gateway; `None` while the gateway is down.
     addresses: Mutex<Vec<Option<SocketAddr>>>,
 }
 
 impl Clients {
-    /// Clients of gateways that are all down.
+    /// Returns the shared state of clients for a number of gateways, all of them down.
     pub fn new(gateways: usize) -> Arc<Clients> {
         let statistics = ClientStatistics {
             timeline: Timeline::default(),
             arrivals: 0,
             outcomes: OutcomeCounts::default(),
             added_latency: histogram(),
-            unanswered_in_a_row: vec![0; gateways],
-            begun_at: None,
+            consecutive_unanswered: vec![0; gateways],
+            measured_from: None,
         };
         Arc::new(Clients { statistics: Mutex::new(statistics), addresses: Mutex::new(vec![None; gateways]) })
     }
 
-    /// What was measured.
+    /// Locks the statistics for reading or writing.
     pub fn statistics(&self) -> MutexGuard<'_, ClientStatistics> {
         self.statistics.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The measured time begins.
-    pub fn begin_measurement(&self) {
-        self.statistics().begun_at = Some(Instant::now());
+    /// Starts the measured time. Requests sent earlier are not part of the metrics.
+    pub fn start_measurement(&self) {
+        self.statistics().measured_from = Some(Instant::now());
     }
 
-    /// A gateway that runs and does not respond any more.
+    /// Returns a running gateway that has stopped responding, if there is one.
     pub fn stalled_gateway(&self) -> Option<usize> {
         let statistics = self.statistics();
-        statistics.unanswered_in_a_row.iter().position(|count| *count >= MAX_UNANSWERED_REQUESTS)
+        statistics.consecutive_unanswered.iter().position(|count| *count >= MAX_CONSECUTIVE_UNANSWERED)
     }
 
-    /// Where the gateways listen, locked.
     fn addresses(&self) -> MutexGuard<'_, Vec<Option<SocketAddr>>> {
         self.addresses.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A gateway listens at an address, or is down.
+    /// Sets the address at which a gateway listens; `None` marks the gateway as down.
     pub fn set_address(&self, gateway: usize, address: Option<SocketAddr>) {
         self.addresses()[gateway] = address;
     }
 
-    /// Where a gateway listens; `None` while it is down.
     fn address(&self, gateway: usize) -> Option<SocketAddr> {
         self.addresses()[gateway]
     }
 
-    /// A request is sent; when.
+    /// Counts a request that is about to be sent and returns its sending time.
     fn record_arrival(&self) -> Instant {
         let now = Instant::now();
         let mut statistics = self.statistics();
-        if let Some(begun_at) = statistics.begun_at {
+        if let Some(start) = statistics.measured_from {
             statistics.arrivals += 1;
-            statistics.timeline.record_arrival((now - begun_at).as_micros() as u64);
+            statistics.timeline.record_arrival((now - start).as_micros() as u64);
         }
         now
     }
 
-    /// A request has ended.
+    /// Records the result of a request. A lost request counts towards a stall only while the gateway runs.
     fn record_outcome(&self, gateway: usize, sent_at: Instant, result: &RequestResult) {
         let elapsed_us = sent_at.elapsed().as_micros() as u64;
         let running = self.address(gateway).is_some();
         let mut statistics = self.statistics();
-        let unanswered = &mut statistics.unanswered_in_a_row[gateway];
+        let unanswered = &mut statistics.consecutive_unanswered[gateway];
         *unanswered = if running && result.outcome == Outcome::Lost { *unanswered + 1 } else { 0 };
-        let since_begin = statistics.begun_at.and_then(|begun_at| sent_at.checked_duration_since(begun_at));
-        let Some(at) = since_begin else { return };
+        let sent_after = statistics.measured_from.and_then(|start| sent_at.checked_duration_since(start));
+        let Some(sent_after) = sent_after else { return };
         statistics.outcomes.record(result.outcome);
-        statistics.timeline.record_outcome(at.as_micros() as u64, result.outcome);
+        statistics.timeline.record_outcome(sent_after.as_micros() as u64, result.outcome);
         if let Some(service_time_us) = result.service_time_us {
             statistics.added_latency.saturating_record(elapsed_us.saturating_sub(service_time_us).max(1));
         }
     }
 }
 
-/// A tenant that a client sends requests of.
+/// A tenant with the first gateway that serves it.
 #[derive(Clone, Copy, Debug)]
 pub struct TenantRoute {
-    /// The tenant.
+    /// Index of the tenant.
     pub tenant: usize,
-    /// The first gateway of its set.
-    pub first: usize,
+    /// First of the consecutive gateways that serve the tenant.
+    pub first_gateway: usize,
 }
 
-/// Which requests one client sends.
+/// Connection and requests of one client.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// The gateway that it is connected to.
+    /// Gateway to which the client connects.
     pub gateway: usize,
-    /// The tenants that this gateway serves.
+    /// Tenants that the gateway serves; the client sends requests of these.
     pub routes: Vec<TenantRoute>,
-    /// How many gateways serve a tenant.
+    /// Number of gateways that serve each tenant.
     pub gateways_per_tenant: usize,
-    /// Requests a second; 0 for a connection that stays idle.
+    /// Mean request rate; 0 for a connection that stays idle.
     pub requests_per_second: f64,
-    /// Seed of its times and tenants.
+    /// Seed of the random intervals, tenants and request ids.
     pub seed: u64,
 }
 
-/// How a request ended.
+/// Result of a request from its client's point of view.
 struct RequestResult {
-    /// The outcome.
     outcome: Outcome,
-    /// Time that the server took, of a served request.
+    /// Service time reported by the server; `None` unless the request was served.
     service_time_us: Option<u64>,
 }
 
-/// One client, for as long as the run lasts.
-pub async fn play(clients: Arc<Clients>, workload: Workload) {
+/// Runs one client until its task is cancelled.
+pub async fn run_client(clients: Arc<Clients>, workload: Workload) {
     if workload.requests_per_second <= 0.0 {
         let _idle_connection = connect(&clients, workload.gateway).await;
         std::future::pending::<()>().await;
@@ -184,12 +180,12 @@
         let draw: f64 = rng.random();
         next_at += Duration::from_secs_f64(-(1.0 - draw).ln() / workload.requests_per_second);
         sleep_until(next_at).await;
-        next_at = next_at.max(tokio::time::Instant::now() - MAX_BACKLOG);
+        next_at = next_at.max(tokio::time::Instant::now() - MAX_CATCH_UP);
         connection = send(&clients, &workload, &mut rng, connection.take()).await;
     }
 }
 
-/// Connects to a gateway; `None` if that fails.
+/// Connects to a gateway. Returns `None` if the gateway is down or the connection fails.
 async fn connect(clients: &Clients, gateway: usize) -> Option<Connection> {
     let stream = TcpStream::connect(clients.address(gateway)?).await.ok()?;
     stream.set_nodelay(true).ok()?;
@@ -198,14 +194,14 @@
     Some(sender)
 }
 
-/// Sends one request; the connection, if it can be used again.
+/// Sends one request and records its result. Returns the connection if it can be reused.
 async fn send(
     clients: &Clients,
     workload: &Workload,
     rng: &mut ChaCha8Rng,
     connection: Option<Connection>,
 ) -> Option<Connection> {
-    let request = request(workload, rng)?;
+    let request = build_request(workload, rng)?;
     let connection = match connection.filter(|connection| !connection.is_closed()) {
         Some(connection) => Some(connection),
         None => connect(clients, workload.gateway).await,
@@ -224,15 +220,13 @@
     (result.outcome != Outcome::Lost).then_some(connection)
 }
 
-/// A response's status and body.
+/// Status and complete body of a response.
 struct ClientResponse {
-    /// The status.
     status: StatusCode,
-    /// The body.
     body: Bytes,
 }
 
-/// Sends a request on a connection and reads its response; `None` if the connection breaks.
+/// Sends a request and reads the complete response. Returns `None` if the connection breaks.
 async fn exchange(connection: &mut Connection, request: Request<Empty<Bytes>>) -> Option<ClientResponse> {
     connection.ready().await.ok()?;
     let response = connection.send_request(request).await.ok()?;
@@ -240,10 +234,10 @@
     Some(ClientResponse { status, body: response.into_body().collect().await.ok()?.to_bytes() })
 }
 
-/// How a request with this response ended; `None` for no response.
+/// Returns the result of a request with this response; `None` stands for no response.
 fn request_result(response: Option<ClientResponse>) -> RequestResult {
     let service_time_us = match &response {
-        Some(ClientResponse { status: StatusCode::OK, body }) => parse_number(body),
+        Some(ClientResponse { status: StatusCode::OK, body }) => parse_service_time(body),
         _ => None,
     };
     let outcome = match response.map(|response| response.status) {
@@ -255,12 +249,12 @@
     RequestResult { outcome, service_time_us }
 }
 
-/// A request of one of the client's tenants; `None` if it has none.
-fn request(workload: &Workload, rng: &mut ChaCha8Rng) -> Option<Request<Empty<Bytes>>> {
+/// Builds a request of a random tenant of the workload. Returns `None` if the workload has no tenants.
+fn build_request(workload: &Workload, rng: &mut ChaCha8Rng) -> Option<Request<Empty<Bytes>>> {
     if workload.routes.is_empty() {
         return None;
     }
-    let TenantRoute { tenant, first } = workload.routes[rng.random_range(0..workload.routes.len())];
+    let TenantRoute { tenant, first_gateway } = workload.routes[rng.random_range(0..workload.routes.len())];
     let id: u64 = rng.random();
     Request::get("/api")
         .header("Host", "service.internal")
@@ -269,12 +263,12 @@
         .header("Api-Plan", PLAN)
         .header("Api-Customer", format!("{tenant:016x}"))
         .header("X-Budget-Ms", (DEADLINE / 1_000).to_string())
-        .header("Api-Terms", format!("units=1,spread={},first={first}", workload.gateways_per_tenant))
+        .header("Api-Terms", format!("units=1,spread={},first={first_gateway}", workload.gateways_per_tenant))
         .body(Empty::new())
         .ok()
 }
 
-/// The number in a body.
-fn parse_number(body: &[u8]) -> Option<u64> {
+/// Parses the service time, in microseconds, that a server stub sends as its body.
+fn parse_service_time(body: &[u8]) -> Option<u64> {
     std::str::from_utf8(body).ok()?.parse().ok()
 }
--- a/crates/scale-laboratory/src/real/counter_stub.rs
+++ b/crates/scale-laboratory/src/real/counter_stub.rs
@@ -1,4 +1,4 @@
-//! A stub of the shared counter.
+//! HTTP stub of the shared counter.
 
 use super::stub_http::{listen, query_parameter, response, StubResponse};
 use super::traffic::Traffic;
@@ -11,58 +11,54 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Longest life of a key.
+/// Upper bound on the lifetime of a key.
 const MAX_TTL: Duration = Duration::from_secs(60);
-/// Most keys kept; past them all are dropped.
+/// Limit on the number of keys. Once it is reached, the next call drops all keys.
 const MAX_KEYS: usize = 1 << 20;
 
-/// A key's total.
+/// Total of one key, valid until the key expires.
 struct Total {
-    /// The total.
     value: f64,
-    /// When the key expires.
     expires_at: Instant,
 }
 
-/// What the counter's connections share.
+/// State shared by the connections of a counter.
 #[derive(Default)]
-struct Shared {
-    /// Totals by key.
+struct SharedState {
     totals: Mutex<BTreeMap<String, Total>>,
-    /// It answers no calls.
-    silent: AtomicBool,
+    /// Whether calls are left without a response.
+    unresponsive: AtomicBool,
 }
 
-/// A counter that listens.
+/// A running stub of the shared counter.
 pub struct CounterStub {
-    /// Where.
+    /// Address of the listener.
     pub address: SocketAddr,
-    /// Its calls and bytes.
+    /// Calls and bytes of all connections.
     pub traffic: Arc<Traffic>,
-    /// Shared with its connections.
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
 }
 
 impl CounterStub {
-    /// Starts one without any keys.
+    /// Starts a counter without keys on a loopback port.
     pub async fn start() -> io::Result<CounterStub> {
         let traffic = Arc::<Traffic>::default();
-        let shared = Arc::<Shared>::default();
+        let shared = Arc::<SharedState>::default();
         let handler_shared = shared.clone();
-        let handler = move |request| call(handler_shared.clone(), request);
+        let handler = move |request| handle_call(handler_shared.clone(), request);
         let address = listen(traffic.clone(), handler).await?;
         Ok(CounterStub { address, traffic, shared })
     }
 
-    /// Whether it answers no calls from now on.
-    pub fn set_silent(&self, silent: bool) {
-        self.shared.silent.store(silent, Ordering::Relaxed);
+    /// Sets whether calls are left without a response.
+    pub fn set_unresponsive(&self, unresponsive: bool) {
+        self.shared.unresponsive.store(unresponsive, Ordering::Relaxed);
     }
 }
 
-/// Answers a call that adds to a key.
-async fn call(shared: Arc<Shared>, request: Request<Incoming>) -> StubResponse {
-    if shared.silent.load(Ordering::Relaxed) {
+/// Handles a call that adds an amount to a key.
+async fn handle_call(shared: Arc<SharedState>, request: Request<Incoming>) -> StubResponse {
+    if shared.unresponsive.load(Ordering::Relaxed) {
         std::future::pending::<()>().await;
     }
     let key = request.uri().path().strip_prefix("/v2/numbers/");
@@ -76,17 +72,17 @@
     response(add(&shared, key, amount, Duration::from_millis(ttl)).to_string())
 }
 
-/// Adds an amount to a key; its total.
-fn add(shared: &Shared, key: &str, amount: f64, ttl: Duration) -> f64 {
+/// Adds an amount to a key and returns the new total. An expired key starts again from 0.
+fn add(shared: &SharedState, key: &str, amount: f64, ttl: Duration) -> f64 {
     let mut totals = shared.totals.lock().unwrap_or_else(PoisonError::into_inner);
     let now = Instant::now();
     if totals.len() >= MAX_KEYS {
         totals.clear();
     }
-    let new = || Total { value: 0.0, expires_at: now + ttl.min(MAX_TTL) };
-    let total = totals.entry(key.to_owned()).or_insert_with(new);
+    let new_total = || Total { value: 0.0, expires_at: now + ttl.min(MAX_TTL) };
+    let total = totals.entry(key.to_owned()).or_insert_with(new_total);
     if total.expires_at <= now {
-        *total = new();
+        *total = new_total();
     }
     total.value += amount;
     total.value
--- a/crates/scale-laboratory/src/real/faults.rs
+++ b/crates/scale-laboratory/src/real/faults.rs
@@ -1,4 +1,4 @@
-//! What the steps of a real run do to its fleet.
+//! Applies scheduled fault actions to a real fleet.
 
 use super::fleet::RealFleet;
 use super::gateway_process::GatewayProcess;
@@ -8,9 +8,9 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 impl RealFleet {
-    /// Carries out an action.
+    /// Carries out one scheduled action.
     pub(super) async fn apply(&mut self, action: FaultAction) -> Result<()> {
-        tracing::info!(?action, "fault step");
+        tracing::info!(?action, "applying fault action");
         match action {
             FaultAction::KillGateways(gateways) => {
                 for gateway in gateways {
@@ -22,45 +22,44 @@
                     self.start_gateway(gateway).await?;
                 }
             }
-            FaultAction::StopServers { domain, index } => self.set_servers_silent(domain, index, true),
+            FaultAction::StopServers { domain, index } => self.set_servers_unresponsive(domain, index, true),
             FaultAction::PublishStop { domain, index } => {
                 self.publish(self.servers_in(domain, index), "gone", 0);
             }
             FaultAction::RestoreServers { domain, index } => {
-                self.set_servers_silent(domain, index, false);
-                self.publish(self.servers_in(domain, index), "ready", unix_milliseconds());
+                self.set_servers_unresponsive(domain, index, false);
+                self.publish(self.servers_in(domain, index), "ready", unix_time_ms());
             }
-            FaultAction::SilenceCounter(silent) => {
-                self.counters.iter().for_each(|counter| counter.set_silent(silent));
+            FaultAction::SilenceCounter(unresponsive) => {
+                self.counters.iter().for_each(|counter| counter.set_unresponsive(unresponsive));
             }
-            FaultAction::SilenceDiscovery(silent) => self.agents.set_silent(silent),
+            FaultAction::SilenceDiscovery(unresponsive) => self.agents.set_unresponsive(unresponsive),
             FaultAction::ChangeEndpoints(count) => {
-                self.publish((0..count).collect(), "ready", unix_milliseconds());
+                self.publish((0..count).collect(), "ready", unix_time_ms());
             }
             FaultAction::ChangeConfiguration => self.change_configuration()?,
         }
         Ok(())
     }
 
-    /// The servers of a domain.
     fn servers_in(&self, domain: Domain, index: usize) -> Vec<usize> {
         (0..self.servers.len()).filter(|server| self.topology.is_in(*server, domain, index)).collect()
     }
 
-    /// The servers of a domain fall silent, or respond again.
-    fn set_servers_silent(&self, domain: Domain, index: usize, silent: bool) {
+    /// Sets whether the servers of a domain leave requests without a response.
+    fn set_servers_unresponsive(&self, domain: Domain, index: usize, unresponsive: bool) {
         for server in self.servers_in(domain, index) {
-            self.servers[server].set_silent(silent);
+            self.servers[server].set_unresponsive(unresponsive);
         }
     }
 
-    /// Discovery publishes new entries of servers.
+    /// Publishes new entries of servers through the discovery agents.
     fn publish(&self, servers: Vec<usize>, status: &'static str, started_at_ms: u64) {
         let endpoints = servers.into_iter().map(|server| self.endpoint(server, status, started_at_ms));
         self.agents.publish(endpoints.collect());
     }
 
-    /// Gives all gateways a configuration that names the other counter.
+    /// Makes all gateways reload a configuration that contains the address of the second counter.
     fn change_configuration(&mut self) -> Result<()> {
         self.configuration_changed_at = Some(Instant::now());
         for gateway in 0..self.gateways.len() {
@@ -71,7 +70,7 @@
     }
 }
 
-/// The wall clock's time in the form of the endpoint list.
-fn unix_milliseconds() -> u64 {
+/// Returns the Unix time in milliseconds, the unit of the endpoint list.
+fn unix_time_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
--- a/crates/scale-laboratory/src/real/fleet.rs
+++ b/crates/scale-laboratory/src/real/fleet.rs
@@ -1,4 +1,4 @@
-//! The gateway processes and stubs of one point, from their start to their end.
+//! Gateway processes and stubs of one point: how they are started, configured and stopped.
 
 use super::clients::Clients;
 use super::counter_stub::CounterStub;
@@ -19,39 +19,39 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Bound on a gateway's memory in its configuration, millions of bytes.
-const MEMORY_MB: u64 = 192;
-/// Bound on a gateway's file descriptors in its configuration.
-const FILE_DESCRIPTORS: u64 = 1_024;
+/// Memory limit in a gateway's configuration, in millions of bytes.
+const MEMORY_LIMIT_MB: u64 = 192;
+/// Limit on open file descriptors in a gateway's configuration.
+const FILE_DESCRIPTOR_LIMIT: u64 = 1_024;
 
-/// All that one point starts.
+/// Gateway processes, stubs and clients of one point.
 pub struct RealFleet {
-    /// What is played.
+    /// Experiment that the fleet runs.
     pub(super) experiment: Experiment,
-    /// Where servers and gateways stand.
+    /// Zones and racks of servers and gateways.
     pub(super) topology: Topology,
-    /// The discovery agents.
+    /// Stubs of the discovery agents.
     pub(super) agents: DiscoveryAgents,
-    /// The counter of the first configuration, and that of all later ones.
+    /// Shared counter of the initial configuration, and that of the changed configuration.
     pub(super) counters: [CounterStub; 2],
-    /// The servers.
+    /// Stubs of the back-end servers.
     pub(super) servers: Vec<ServerStub>,
-    /// The clients.
+    /// State shared by the client tasks.
     pub(super) clients: Arc<Clients>,
-    /// The gateways by their numbers; `None` for one that is down.
+    /// Gateway processes by gateway number; `None` while a gateway is down.
     pub(super) gateways: Vec<Option<GatewayProcess>>,
-    /// When the configuration changed.
+    /// Time of the configuration change; `None` before it.
     pub(super) configuration_changed_at: Option<Instant>,
-    /// Where each gateway's agent listens.
+    /// Address of each gateway's discovery agent.
     agent_addresses: Vec<SocketAddr>,
-    /// Holds the configuration files.
-    folder: TempDir,
-    /// The gateway program.
+    /// Temporary folder of the configuration files.
+    configuration_folder: TempDir,
+    /// Path of the gateway program.
     program: PathBuf,
 }
 
 impl RealFleet {
-    /// Starts the stubs, then the gateways.
+    /// Starts the stubs, then the gateways. If a gateway cannot be started, stops those that run.
     pub(super) async fn start(
         experiment: &Experiment,
         program: &Path,
@@ -66,19 +66,22 @@
         Ok(fleet)
     }
 
-    /// Starts all but the gateways.
+    /// Starts the stubs and returns a fleet whose gateways are all down.
     async fn start_stubs(experiment: &Experiment, program: &Path) -> Result<RealFleet> {
-        let failed = |error| LaboratoryError::io("a stub cannot listen", error);
+        let listen_error =
+            |error| LaboratoryError::io("the stub of a server, agent or counter cannot listen", error);
         let topology = Topology::new(&experiment.fleet);
-        let servers = start_servers(experiment).await.map_err(failed)?;
+        let servers = start_servers(experiment).await.map_err(listen_error)?;
         let endpoints = (0..servers.len()).map(|server| endpoint(&topology, &servers, server, "ready", 0));
         let agents = DiscoveryAgents::new(endpoints.collect());
         let mut agent_addresses = Vec::new();
         for _ in 0..experiment.fleet.gateways {
-            agent_addresses.push(agents.start().await.map_err(failed)?);
+            agent_addresses.push(agents.start().await.map_err(listen_error)?);
         }
-        let counters =
-            [CounterStub::start().await.map_err(failed)?, CounterStub::start().await.map_err(failed)?];
+        let counters = [
+            CounterStub::start().await.map_err(listen_error)?,
+            CounterStub::start().await.map_err(listen_error)?,
+        ];
         Ok(RealFleet {
             topology,
             agents,
@@ -88,7 +91,8 @@
             gateways: (0..experiment.fleet.gateways).map(|_| None).collect(),
             configuration_changed_at: None,
             agent_addresses,
-            folder: tempfile::tempdir().map_err(|error| LaboratoryError::io("no temporary folder", error))?,
+            configuration_folder: tempfile::tempdir()
+                .map_err(|error| LaboratoryError::io("cannot create a temporary folder", error))?,
             program: program.to_owned(),
             experiment: experiment.clone(),
         })
@@ -103,7 +107,7 @@
         Ok(())
     }
 
-    /// Starts a gateway that is down.
+    /// Starts a gateway and announces its address to the clients. Does nothing if the gateway runs.
     pub(super) async fn start_gateway(&mut self, gateway: usize) -> Result<()> {
         if self.gateways[gateway].is_some() {
             return Ok(());
@@ -115,7 +119,7 @@
         Ok(())
     }
 
-    /// Kills a gateway.
+    /// Marks a gateway as down for the clients, kills its process and waits until the process has ended.
     pub(super) async fn kill_gateway(&mut self, gateway: usize) {
         self.clients.set_address(gateway, None);
         if let Some(process) = self.gateways[gateway].take() {
@@ -123,24 +127,25 @@
         }
     }
 
-    /// Kills all gateways and waits for their ends.
+    /// Kills all gateways and waits until they have ended.
     pub(super) async fn stop(&mut self) {
         for gateway in 0..self.gateways.len() {
             self.kill_gateway(gateway).await;
         }
     }
 
-    /// Writes a gateway's configuration, in one step.
+    /// Replaces a gateway's configuration file atomically and returns its path.
     pub(super) fn write_configuration(&self, gateway: usize) -> Result<PathBuf> {
-        let path = self.folder.path().join(format!("n{gateway}.json"));
-        let partial = self.folder.path().join(format!("n{gateway}.json.partial"));
-        let failed = |error| LaboratoryError::io(format!("{} cannot be written", path.display()), error);
-        std::fs::write(&partial, self.configuration(gateway).to_string()).map_err(failed)?;
-        std::fs::rename(&partial, &path).map_err(failed)?;
+        let path = self.configuration_folder.path().join(format!("n{gateway}.json"));
+        let partial = self.configuration_folder.path().join(format!("n{gateway}.json.partial"));
+        let write_error =
+            |error| LaboratoryError::io(format!("configuration {} cannot be written", path.display()), error);
+        std::fs::write(&partial, self.configuration(gateway).to_string()).map_err(write_error)?;
+        std::fs::rename(&partial, &path).map_err(write_error)?;
         Ok(path)
     }
 
-    /// A gateway's configuration.
+    /// Returns a gateway's configuration in its JSON form.
     fn configuration(&self, gateway: usize) -> Value {
         let zones = self.topology.zones();
         let zone = self.topology.zone_of_gateway(gateway) as u32;
@@ -150,7 +155,7 @@
             "listen": "127.0.0.1:0",
             "discovery": self.agent_addresses[gateway].to_string(),
             "seed": format!("{:016x}", self.experiment.seed ^ gateway as u64),
-            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": FILE_DESCRIPTORS},
+            "limits": {"cores": 1.0, "memory_mb": MEMORY_LIMIT_MB, "sockets": FILE_DESCRIPTOR_LIMIT},
             "known": self.agents.snapshot(),
             "settings": json_settings(&self.experiment, gateway, zones, zone),
         });
@@ -160,7 +165,7 @@
         configuration
     }
 
-    /// The entry of a server.
+    /// Returns a server's entry in the endpoint list.
     pub(super) fn endpoint(
         &self,
         server: usize,
@@ -171,7 +176,7 @@
     }
 }
 
-/// Starts all servers.
+/// Starts the stubs of all servers.
 async fn start_servers(experiment: &Experiment) -> io::Result<Vec<ServerStub>> {
     let mean_service_time = Duration::from_micros(micros(experiment.backend.service_milliseconds));
     let mut servers = Vec::new();
@@ -182,7 +187,7 @@
     Ok(servers)
 }
 
-/// The entry of a server.
+/// Returns a server's entry in the endpoint list.
 fn endpoint(
     topology: &Topology,
     servers: &[ServerStub],
--- a/crates/scale-laboratory/src/real/measurements.rs
+++ b/crates/scale-laboratory/src/real/measurements.rs
@@ -1,54 +1,54 @@
-//! What is measured of a real fleet.
+//! Metrics of a real fleet, from its processes, stubs and clients.
 
 use super::fleet::RealFleet;
 use super::gateway_process::GatewayProcess;
-use super::traffic::TrafficCount;
+use super::traffic::TrafficTotals;
 use crate::metric::Metric;
 use crate::results::Point;
 use crate::settings::micros_of_seconds;
 use std::time::Duration;
 
-/// Processor time and traffic at one moment.
-pub(super) struct Snapshot {
+/// Cumulative processor time and stub traffic at one moment.
+pub(super) struct ResourceSnapshot {
     /// Processor time of all gateways.
     cpu: Duration,
-    /// Calls of discovery agents.
-    discovery: TrafficCount,
-    /// Counter calls.
-    counter: TrafficCount,
+    /// Traffic of the discovery agents.
+    discovery: TrafficTotals,
+    /// Traffic of both counters.
+    counter: TrafficTotals,
 }
 
 impl RealFleet {
-    /// Processor time and traffic now.
-    pub(super) fn snapshot(&self) -> Snapshot {
+    /// Returns the cumulative processor time and stub traffic at this moment.
+    pub(super) fn resource_snapshot(&self) -> ResourceSnapshot {
         let [first, second] = &self.counters;
-        Snapshot {
+        ResourceSnapshot {
             cpu: self.gateways.iter().flatten().map(GatewayProcess::cpu_time).sum(),
-            discovery: self.agents.traffic.count(),
-            counter: first.traffic.count() + second.traffic.count(),
+            discovery: self.agents.traffic.totals(),
+            counter: first.traffic.totals() + second.traffic.totals(),
         }
     }
 
-    /// What was measured between two moments.
-    pub(super) fn point(&self, before: &Snapshot, after: &Snapshot) -> Point {
+    /// Returns the measurements between two snapshots, with the clients' statistics and the costs of faults.
+    pub(super) fn point(&self, before: &ResourceSnapshot, after: &ResourceSnapshot) -> Point {
         let mut point = Point::default();
         point.metrics.extend(traffic_metrics(before, after));
         point.metrics.extend(self.process_metrics(after.cpu.saturating_sub(before.cpu)));
-        let measured = self.clients.statistics();
-        point.metrics.extend(measured.metrics());
-        let change_in_force = self.agents.take_change_in_force();
-        if !change_in_force.is_zero() {
-            point.metrics.insert(Metric::ChangeInForce, milliseconds(change_in_force));
+        let statistics = self.clients.statistics();
+        point.metrics.extend(statistics.metrics());
+        let propagation_delay = self.agents.take_max_propagation_delay();
+        if !propagation_delay.is_zero() {
+            point.metrics.insert(Metric::ChangeInForce, milliseconds(propagation_delay));
         }
-        if let Some(elapsed) = self.configuration_in_force() {
+        if let Some(elapsed) = self.configuration_delay() {
             point.metrics.insert(Metric::ConfigurationInForce, milliseconds(elapsed));
         }
         let duration = micros_of_seconds(self.experiment.load.duration_seconds);
-        point.faults = measured.timeline.fault_costs(&self.experiment.faults, duration);
+        point.faults = statistics.timeline.fault_costs(&self.experiment.faults, duration);
         point
     }
 
-    /// Processor time and memory of the gateways, means over those that run.
+    /// Returns memory and processor time as means over the running gateways, and processor time per request.
     fn process_metrics(&self, cpu_time: Duration) -> Vec<(Metric, f64)> {
         let running = self.gateways.iter().flatten().count().max(1) as f64;
         let resident: u64 = self.gateways.iter().flatten().map(GatewayProcess::resident_bytes).sum();
@@ -65,17 +65,17 @@
         metrics
     }
 
-    /// Time until the last gateway used the new configuration; `None` before all did.
-    fn configuration_in_force(&self) -> Option<Duration> {
+    /// Returns the time until the last gateway applied the new configuration; `None` unless all of them have.
+    fn configuration_delay(&self) -> Option<Duration> {
         let changed_at = self.configuration_changed_at?;
-        let applied = self.gateways.iter().flatten().map(GatewayProcess::counter_moved_at);
-        let applied: Vec<_> = applied.collect::<Option<_>>()?;
-        Some(applied.into_iter().max()?.saturating_duration_since(changed_at))
+        let applied_at = self.gateways.iter().flatten().map(GatewayProcess::counter_changed_at);
+        let applied_at: Vec<_> = applied_at.collect::<Option<_>>()?;
+        Some(applied_at.into_iter().max()?.saturating_duration_since(changed_at))
     }
 }
 
-/// Calls and bytes between two moments.
-fn traffic_metrics(before: &Snapshot, after: &Snapshot) -> [(Metric, f64); 4] {
+/// Returns the calls and bytes between two snapshots.
+fn traffic_metrics(before: &ResourceSnapshot, after: &ResourceSnapshot) -> [(Metric, f64); 4] {
     let counter = after.counter - before.counter;
     let discovery = after.discovery - before.discovery;
     [
@@ -86,7 +86,6 @@
     ]
 }
 
-/// A time in milliseconds.
-fn milliseconds(time: Duration) -> f64 {
-    time.as_secs_f64() * 1e3
+fn milliseconds(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1e3
 }
--- a/crates/scale-laboratory/src/real/mod.rs
+++ b/crates/scale-laboratory/src/real/mod.rs
@@ -1,8 +1,8 @@
-//! Gateway processes on loopback, between stubs of discovery agents, the counter, servers and clients. All that is
-//! started ends with the measurement, however that ends.
+//! Real mode: gateway processes on loopback, with clients and with stubs of discovery agents, shared counters
+//! and servers. All processes and stubs end with the measurement, whether it succeeds or fails.
 //!
-//! `run` plays one point: it starts a `fleet` of `gateway_process`es and stubs, applies the steps of `schedule` by way
-//! of `faults`, and ends with the `measurements`.
+//! `run` measures one point: it starts a `fleet` of gateway processes (`gateway_process`) and stubs, applies
+//! the steps of `schedule` by way of `faults`, and collects the `measurements`.
 
 mod clients;
 mod counter_stub;
@@ -24,20 +24,20 @@
 use std::path::Path;
 use tokio::runtime::Builder;
 
-/// Threads of the stubs.
+/// Worker threads of the runtime that serves the stubs and clients.
 const STUB_THREADS: usize = 2;
 
-/// Refuses a gateway program that does not exist.
+/// Fails if the path of the gateway program is not a file.
 pub fn check_program(program: &Path) -> Result<()> {
     if program.is_file() {
         return Ok(());
     }
     let reason =
-        format!("{} is no file; build it with 'cargo build --release -p grebehook'", program.display());
+        format!("{} is not a file; build it with 'cargo build --release -p grebehook'", program.display());
     Err(LaboratoryError::field("--gateway-program", reason))
 }
 
-/// Plays an experiment at one size.
+/// Measures an experiment at one size.
 pub fn measure(
     experiment: &Experiment,
     size: Option<u64>,
@@ -48,9 +48,9 @@
         .worker_threads(STUB_THREADS)
         .enable_all()
         .build()
-        .map_err(|error| LaboratoryError::io("no runtime", error))?;
-    let point = runtime.block_on(run::play(experiment, program, progress));
-    // Tasks of the stubs wait for calls that will not come any more.
+        .map_err(|error| LaboratoryError::io("cannot start the runtime of the stubs", error))?;
+    let point = runtime.block_on(run::run_point(experiment, program, progress));
+    // Does not wait for the stubs' tasks, which would wait forever for further calls.
     runtime.shutdown_background();
     Ok(Point { size, ..point? })
 }
--- a/crates/scale-laboratory/src/real/schedule.rs
+++ b/crates/scale-laboratory/src/real/schedule.rs
@@ -1,64 +1,62 @@
-//! The steps of a real run: when the experiment's faults, changes and restarts begin and end.
+//! Schedule of a real run: the steps at which the experiment's faults, changes and restarts start and end.
 
 use crate::experiment::{Domain, Experiment, Fault};
 use crate::topology::Topology;
 use std::time::Duration;
 
-/// What is done at one moment.
+/// Action on the fleet at one moment. The log shows variants and fields under these names.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
-    /// Gateways are killed.
     KillGateways(Vec<usize>),
-    /// Gateways start.
     StartGateways(Vec<usize>),
-    /// The servers of a domain fall silent.
+    /// Makes the servers of a domain unresponsive.
     StopServers {
-        /// The kind of domain.
+        /// Kind of the failure domain.
         domain: Domain,
-        /// Which one.
+        /// Index of the domain among those of its kind.
         index: usize,
     },
-    /// Discovery notices that the servers of a domain are silent.
+    /// Removes the servers of a domain from the endpoint list, once discovery has detected that they stopped.
     PublishStop {
-        /// The kind of domain.
+        /// Kind of the failure domain.
         domain: Domain,
-        /// Which one.
+        /// Index of the domain among those of its kind.
         index: usize,
     },
-    /// The servers of a domain respond again, and discovery publishes it.
+    /// Makes the servers of a domain responsive again and publishes their new entries.
     RestoreServers {
-        /// The kind of domain.
+        /// Kind of the failure domain.
         domain: Domain,
-        /// Which one.
+        /// Index of the domain among those of its kind.
         index: usize,
     },
-    /// Whether the counter is silent from now on.
+    /// Sets whether both counters are unresponsive.
     SilenceCounter(bool),
-    /// Whether discovery is silent from now on.
+    /// Sets whether the discovery agents are unresponsive.
     SilenceDiscovery(bool),
-    /// The entries of this many servers change, from the first on.
+    /// Publishes new entries of this number of servers, beginning with the first server.
     ChangeEndpoints(usize),
-    /// A new configuration names the other counter.
+    /// Makes all gateways reload a configuration that contains the address of the second counter.
     ChangeConfiguration,
 }
 
-/// An action and its time from the begin of the measured time.
+/// A scheduled action.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// When.
+    /// Time since the start of the measured time.
     pub at: Duration,
-    /// What.
+    /// Action that falls due at this time.
     pub action: FaultAction,
 }
 
 impl Step {
-    /// An action at a number of seconds after the begin.
+    /// Returns a step at a number of seconds after the start of the measured time.
     fn new(seconds: f64, action: FaultAction) -> Step {
         Step { at: Duration::from_secs_f64(seconds), action }
     }
 }
 
-/// All steps of an experiment, in the order of their times.
+/// Returns all steps of an experiment in the order of their times.
 pub fn steps(experiment: &Experiment) -> Vec<Step> {
     let faults = experiment.faults.iter().flat_map(|fault| fault_steps(experiment, fault));
     let mut steps: Vec<Step> =
@@ -67,18 +65,19 @@
     steps
 }
 
-/// The load's changes of an entry, spread evenly over the measured time.
+/// Returns the load's changes of one server's entry, spread evenly over the measured time.
 fn change_steps(experiment: &Experiment) -> impl Iterator<Item = Step> + '_ {
     let count = experiment.load.changes;
-    (0..count)
-        .map(move |change| Step::new(spread(experiment, change, count), FaultAction::ChangeEndpoints(1)))
+    (0..count).map(move |change| {
+        Step::new(evenly_spaced_seconds(experiment, change, count), FaultAction::ChangeEndpoints(1))
+    })
 }
 
-/// The load's restarts of gateways, spread evenly over the measured time.
+/// Returns the load's restarts of gateways, spread evenly over the measured time.
 fn restart_steps(experiment: &Experiment) -> impl Iterator<Item = Step> + '_ {
     let count = experiment.load.restarts;
     (0..count).flat_map(move |restart| {
-        let at = spread(experiment, restart, count);
+        let at = evenly_spaced_seconds(experiment, restart, count);
         let gateway = restart % experiment.fleet.gateways;
         [
             Step::new(at, FaultAction::KillGateways(vec![gateway])),
@@ -87,53 +86,60 @@
     })
 }
 
-/// The time of one of several steps that are spread evenly, in seconds.
-fn spread(experiment: &Experiment, index: usize, count: usize) -> f64 {
+/// Returns the time, in seconds, of one of `count` steps that are spread evenly over the measured time.
+fn evenly_spaced_seconds(experiment: &Experiment, index: usize, count: usize) -> f64 {
     experiment.load.duration_seconds * index as f64 / count as f64
 }
 
-/// The steps of a fault.
+/// Returns the steps that start and end a fault.
 fn fault_steps(experiment: &Experiment, fault: &Fault) -> Vec<Step> {
-    let begins = fault.at_seconds();
-    let ends = begins + fault.lasts_seconds();
+    let start_seconds = fault.at_seconds();
+    let end_seconds = start_seconds + fault.lasts_seconds();
     match *fault {
-        Fault::KillGateways { count, .. } => restart(begins, ends, (0..count).collect()),
+        Fault::KillGateways { count, .. } => {
+            kill_and_restart(start_seconds, end_seconds, (0..count).collect())
+        }
         Fault::Lose { domain, index, gateways_too, .. } => {
-            let noticed = begins + experiment.discovery.notice_milliseconds / 1e3;
+            let detected_seconds = start_seconds + experiment.discovery.notice_milliseconds / 1e3;
             let mut steps = vec![
-                Step::new(begins, FaultAction::StopServers { domain, index }),
-                Step::new(noticed.min(ends), FaultAction::PublishStop { domain, index }),
-                Step::new(ends, FaultAction::RestoreServers { domain, index }),
+                Step::new(start_seconds, FaultAction::StopServers { domain, index }),
+                Step::new(detected_seconds.min(end_seconds), FaultAction::PublishStop { domain, index }),
+                Step::new(end_seconds, FaultAction::RestoreServers { domain, index }),
             ];
             if gateways_too {
-                steps.extend(restart(begins, ends, gateways_in(experiment, domain, index)));
+                steps.extend(kill_and_restart(
+                    start_seconds,
+                    end_seconds,
+                    gateways_in(experiment, domain, index),
+                ));
             }
             steps
         }
         Fault::SilenceCounter { .. } => vec![
-            Step::new(begins, FaultAction::SilenceCounter(true)),
-            Step::new(ends, FaultAction::SilenceCounter(false)),
+            Step::new(start_seconds, FaultAction::SilenceCounter(true)),
+            Step::new(end_seconds, FaultAction::SilenceCounter(false)),
         ],
         Fault::SilenceDiscovery { .. } => vec![
-            Step::new(begins, FaultAction::SilenceDiscovery(true)),
-            Step::new(ends, FaultAction::SilenceDiscovery(false)),
+            Step::new(start_seconds, FaultAction::SilenceDiscovery(true)),
+            Step::new(end_seconds, FaultAction::SilenceDiscovery(false)),
         ],
-        Fault::ChangeMembers { count, .. } => vec![Step::new(begins, FaultAction::ChangeEndpoints(count))],
-        Fault::ChangeConfiguration { .. } => vec![Step::new(begins, FaultAction::ChangeConfiguration)],
-        // The check of the experiment refuses these in a real run.
+        Fault::ChangeMembers { count, .. } => {
+            vec![Step::new(start_seconds, FaultAction::ChangeEndpoints(count))]
+        }
+        Fault::ChangeConfiguration { .. } => vec![Step::new(start_seconds, FaultAction::ChangeConfiguration)],
+        // The validation of the experiment rejects these faults in real mode.
         Fault::CutRegions { .. } | Fault::StopAnswering { .. } => Vec::new(),
     }
 }
 
-/// Gateways are killed, and start again later.
-fn restart(begins: f64, ends: f64, gateways: Vec<usize>) -> Vec<Step> {
+/// Returns the steps that kill gateways and start them again later.
+fn kill_and_restart(start_seconds: f64, end_seconds: f64, gateways: Vec<usize>) -> Vec<Step> {
     vec![
-        Step::new(begins, FaultAction::KillGateways(gateways.clone())),
-        Step::new(ends, FaultAction::StartGateways(gateways)),
+        Step::new(start_seconds, FaultAction::KillGateways(gateways.clone())),
+        Step::new(end_seconds, FaultAction::StartGateways(gateways)),
     ]
 }
 
-/// The gateways of a domain.
 fn gateways_in(experiment: &Experiment, domain: Domain, index: usize) -> Vec<usize> {
     let topology = Topology::new(&experiment.fleet);
     (0..experiment.fleet.gateways).filter(|gateway| topology.is_in(*gateway, domain, index)).collect()
--- a/crates/scale-laboratory/src/real/stub_http.rs
+++ b/crates/scale-laboratory/src/real/stub_http.rs
@@ -1,4 +1,4 @@
-//! The stubs' HTTP: a listener on loopback whose calls go to a handler.
+//! HTTP server shared by the stubs: a loopback listener that passes each call to a handler.
 
 use super::traffic::{CountedStream, Traffic};
 use bytes::Bytes;
@@ -16,24 +16,24 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Backoff after a failed accept.
+/// Delay before the next `accept` after a failed one.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// A stub's response.
+/// HTTP response of a stub.
 pub type StubResponse = Response<Full<Bytes>>;
 
-/// A response with a body.
+/// Returns a response with the status 200 and a body.
 pub fn response(body: impl Into<Bytes>) -> StubResponse {
     Response::new(Full::new(body.into()))
 }
 
-/// The value of a parameter of a request's query.
+/// Returns the value of a parameter in a request's query, without percent-decoding.
 pub fn query_parameter<'a>(request: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
     let pairs = request.uri().query()?.split('&');
     pairs.filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// Listens on a loopback port that the system picks, and hands every call to the handler.
+/// Listens on a free loopback port, passes every call to the handler and returns the listener's address.
 pub async fn listen<H, F>(traffic: Arc<Traffic>, handler: H) -> io::Result<SocketAddr>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -41,26 +41,26 @@
 {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
-    tokio::spawn(accept(listener, traffic, handler));
+    tokio::spawn(accept_connections(listener, traffic, handler));
     Ok(address)
 }
 
-/// Accepts connections, each served by a task of its own.
-async fn accept<H, F>(listener: TcpListener, traffic: Arc<Traffic>, handler: H)
+/// Accepts connections and serves each in a separate task.
+async fn accept_connections<H, F>(listener: TcpListener, traffic: Arc<Traffic>, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = StubResponse> + Send + 'static,
 {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => drop(tokio::spawn(serve(stream, traffic.clone(), handler.clone()))),
+            Ok((stream, _)) => drop(tokio::spawn(serve_connection(stream, traffic.clone(), handler.clone()))),
             Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
-/// Serves one connection. One that breaks concerns its gateway alone.
-async fn serve<H, F>(stream: TcpStream, traffic: Arc<Traffic>, handler: H)
+/// Serves one connection. Its errors are ignored, because a broken connection affects only its gateway.
+async fn serve_connection<H, F>(stream: TcpStream, traffic: Arc<Traffic>, handler: H)
 where
     H: Fn(Request<Incoming>) -> F,
     F: Future<Output = StubResponse>,
--- a/crates/scale-laboratory/src/real/traffic.rs
+++ b/crates/scale-laboratory/src/real/traffic.rs
@@ -1,4 +1,4 @@
-//! A connection that counts its bytes.
+//! Counts of the calls and bytes of stubs, and a TCP connection that counts its bytes.
 
 use std::io;
 use std::ops::{Add, Sub};
@@ -9,62 +9,61 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Calls and bytes that a stub has seen.
+/// Counters of a stub's calls and bytes, updated by all its connections.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// Calls.
     calls: AtomicU64,
-    /// Bytes both ways.
+    /// Bytes in both directions.
     bytes: AtomicU64,
 }
 
-/// Calls and bytes at one moment.
+/// Number of calls and bytes up to one moment, or between two.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TrafficCount {
-    /// Calls.
+pub struct TrafficTotals {
+    /// Number of calls.
     pub calls: u64,
-    /// Bytes both ways.
+    /// Bytes in both directions.
     pub bytes: u64,
 }
 
-impl Add for TrafficCount {
-    type Output = TrafficCount;
+impl Add for TrafficTotals {
+    type Output = TrafficTotals;
 
-    fn add(self, other: TrafficCount) -> TrafficCount {
-        TrafficCount { calls: self.calls + other.calls, bytes: self.bytes + other.bytes }
+    fn add(self, other: TrafficTotals) -> TrafficTotals {
+        TrafficTotals { calls: self.calls + other.calls, bytes: self.bytes + other.bytes }
     }
 }
 
-impl Sub for TrafficCount {
-    type Output = TrafficCount;
+impl Sub for TrafficTotals {
+    type Output = TrafficTotals;
 
-    fn sub(self, earlier: TrafficCount) -> TrafficCount {
-        TrafficCount { calls: self.calls - earlier.calls, bytes: self.bytes - earlier.bytes }
+    fn sub(self, earlier: TrafficTotals) -> TrafficTotals {
+        TrafficTotals { calls: self.calls - earlier.calls, bytes: self.bytes - earlier.bytes }
     }
 }
 
 impl Traffic {
-    /// A call came.
+    /// Counts a received call.
     pub fn record_call(&self) {
         self.calls.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Bytes were read or written.
+    /// Counts bytes read or written.
     fn record_bytes(&self, bytes: usize) {
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// What was counted so far.
-    pub fn count(&self) -> TrafficCount {
-        TrafficCount { calls: self.calls.load(Ordering::Relaxed), bytes: self.bytes.load(Ordering::Relaxed) }
+    /// Returns the calls and bytes counted so far.
+    pub fn totals(&self) -> TrafficTotals {
+        TrafficTotals { calls: self.calls.load(Ordering::Relaxed), bytes: self.bytes.load(Ordering::Relaxed) }
     }
 }
 
-/// A TCP connection whose bytes are counted.
+/// A TCP connection that counts its bytes.
 pub struct CountedStream {
-    /// The connection.
+    /// Underlying TCP connection.
     pub stream: TcpStream,
-    /// Where its bytes are counted.
+    /// Counters to which the bytes are added.
     pub traffic: Arc<Traffic>,
 }
 
