--- a/crates/scale-laboratory/tests/program.rs
+++ b/crates/scale-laboratory/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program: its exit codes, what it writes, and what it leaves behind.
+//! Tests of the program `grebehook-scale`: exit codes, written files and termination of its child processes.
 
 mod common;
 
@@ -11,18 +11,18 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Longest wait for an event; only a failing test waits so long.
+/// Longest wait for an event; a passing test does not wait this long.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Writes an experiment file; its path.
-fn write(folder: &TempDir, text: &str) -> String {
+/// Writes an experiment file and returns its path.
+fn write_experiment(folder: &TempDir, text: &str) -> String {
     let path = folder.path().join("small.toml");
     fs::write(&path, text).unwrap();
     path.to_string_lossy().into_owned()
 }
 
-/// Plays an experiment file, with its results in the folder.
-fn run(folder: &TempDir, file: &str) -> std::process::Output {
+/// Runs an experiment file, with results in the folder.
+fn run_experiment(folder: &TempDir, file: &str) -> std::process::Output {
     program(&["run", file, "--results", &folder.path().to_string_lossy()])
 }
 
@@ -30,18 +30,21 @@
 fn run_writes_results_tables_plots_and_metrics() {
     let folder = TempDir::new().unwrap();
     let sweep = "[sweep]\nparameter = \"gateways\"\nvalues = [2, 3, 4, 5, 6]\n";
-    let file = write(&folder, &text(&[("requests_per_second = 0.0", "requests_per_second = 100.0")], sweep));
-    let output = run(&folder, &file);
+    let file = write_experiment(
+        &folder,
+        &text(&[("requests_per_second = 0.0", "requests_per_second = 100.0")], sweep),
+    );
+    let output = run_experiment(&folder, &file);
     assert!(output.status.success(), "{}", standard_error(&output));
     let results = folder.path().join("small");
     assert_eq!(Run::read_complete(&results).unwrap().points.len(), 5);
     let tables = fs::read_to_string(results.join("report.md")).unwrap();
     assert!(tables.contains("| discovery-calls (calls) | 20 | 30 | 40 | 50 | 60 |"), "{tables}");
-    let json: serde_json::Value =
+    let report: serde_json::Value =
         serde_json::from_str(&fs::read_to_string(results.join("report.json")).unwrap()).unwrap();
-    let fits = json["fits"].as_array().unwrap();
-    let watches = fits.iter().find(|fit| fit["metric"] == "discovery-calls").unwrap();
-    assert_eq!(watches["line"]["slope"], 10.0);
+    let fits = report["fits"].as_array().unwrap();
+    let discovery_calls = fits.iter().find(|fit| fit["metric"] == "discovery-calls").unwrap();
+    assert_eq!(discovery_calls["line"]["slope"], 10.0);
     assert!(fs::read_to_string(results.join("plots/discovery-calls.svg")).unwrap().starts_with("<svg"));
     let metrics = fs::read_to_string(results.join("metrics.prom")).unwrap();
     let line =
@@ -50,7 +53,7 @@
 }
 
 #[test]
-fn invalid_use_exits_with_2_and_names_the_field() {
+fn invalid_input_exits_with_2_and_reports_the_field() {
     let folder = TempDir::new().unwrap();
     let cases = [
         (text(&[("gateways = 6", "gateways = 0")], ""), "fleet.gateways"),
@@ -66,14 +69,14 @@
             "MiB",
         ),
     ];
-    for (text, named) in cases {
-        let output = run(&folder, &write(&folder, &text));
+    for (text, reported) in cases {
+        let output = run_experiment(&folder, &write_experiment(&folder, &text));
         assert_eq!(output.status.code(), Some(2), "{}", standard_error(&output));
-        assert!(standard_error(&output).contains(named), "{}", standard_error(&output));
+        assert!(standard_error(&output).contains(reported), "{}", standard_error(&output));
     }
     assert_eq!(program(&["run", "no-such-file.toml"]).status.code(), Some(2));
     assert_eq!(program(&["fly"]).status.code(), Some(2));
-    let real = write(&folder, &text(&[("mode = \"hollow\"", "mode = \"real\"")], ""));
+    let real = write_experiment(&folder, &text(&[("mode = \"hollow\"", "mode = \"real\"")], ""));
     let output = program(&["run", &real, "--gateway-program", "no-such-program"]);
     assert_eq!(output.status.code(), Some(2));
     assert!(standard_error(&output).contains("--gateway-program"), "{}", standard_error(&output));
@@ -86,10 +89,10 @@
     assert_eq!(program(&["report", &missing.to_string_lossy()]).status.code(), Some(1));
     let fault = "[[fault]]\nkind = \"stop-answering\"\nat_seconds = 1.0\ngateway = 4\n\
                  [sweep]\nparameter = \"requests-per-second\"\nvalues = [0, 100]\n";
-    let output = run(&folder, &write(&folder, &text(&[], fault)));
+    let output = run_experiment(&folder, &write_experiment(&folder, &text(&[], fault)));
     assert_eq!(output.status.code(), Some(1), "{}", standard_error(&output));
     assert!(standard_error(&output).contains("gateway 4 stopped answering"), "{}", standard_error(&output));
-    // The point before the failure is kept, and a report on half a run is refused.
+    // The results keep the point measured before the failure; a report on an incomplete run is refused.
     let results = folder.path().join("small");
     let kept = Run::read(&results).unwrap();
     assert_eq!((kept.status, kept.points.len()), (RunStatus::Failed, 1));
@@ -101,7 +104,7 @@
 }
 
 #[test]
-fn list_names_the_built_in_experiments() {
+fn list_prints_the_built_in_experiments() {
     let output = program(&["list"]);
     assert!(output.status.success());
     let names = String::from_utf8(output.stdout).unwrap();
@@ -109,14 +112,14 @@
 }
 
 #[test]
-fn log_can_be_json() {
+fn json_log_format_writes_json_entries() {
     let output = program(&["--log-format", "json", "run", "no-such-file.toml"]);
     let line = standard_error(&output);
     let entry: serde_json::Value = serde_json::from_str(line.lines().next().unwrap()).unwrap();
     assert_eq!(entry["level"], "ERROR");
 }
 
-/// The gateway program of the same build, built if it is not there.
+/// Builds the gateway program in the target folder of this test, unless it is up to date. Returns its path.
 fn gateway_program() -> PathBuf {
     let status = Command::new(env!("CARGO"))
         .args(["build", "-p", "grebehook", "--bin", "grebehook", "--locked"])
@@ -124,12 +127,12 @@
         .status()
         .unwrap();
     assert!(status.success());
-    let scale = Path::new(env!("CARGO_BIN_EXE_grebehook-scale"));
-    scale.parent().unwrap().parent().unwrap().join("debug/grebehook")
+    let laboratory = Path::new(env!("CARGO_BIN_EXE_grebehook-scale"));
+    laboratory.parent().unwrap().parent().unwrap().join("debug/grebehook")
 }
 
-/// What turns the small hollow fleet into a real one.
-const REAL: &[(&str, &str)] = &[
+/// Replacements that turn the hollow experiment of `common::FLEET` into one in real mode.
+const REAL_MODE: &[(&str, &str)] = &[
     ("mode = \"hollow\"", "mode = \"real\""),
     ("gateways = 6", "gateways = 2"),
     ("requests_per_second = 0.0", "requests_per_second = 60.0\nconnections = 4"),
@@ -137,11 +140,11 @@
 ];
 
 #[test]
-fn gateway_processes_serve_and_end() {
+fn real_mode_measures_gateway_processes() {
     let folder = TempDir::new().unwrap();
     let faults = "[[fault]]\nkind = \"change-members\"\nat_seconds = 0.5\ncount = 2\n\
                   [[fault]]\nkind = \"change-configuration\"\nat_seconds = 1.0\n";
-    let file = write(&folder, &text(REAL, faults));
+    let file = write_experiment(&folder, &text(REAL_MODE, faults));
     let results = folder.path().to_string_lossy().into_owned();
     let gateway = gateway_program();
     let output =
@@ -161,30 +164,30 @@
     assert!(metric("resident") > 1e6, "{run:?}");
 }
 
-/// The processes that another one has started, by the parent named in `/proc`.
-fn children(parent: u32) -> Vec<u32> {
+/// Returns the ids of the processes whose parent, according to `/proc`, is the process `parent`.
+fn child_pids(parent: u32) -> Vec<u32> {
     let is_child = |pid: &u32| {
         let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
         fields.get(1) == Some(&parent.to_string().as_str())
     };
-    let entries = fs::read_dir("/proc").unwrap();
-    entries.filter_map(|entry| entry.ok()?.file_name().to_str()?.parse().ok()).filter(is_child).collect()
+    let processes = fs::read_dir("/proc").unwrap();
+    processes.filter_map(|entry| entry.ok()?.file_name().to_str()?.parse().ok()).filter(is_child).collect()
 }
 
-/// Waits until something is there.
-fn wait_for<T>(what: &str, mut seen: impl FnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+/// Polls until the value is present and returns it; panics after `EVENT_TIMEOUT`.
+fn wait_for<T>(event: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let started = Instant::now();
     loop {
-        if let Some(value) = seen() {
+        if let Some(value) = poll() {
             return value;
         }
-        assert!(begun.elapsed() < EVENT_TIMEOUT, "{what} never came");
+        assert!(started.elapsed() < EVENT_TIMEOUT, "no {event} within {EVENT_TIMEOUT:?}");
         sleep(Duration::from_millis(50));
     }
 }
 
-/// Interrupts a process, as from the terminal.
+/// Sends SIGINT to a process, as a terminal does on Ctrl-C.
 fn interrupt(child: &Child) {
     assert!(Command::new("kill").args(["-INT", &child.id().to_string()]).status().unwrap().success());
 }
@@ -192,20 +195,21 @@
 #[test]
 fn interrupted_run_leaves_no_process_and_keeps_its_results() {
     let folder = TempDir::new().unwrap();
-    let long = [REAL, &[("duration_seconds = 3.0", "duration_seconds = 300.0")]].concat();
-    let file = write(&folder, &text(&long, ""));
-    let mut scale = Command::new(env!("CARGO_BIN_EXE_grebehook-scale"))
+    let long_run = [REAL_MODE, &[("duration_seconds = 3.0", "duration_seconds = 300.0")]].concat();
+    let file = write_experiment(&folder, &text(&long_run, ""));
+    let mut laboratory = Command::new(env!("CARGO_BIN_EXE_grebehook-scale"))
         .args(["run", &file, "--results", &folder.path().to_string_lossy(), "--gateway-program"])
         .arg(gateway_program())
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let started =
-        wait_for("the second gateway", || Some(children(scale.id())).filter(|pids| pids.len() == 2));
-    interrupt(&scale);
-    let status = wait_for("the end", || scale.try_wait().unwrap());
+    let gateway_pids = wait_for("start of both gateways", || {
+        Some(child_pids(laboratory.id())).filter(|pids| pids.len() == 2)
+    });
+    interrupt(&laboratory);
+    let status = wait_for("end of the program", || laboratory.try_wait().unwrap());
     assert_eq!(status.code(), Some(1));
-    for pid in started {
+    for pid in gateway_pids {
         assert!(!Path::new(&format!("/proc/{pid}")).exists(), "gateway {pid} still runs");
     }
     let kept = Run::read(&folder.path().join("small")).unwrap();
