--- a/crates/scale-laboratory/src/catalog.rs
+++ b/crates/scale-laboratory/src/catalog.rs
@@ -1,33 +1,33 @@
-//! The experiments that are built into the program.
+//! Catalog of the experiments that are built into the program.
 
 /// An experiment that is built into the program.
-pub struct Shipped {
-    /// Its name.
+pub struct BuiltInExperiment {
+    /// Name of the experiment and of its file.
     pub name: &'static str,
-    /// Its file.
-    pub text: &'static str,
+    /// Content of the experiment file.
+    pub toml: &'static str,
 }
 
-impl Shipped {
-    /// Its name and description in one line.
-    pub fn line(&self) -> String {
-        let description = self.text.lines().find_map(|line| line.strip_prefix("description = "));
+impl BuiltInExperiment {
+    /// Returns the experiment's name and description on one line.
+    pub fn summary(&self) -> String {
+        let description = self.toml.lines().find_map(|line| line.strip_prefix("description = "));
         format!("{:<28}{}", self.name, description.unwrap_or_default().trim_matches('"'))
     }
 }
 
-/// The list of the experiments, each with the text of its file.
-macro_rules! shipped {
+/// Defines the catalog from the names of files in `experiments/`, and embeds their content.
+macro_rules! built_in_experiments {
     ($($name:literal),+ $(,)?) => {
-        /// All experiments that are built in.
-        pub const SHIPPED: &[Shipped] = &[$(Shipped {
+        /// All built-in experiments.
+        pub const BUILT_IN_EXPERIMENTS: &[BuiltInExperiment] = &[$(BuiltInExperiment {
             name: $name,
-            text: include_str!(concat!("../../../experiments/", $name, ".toml")),
+            toml: include_str!(concat!("../../../experiments/", $name, ".toml")),
         }),+];
     };
 }
 
-shipped!(
+built_in_experiments!(
     "quick",
     "core-gateways",
     "core-servers",
@@ -57,7 +57,7 @@
     "real-tenants",
 );
 
-/// The experiment of a name.
-pub fn find(name: &str) -> Option<&'static Shipped> {
-    SHIPPED.iter().find(|shipped| shipped.name == name)
+/// Returns the built-in experiment of a name, or `None` if there is none.
+pub fn find(name: &str) -> Option<&'static BuiltInExperiment> {
+    BUILT_IN_EXPERIMENTS.iter().find(|experiment| experiment.name == name)
 }
--- a/crates/scale-laboratory/src/cli.rs
+++ b/crates/scale-laboratory/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of `grebehook-scale`.
 
 use crate::capacity;
 use crate::catalog;
@@ -15,65 +15,65 @@
 #[derive(Debug, Parser)]
 #[command(name = "grebehook-scale", version, about)]
 pub struct Arguments {
-    /// Form of the log on standard error.
+    /// Format of the log on standard error.
     #[arg(long, value_enum, default_value_t = LogFormat::Text, global = true)]
     pub log_format: LogFormat,
-    /// What to do.
+    /// Command to execute.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// Form of the log.
+/// Format of log entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Human-readable lines.
     Text,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What to do.
+/// Commands of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Plays an experiment and writes its results, report and plots.
+    /// Runs an experiment and writes its results, report and plots.
     Run {
-        /// The experiment's file, or the name of one that ships.
+        /// Experiment file, or name of a built-in experiment.
         file: PathBuf,
-        /// Where to put the folder of results, which bears the experiment's name.
+        /// Folder in which the results folder, named after the experiment, is created.
         #[arg(long, default_value = "results/local")]
         results: PathBuf,
-        /// The gateway program of real experiments.
+        /// Gateway program that experiments in real mode start.
         #[arg(long, default_value = "target/release/grebehook")]
         gateway_program: PathBuf,
     },
-    /// Writes tables and plots for a folder of results, or for all folders in it.
+    /// Writes tables and plots for a results folder, or for every results folder directly in it.
     Report {
-        /// The folder.
+        /// Results folder, or folder that contains results folders.
         folder: PathBuf,
     },
-    /// Names the experiments that ship.
+    /// Lists the built-in experiments.
     List,
     /// Computes the capacity tables from committed results.
     Capacity {
-        /// The folder with the results of all scale runs, `before` and `after`.
+        /// Folder with the results of all scale runs, in subfolders `before` and, optionally, `after`.
         folder: PathBuf,
-        /// Replaces the tables between the markers of this page instead of printing them.
+        /// Page whose tables, between its markers, are replaced instead of printing the tables.
         #[arg(long)]
         page: Option<PathBuf>,
     },
 }
 
-/// Starts the log on standard error.
-pub fn start_log(format: LogFormat) {
+/// Initializes logging to standard error.
+pub fn init_logging(format: LogFormat) {
     let builder = tracing_subscriber::fmt().with_max_level(Level::INFO).with_writer(std::io::stderr);
-    // A second start, as in tests, leaves the first log in place.
+    // Repeated initialization, as in tests, fails and leaves the first subscriber in place.
     let _ = match format {
         LogFormat::Text => builder.with_ansi(false).try_init(),
         LogFormat::Json => builder.json().try_init(),
     };
 }
 
-/// Carries out a command.
+/// Executes a command; its output goes to standard output or to files.
 pub fn execute(command: Command) -> Result<()> {
     match command {
         Command::Run { file, results, gateway_program } => {
@@ -86,7 +86,7 @@
         }
         Command::Report { folder } => run_folders(&folder)?.iter().try_for_each(|run| report::write(run)),
         Command::List => {
-            catalog::SHIPPED.iter().for_each(|shipped| println!("{}", shipped.line()));
+            catalog::BUILT_IN_EXPERIMENTS.iter().for_each(|experiment| println!("{}", experiment.summary()));
             Ok(())
         }
         Command::Capacity { folder, page: Some(page) } => capacity::update_page(&folder, &page),
@@ -97,11 +97,11 @@
     }
 }
 
-/// Reads an experiment from a file, or a built-in one of this name where there is no such file.
+/// Reads an experiment file, or the built-in experiment of this name if the file does not exist.
 fn read_experiment(file: &Path) -> Result<Experiment> {
-    let shipped = catalog::find(&file.to_string_lossy());
-    match shipped {
-        Some(shipped) if !file.exists() => Experiment::parse(file, shipped.text),
+    let built_in = catalog::find(&file.to_string_lossy());
+    match built_in {
+        Some(built_in) if !file.exists() => Experiment::parse(file, built_in.toml),
         _ => Experiment::read(file),
     }
 }
--- a/crates/scale-laboratory/src/fit.rs
+++ b/crates/scale-laboratory/src/fit.rs
@@ -2,36 +2,36 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A measured point.
+/// Measured value at one size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[expect(clippy::min_ident_chars, reason = "the coordinates of a plane")]
 pub struct Sample {
-    /// The swept quantity.
+    /// Value of the swept quantity.
     pub x: f64,
-    /// The measured value.
+    /// Value of the metric.
     pub y: f64,
 }
 
-/// Fewest points that give a line.
+/// Fewest points that a line is fitted to.
 const MIN_POINTS: usize = 5;
 
-/// A line `intercept + slope * x` and how far the points lie from it.
+/// Least-squares line `intercept + slope * x` with its goodness of fit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// Growth for each unit of `x`.
+    /// Growth per unit of `x`.
     pub slope: f64,
-    /// Value at zero.
+    /// Value at `x = 0`.
     pub intercept: f64,
-    /// Root of the mean squared distance, with two degrees of freedom taken off.
+    /// Residual standard error: root of the mean squared residual, less two degrees of freedom.
     pub residual: f64,
-    /// Share of the variance that the line explains.
+    /// Coefficient of determination: share of the variance that the line explains.
     pub r_squared: f64,
-    /// Points that it rests on.
+    /// Number of fitted points.
     pub points: usize,
 }
 
 impl Line {
-    /// The line through these points; `None` if they are too few or all lie at one `x`.
+    /// Returns the line through the points, or `None` if they are fewer than five or all have the same `x`.
     pub fn through(points: &[Sample]) -> Option<Line> {
         if points.len() < MIN_POINTS {
             return None;
@@ -39,22 +39,24 @@
         let count = points.len() as f64;
         let mean_x = points.iter().map(|point| point.x).sum::<f64>() / count;
         let mean_y = points.iter().map(|point| point.y).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|point| (point.x - mean_x).powi(2)).sum();
-        if spread == 0.0 {
+        let x_squares: f64 = points.iter().map(|point| (point.x - mean_x).powi(2)).sum();
+        if x_squares == 0.0 {
             return None;
         }
-        let slope = points.iter().map(|point| (point.x - mean_x) * (point.y - mean_y)).sum::<f64>() / spread;
+        let slope =
+            points.iter().map(|point| (point.x - mean_x) * (point.y - mean_y)).sum::<f64>() / x_squares;
         let intercept = mean_y - slope * mean_x;
-        let squares: f64 = points.iter().map(|point| (point.y - intercept - slope * point.x).powi(2)).sum();
-        let variance: f64 = points.iter().map(|point| (point.y - mean_y).powi(2)).sum();
-        // Values that differ by rounding alone lie on the line.
-        let flat = variance <= f64::EPSILON * count * mean_y.powi(2);
-        let r_squared = if flat { 1.0 } else { 1.0 - squares / variance };
-        let residual = (squares / (count - 2.0)).sqrt();
+        let residual_squares: f64 =
+            points.iter().map(|point| (point.y - intercept - slope * point.x).powi(2)).sum();
+        let y_squares: f64 = points.iter().map(|point| (point.y - mean_y).powi(2)).sum();
+        // Values that differ only by rounding lie on the line.
+        let is_constant = y_squares <= f64::EPSILON * count * mean_y.powi(2);
+        let r_squared = if is_constant { 1.0 } else { 1.0 - residual_squares / y_squares };
+        let residual = (residual_squares / (count - 2.0)).sqrt();
         Some(Line { slope, intercept, residual, r_squared, points: points.len() })
     }
 
-    /// The line's value at a size.
+    /// Returns the line's value at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
--- a/crates/scale-laboratory/src/lib.rs
+++ b/crates/scale-laboratory/src/lib.rs
@@ -1,8 +1,8 @@
-//! The scale laboratory: experiments that show what the gateway costs as the fleet grows, and the capacity that
-//! follows from them.
+//! Scale laboratory: experiments that measure what resources the gateway needs as the fleet grows, and the
+//! capacity computed from their results.
 //!
-//! An experiment file names sizes, load and faults. It is played by one decision core (`core_cost`), by many hollow
-//! gateways on simulated time (`hollow`) or by gateway processes on loopback (`real`).
+//! An experiment file specifies sizes, load and faults. It is run by one decision core ([`core_cost`]), by
+//! many hollow gateways on simulated time ([`hollow`]) or by gateway processes on loopback ([`real`]).
 
 pub mod capacity;
 pub mod catalog;
--- a/crates/scale-laboratory/src/main.rs
+++ b/crates/scale-laboratory/src/main.rs
@@ -1,12 +1,12 @@
-//! `grebehook-scale`: plays scale experiments, reports on them and computes the capacity page's table.
+//! `grebehook-scale`: runs scale experiments, writes their reports and computes the capacity page's tables.
 
 use clap::Parser;
-use grebehook_scale_laboratory::cli::{execute, start_log, Arguments};
+use grebehook_scale_laboratory::cli::{execute, init_logging, Arguments};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    start_log(arguments.log_format);
+    init_logging(arguments.log_format);
     match execute(arguments.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/crates/scale-laboratory/src/progress.rs
+++ b/crates/scale-laboratory/src/progress.rs
@@ -1,20 +1,23 @@
-//! What a run shares with its watcher: steps of progress, and cancellation.
+//! Progress and cancellation, shared between a run and its watchdog.
 
 use crate::error::{LaboratoryError, Result};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// Shared between a run and its watcher.
+/// Progress counter and cancellation flag of a run; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// Steps so far.
+    /// Steps completed so far.
     steps: Arc<AtomicU64>,
-    /// The run is to end.
     cancelled: Arc<AtomicBool>,
 }
 
 impl Progress {
-    /// The run has made a step; fails if it is cancelled.
+    /// Records a completed step.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`LaboratoryError::Interrupted`] if the run is cancelled.
     pub fn step(&self) -> Result<()> {
         self.steps.fetch_add(1, Ordering::Relaxed);
         if self.cancelled.load(Ordering::Relaxed) {
@@ -23,12 +26,12 @@
         Ok(())
     }
 
-    /// Steps so far.
+    /// Returns the number of steps completed so far.
     pub fn steps(&self) -> u64 {
         self.steps.load(Ordering::Relaxed)
     }
 
-    /// Cancels the run.
+    /// Cancels the run at its next step.
     pub fn cancel(&self) {
         self.cancelled.store(true, Ordering::Relaxed);
     }
--- a/crates/scale-laboratory/src/runner.rs
+++ b/crates/scale-laboratory/src/runner.rs
@@ -1,4 +1,4 @@
-//! Plays an experiment point by point, keeps what was measured so far, and watches the run.
+//! Runs an experiment point by point, stores each point's results and aborts a run that makes no progress.
 
 use crate::error::{LaboratoryError, Result};
 use crate::experiment::{Experiment, Mode, SizedExperiment};
@@ -14,31 +14,31 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::time::interval;
 
-/// A run without any step for so long has failed.
+/// Longest time without a step of progress; a run that exceeds it fails.
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(120);
-/// How often the run's progress is checked.
+/// Interval between two checks of a run's progress.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a cancelled run may take to end what it started.
+/// Longest time that a cancelled run may take to stop what it started.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Where results go and what real experiments start.
+/// Results folder and gateway program of a run.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// The folder of the run.
+    /// Results folder of the run.
     pub folder: PathBuf,
-    /// The gateway program.
+    /// Gateway program, which real mode starts.
     pub gateway_program: PathBuf,
 }
 
-/// What the thread that plays the points reports.
+/// Report from the thread that measures the points.
 enum Message {
-    /// A point was measured.
+    /// Measurements of one point.
     Point(Point),
-    /// The run ended.
-    Ended(Result<()>),
+    /// Outcome of the run, sent last.
+    Finished(Result<()>),
 }
 
-/// Plays an experiment and writes its results.
+/// Runs an experiment and writes its results and metrics.
 pub fn run(experiment: Experiment, options: &RunOptions) -> Result<()> {
     check_estimate(&experiment)?;
     if experiment.mode == Mode::Real {
@@ -46,30 +46,31 @@
     }
     let mut run = Run::new(experiment);
     run.write(&options.folder)?;
-    let runtime = Runtime::new().map_err(|error| LaboratoryError::io("no runtime", error))?;
-    let ended = runtime.block_on(watch(&mut run, options));
-    // A hollow gateway that never returns must not keep the program from ending.
+    let runtime = Runtime::new()
+        .map_err(|error| LaboratoryError::io("cannot start the asynchronous runtime", error))?;
+    let outcome = runtime.block_on(supervise(&mut run, options));
+    // Does not wait for tasks: a hollow gateway that never returns must not keep the program from ending.
     runtime.shutdown_background();
-    run.status = if ended.is_ok() { RunStatus::Complete } else { RunStatus::Failed };
-    run.error = ended.as_ref().err().map(ToString::to_string);
+    run.status = if outcome.is_ok() { RunStatus::Complete } else { RunStatus::Failed };
+    run.error = outcome.as_ref().err().map(ToString::to_string);
     run.write(&options.folder)?;
     metrics::write(&run, &options.folder)?;
-    ended
+    outcome
 }
 
-/// Plays the points on a thread of their own, and watches it.
-async fn watch(run: &mut Run, options: &RunOptions) -> Result<()> {
+/// Measures the points on a thread of their own, stores what it reports, and handles signals and timeouts.
+async fn supervise(run: &mut Run, options: &RunOptions) -> Result<()> {
     let progress = Progress::default();
-    let mut messages = start(run, options, &progress);
-    let mut interrupt = listen(SignalKind::interrupt())?;
-    let mut terminate = listen(SignalKind::terminate())?;
+    let mut messages = spawn_measurements(run, options, &progress);
+    let mut interrupt = signal_stream(SignalKind::interrupt())?;
+    let mut terminate = signal_stream(SignalKind::terminate())?;
     let mut checks = interval(CHECK_INTERVAL);
     let mut watchdog = Watchdog::new(progress);
     loop {
         tokio::select! {
             message = messages.recv() => match message {
                 Some(Message::Point(point)) => add_point(run, point, &options.folder)?,
-                Some(Message::Ended(ended)) => return ended,
+                Some(Message::Finished(outcome)) => return outcome,
                 None => return Err(LaboratoryError::Panicked),
             },
             _ = interrupt.recv() => watchdog.cancel(),
@@ -79,25 +80,26 @@
     }
 }
 
-/// Starts the thread that plays the points.
-fn start(run: &Run, options: &RunOptions, progress: &Progress) -> UnboundedReceiver<Message> {
+/// Starts the thread that measures the points, and returns the receiver of its reports.
+fn spawn_measurements(run: &Run, options: &RunOptions, progress: &Progress) -> UnboundedReceiver<Message> {
     let (sender, messages) = unbounded_channel();
     let points = run.experiment.points();
     let progress = progress.clone();
     let program = options.gateway_program.clone();
     thread::spawn(move || {
-        let ended = play(&points, &program, &progress, |point| drop(sender.send(Message::Point(point))));
-        let _ = sender.send(Message::Ended(ended));
+        let outcome =
+            measure_points(&points, &program, &progress, |point| drop(sender.send(Message::Point(point))));
+        let _ = sender.send(Message::Finished(outcome));
     });
     messages
 }
 
-/// Listens to a signal.
-fn listen(kind: SignalKind) -> Result<Signal> {
-    signal(kind).map_err(|error| LaboratoryError::io("signals cannot be listened to", error))
+/// Returns the stream of a signal's deliveries.
+fn signal_stream(kind: SignalKind) -> Result<Signal> {
+    signal(kind).map_err(|error| LaboratoryError::io("cannot install a signal handler", error))
 }
 
-/// Adds a point to the results.
+/// Adds a point to the run and writes the results.
 fn add_point(run: &mut Run, point: Point, folder: &Path) -> Result<()> {
     run.points.push(point);
     let done = run.points.len();
@@ -106,17 +108,17 @@
     run.write(folder)
 }
 
-/// Plays all points.
-fn play(
+/// Measures all points and passes each to `report`.
+fn measure_points(
     points: &[SizedExperiment],
     program: &Path,
     progress: &Progress,
-    mut measured: impl FnMut(Point),
+    mut report: impl FnMut(Point),
 ) -> Result<()> {
     for SizedExperiment { size, experiment } in points {
-        tracing::info!(experiment = experiment.name, size, "measuring");
+        tracing::info!(experiment = experiment.name, size, "measuring a point");
         progress.step()?;
-        measured(match experiment.mode {
+        report(match experiment.mode {
             Mode::Core => core_cost::measure(experiment, *size, progress)?,
             Mode::Hollow => hollow::measure(experiment, *size, progress)?,
             Mode::Real => real::measure(experiment, *size, program, progress)?,
@@ -125,32 +127,32 @@
     Ok(())
 }
 
-/// Ends a run that makes no progress, or that does not end once it is cancelled.
+/// Detects a run that makes no progress, or that does not stop in time once it is cancelled.
 struct Watchdog {
-    /// Shared with the run.
+    /// Progress shared with the run.
     progress: Progress,
-    /// Its steps when they were last checked.
+    /// Number of steps at the last check.
     last_steps: u64,
-    /// When they last grew.
+    /// Time of the last check that found new steps.
     last_progress_at: Instant,
-    /// When the run was cancelled.
+    /// Time of the last cancellation.
     cancelled_at: Option<Instant>,
 }
 
 impl Watchdog {
-    /// A watchdog of a run that begins.
+    /// Creates the watchdog of a run that starts now.
     fn new(progress: Progress) -> Watchdog {
         Watchdog { progress, last_steps: 0, last_progress_at: Instant::now(), cancelled_at: None }
     }
 
-    /// Cancels the run.
+    /// Cancels the run and starts the timeout for its end.
     fn cancel(&mut self) {
-        tracing::warn!("interrupted; ending what was started");
+        tracing::warn!("run interrupted; stopping what it started");
         self.progress.cancel();
         self.cancelled_at = Some(Instant::now());
     }
 
-    /// Fails if the run has to be given up.
+    /// Returns an error if the run exceeded the time allowed without progress or after its cancellation.
     fn check(&mut self) -> Result<()> {
         if self.progress.steps() != self.last_steps {
             self.last_steps = self.progress.steps();
--- a/crates/scale-laboratory/tests/capacity.rs
+++ b/crates/scale-laboratory/tests/capacity.rs
@@ -1,13 +1,13 @@
-//! The capacity page and the committed results agree.
+//! Capacity page: its tables are those of the committed results.
 
 mod common;
 
-use common::{program, standard_error};
+use common::{run_program, standard_error};
 use std::fs;
 use std::path::PathBuf;
 use tempfile::TempDir;
 
-/// The root of the repository.
+/// Returns the root of the repository.
 fn root() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
@@ -20,9 +20,9 @@
     fs::write(&copy, &page).unwrap();
     let results = root().join("results");
     let arguments = ["capacity", &results.to_string_lossy(), "--page", &copy.to_string_lossy()];
-    let output = program(&arguments);
+    let output = run_program(&arguments);
     assert!(output.status.success(), "{}", standard_error(&output));
-    assert_eq!(fs::read_to_string(&copy).unwrap(), page, "make the page anew");
+    assert_eq!(fs::read_to_string(&copy).unwrap(), page, "docs/CAPACITY.md differs from the results");
 }
 
 #[test]
@@ -31,9 +31,10 @@
     let page = folder.path().join("page.md");
     fs::write(&page, "no tables here\n").unwrap();
     let results = root().join("results");
-    let bare = program(&["capacity", &results.to_string_lossy(), "--page", &page.to_string_lossy()]);
-    assert_eq!(bare.status.code(), Some(1), "{}", standard_error(&bare));
+    let without_markers =
+        run_program(&["capacity", &results.to_string_lossy(), "--page", &page.to_string_lossy()]);
+    assert_eq!(without_markers.status.code(), Some(1), "{}", standard_error(&without_markers));
     assert_eq!(fs::read_to_string(&page).unwrap(), "no tables here\n");
-    let empty = program(&["capacity", &folder.path().to_string_lossy()]);
-    assert_eq!(empty.status.code(), Some(1), "{}", standard_error(&empty));
+    let without_runs = run_program(&["capacity", &folder.path().to_string_lossy()]);
+    assert_eq!(without_runs.status.code(), Some(1), "{}", standard_error(&without_runs));
 }
--- a/crates/scale-laboratory/tests/common/mod.rs
+++ b/crates/scale-laboratory/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Experiments and runs of the program for the tests.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! Helpers that build and measure experiments and run the program.
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use grebehook_scale_laboratory::error::LaboratoryError;
 use grebehook_scale_laboratory::experiment::Experiment;
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::process::{Command, Output};
 
-/// A small hollow fleet: six gateways, two regions, no requests.
+/// Experiment file of a small hollow fleet: six gateways, two regions, no requests.
 pub const FLEET: &str = r#"
 name = "small"
 description = "A small fleet."
@@ -34,42 +34,45 @@
 quota_burst = 100.0
 "#;
 
-/// The small fleet with other lines in place of some of its own, and more at its end.
-pub fn text(changes: &[(&str, &str)], more: &str) -> String {
+/// Returns the experiment file of the small fleet after text replacements and with text appended.
+pub fn toml(replacements: &[(&str, &str)], appended: &str) -> String {
     let mut text = FLEET.to_owned();
-    for (from, to) in changes {
-        assert!(text.contains(from), "the fleet has no line '{from}'");
+    for (from, to) in replacements {
+        assert!(text.contains(from), "the small fleet's file does not contain '{from}'");
         text = text.replace(from, to);
     }
-    text + more
+    text + appended
 }
 
-/// Reads an experiment.
+/// Parses an experiment file.
 pub fn parse(text: &str) -> Result<Experiment, LaboratoryError> {
     Experiment::parse(Path::new("small.toml"), text)
 }
 
-/// Plays a hollow experiment of one size.
-pub fn play(text: &str) -> Point {
-    try_play(text).expect("the run succeeds")
+/// Measures a hollow experiment without a sweep.
+pub fn measure_point(text: &str) -> Point {
+    try_measure_point(text).expect("the hollow run succeeds")
 }
 
-/// The same where it may fail.
-pub fn try_play(text: &str) -> Result<Point, LaboratoryError> {
-    hollow::measure(&parse(text).expect("a sound experiment"), None, &Progress::default())
+/// Measures a hollow experiment without a sweep, which may fail.
+pub fn try_measure_point(text: &str) -> Result<Point, LaboratoryError> {
+    hollow::measure(&parse(text).expect("the experiment file is valid"), None, &Progress::default())
 }
 
-/// The value of a metric that was measured.
+/// Returns the value of a metric; panics if it was not measured.
 pub fn value(point: &Point, metric: Metric) -> f64 {
     point.metrics[&metric]
 }
 
-/// Runs the program.
-pub fn program(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_grebehook-scale")).args(arguments).output().expect("the program starts")
+/// Runs `grebehook-scale` until it exits.
+pub fn run_program(arguments: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_grebehook-scale"))
+        .args(arguments)
+        .output()
+        .expect("grebehook-scale starts")
 }
 
-/// What the program wrote to standard error.
+/// Returns what the program wrote to standard error.
 pub fn standard_error(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
--- a/crates/scale-laboratory/tests/core_cost.rs
+++ b/crates/scale-laboratory/tests/core_cost.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{parse, text, value};
+use common::{parse, toml, value};
 use grebehook_scale_laboratory::core_cost;
 use grebehook_scale_laboratory::metric::Metric;
 use grebehook_scale_laboratory::progress::Progress;
@@ -22,7 +22,7 @@
         ("tenants = 40", tenants.as_str()),
         ("requests_per_second = 0.0", "requests_per_second = 1000.0\ntimed_requests = 50"),
     ];
-    core_cost::measure(&parse(&text(&changes, "")).unwrap(), None, &Progress::default()).unwrap()
+    core_cost::measure(&parse(&toml(&changes, "")).unwrap(), None, &Progress::default()).unwrap()
 }
 
 /// One test, since the heap is that of the whole process.
--- a/crates/scale-laboratory/tests/experiment.rs
+++ b/crates/scale-laboratory/tests/experiment.rs
@@ -1,33 +1,44 @@
-//! Experiment files: what is refused, and the field that the refusal names.
+//! Validation of experiment files, and the catalog of built-in experiments.
 
 mod common;
 
-use common::{parse, text};
-use grebehook_scale_laboratory::catalog::SHIPPED;
+use common::{parse, toml};
+use grebehook_scale_laboratory::catalog::BUILT_IN_EXPERIMENTS;
 use grebehook_scale_laboratory::memory;
 
 #[test]
 fn error_names_the_invalid_field() {
     let cases = [
-        (text(&[("gateways = 6", "gateways = 0")], ""), "fleet.gateways"),
-        (text(&[("gateways = 6", "")], ""), "gateways"),
-        (text(&[("gateways = 6", "gateways = 6\ngatewayz = 1")], ""), "gatewayz"),
-        (text(&[("mode = \"hollow\"", "mode = \"full\"")], ""), "mode"),
-        (text(&[("duration_seconds = 6.0", "duration_seconds = 0.0")], ""), "load.duration_seconds"),
-        (text(&[("seed = 7", "seed = -7")], ""), "seed"),
-        (text(&[], "[sweep]\nparameter = \"servers\"\nvalues = []\n"), "sweep.values"),
-        (text(&[], "[sweep]\nparameter = \"servers\"\nvalues = [9, 3]\n"), "sweep.values"),
-        (text(&[], "[sweep]\nparameter = \"gateways\"\nvalues = [0, 3]\n"), "fleet.gateways"),
-        (text(&[], "[sweep]\nparameter = \"weather\"\nvalues = [1]\n"), "parameter"),
-        (text(&[], "[[fault]]\nkind = \"flood\"\nat_seconds = 1.0\n"), "kind"),
-        (text(&[], "[[fault]]\nkind = \"kill-gateways\"\nat_seconds = 1.0\nlasts_seconds = 1.0\ncount = 7\n"), "fault.count"),
-        (text(&[], "[[fault]]\nkind = \"change-configuration\"\nat_seconds = 9.0\n"), "fault.at_seconds"),
+        (toml(&[("gateways = 6", "gateways = 0")], ""), "fleet.gateways"),
+        (toml(&[("gateways = 6", "")], ""), "gateways"),
+        (toml(&[("gateways = 6", "gateways = 6\ngatewayz = 1")], ""), "gatewayz"),
+        (toml(&[("mode = \"hollow\"", "mode = \"full\"")], ""), "mode"),
+        (toml(&[("duration_seconds = 6.0", "duration_seconds = 0.0")], ""), "load.duration_seconds"),
+        (toml(&[("seed = 7", "seed = -7")], ""), "seed"),
+        (toml(&[], "[sweep]\nparameter = \"servers\"\nvalues = []\n"), "sweep.values"),
+        (toml(&[], "[sweep]\nparameter = \"servers\"\nvalues = [9, 3]\n"), "sweep.values"),
+        (toml(&[], "[sweep]\nparameter = \"gateways\"\nvalues = [0, 3]\n"), "fleet.gateways"),
+        (toml(&[], "[sweep]\nparameter = \"weather\"\nvalues = [1]\n"), "parameter"),
+        (toml(&[], "[[fault]]\nkind = \"flood\"\nat_seconds = 1.0\n"), "kind"),
         (
-            text(&[], "[[fault]]\nkind = \"lose\"\nat_seconds = 1.0\nlasts_seconds = 1.0\ndomain = \"rack\"\nindex = 8\n"),
+            toml(
+                &[],
+                "[[fault]]\nkind = \"kill-gateways\"\nat_seconds = 1.0\nlasts_seconds = 1.0\n\
+                 count = 7\n",
+            ),
+            "fault.count",
+        ),
+        (toml(&[], "[[fault]]\nkind = \"change-configuration\"\nat_seconds = 9.0\n"), "fault.at_seconds"),
+        (
+            toml(
+                &[],
+                "[[fault]]\nkind = \"lose\"\nat_seconds = 1.0\nlasts_seconds = 1.0\ndomain = \"rack\"\n\
+                 index = 8\n",
+            ),
             "fault.index",
         ),
         (
-            text(&[("mode = \"hollow\"", "mode = \"real\""), ("gateways = 6", "gateways = 151")], ""),
+            toml(&[("mode = \"hollow\"", "mode = \"real\""), ("gateways = 6", "gateways = 151")], ""),
             "fleet.gateways",
         ),
     ];
@@ -40,11 +51,11 @@
 
 #[test]
 fn sizes_beyond_half_of_the_memory_are_rejected() {
-    let vast = text(
+    let oversized = toml(
         &[("gateways = 6", "gateways = 2800"), ("servers_per_service = 24", "servers_per_service = 190000")],
         "",
     );
-    let error = memory::check_estimate(&parse(&vast).unwrap()).unwrap_err();
+    let error = memory::check_estimate(&parse(&oversized).unwrap()).unwrap_err();
     assert!(error.to_string().contains("half of this machine's memory"), "{error}");
     assert_eq!(error.exit_code(), 2);
 }
@@ -56,13 +67,13 @@
         .unwrap()
         .map(|entry| entry.unwrap().path().file_stem().unwrap().to_string_lossy().into_owned())
         .collect();
-    let mut listed: Vec<&str> = SHIPPED.iter().map(|shipped| shipped.name).collect();
+    let mut listed: Vec<&str> = BUILT_IN_EXPERIMENTS.iter().map(|experiment| experiment.name).collect();
     files.sort();
     listed.sort_unstable();
     assert_eq!(files, listed);
-    for shipped in SHIPPED {
-        let experiment = parse(shipped.text).unwrap_or_else(|error| panic!("{}: {error}", shipped.name));
-        assert_eq!(experiment.name, shipped.name);
+    for built_in in BUILT_IN_EXPERIMENTS {
+        let experiment = parse(built_in.toml).unwrap_or_else(|error| panic!("{}: {error}", built_in.name));
+        assert_eq!(experiment.name, built_in.name);
         memory::check_estimate(&experiment).unwrap();
     }
 }
--- a/crates/scale-laboratory/tests/hollow.rs
+++ b/crates/scale-laboratory/tests/hollow.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{play, text, try_play, value};
+use common::{measure_point, toml, try_measure_point, value};
 use grebehook_scale_laboratory::error::LaboratoryError;
 use grebehook_scale_laboratory::metric::Metric;
 
@@ -14,15 +14,15 @@
     let fault =
         "[[fault]]\nkind = \"lose\"\nat_seconds = 1.0\nlasts_seconds = 2.0\ndomain = \"zone\"\nindex = 1\n\
                  gateways_too = true\n";
-    let first = play(&text(&[REQUESTS], fault));
-    assert_eq!(first, play(&text(&[REQUESTS], fault)));
-    let other = play(&text(&[REQUESTS, ("seed = 7", "seed = 8")], fault));
+    let first = measure_point(&toml(&[REQUESTS], fault));
+    assert_eq!(first, measure_point(&toml(&[REQUESTS], fault)));
+    let other = measure_point(&toml(&[REQUESTS, ("seed = 7", "seed = 8")], fault));
     assert_ne!(first.metrics, other.metrics);
 }
 
 #[test]
 fn every_request_has_exactly_one_outcome() {
-    let point = play(&text(&[REQUESTS], ""));
+    let point = measure_point(&toml(&[REQUESTS], ""));
     let endings = [Metric::Served, Metric::Refused, Metric::Failed, Metric::Lost];
     let ended: f64 = endings.iter().map(|metric| value(&point, *metric)).sum();
     assert_eq!(ended, value(&point, Metric::Arrivals));
@@ -33,7 +33,7 @@
 /// A watch waits 600 ms: each gateway calls ten times in six seconds, and nothing else happens.
 #[test]
 fn idle_fleet_only_watches() {
-    let point = play(&text(&[], ""));
+    let point = measure_point(&toml(&[], ""));
     assert_eq!(value(&point, Metric::DiscoveryCalls), 60.0);
     assert_eq!(value(&point, Metric::CounterCalls), 0.0);
     assert_eq!(value(&point, Metric::RelayBytes), 0.0);
@@ -43,9 +43,9 @@
 
 #[test]
 fn change_is_sent_to_every_gateway_once() {
-    let idle = play(&text(&[], ""));
+    let idle = measure_point(&toml(&[], ""));
     let fault = "[[fault]]\nkind = \"change-members\"\nat_seconds = 1.0\ncount = 1\n";
-    let changed = play(&text(&[], fault));
+    let changed = measure_point(&toml(&[], fault));
     let body = value(&changed, Metric::RelayBytes) / 6.0;
     assert!((150.0..250.0).contains(&body) && body.fract() == 0.0, "{body} bytes of one entry");
     assert_eq!(value(&changed, Metric::GatewayEvents), value(&idle, Metric::GatewayEvents) + 6.0);
@@ -63,8 +63,8 @@
 
 #[test]
 fn restart_transfers_a_snapshot() {
-    let one = play(&text(&[("warm_up_seconds = 1.0", "warm_up_seconds = 1.0\nrestarts = 1")], ""));
-    let two = play(&text(&[("warm_up_seconds = 1.0", "warm_up_seconds = 1.0\nrestarts = 2")], ""));
+    let one = measure_point(&toml(&[("warm_up_seconds = 1.0", "warm_up_seconds = 1.0\nrestarts = 1")], ""));
+    let two = measure_point(&toml(&[("warm_up_seconds = 1.0", "warm_up_seconds = 1.0\nrestarts = 2")], ""));
     let endpoints: Vec<_> = (0..24).map(endpoint).collect();
     let list = serde_json::json!({"index": 1, "snapshot": true, "endpoints": endpoints});
     assert_eq!(value(&one, Metric::RelayBytes), list.to_string().len() as f64);
@@ -75,14 +75,14 @@
 fn change_arrives_once_discovery_recovers() {
     let faults = "[[fault]]\nkind = \"silence-discovery\"\nat_seconds = 0.5\nlasts_seconds = 3.0\n\
                   [[fault]]\nkind = \"change-members\"\nat_seconds = 1.0\ncount = 1\n";
-    let slowest = value(&play(&text(&[], faults)), Metric::ChangeInForce);
+    let slowest = value(&measure_point(&toml(&[], faults)), Metric::ChangeInForce);
     assert!((2_500.0..2_800.0).contains(&slowest), "{slowest} ms");
 }
 
 #[test]
 fn requests_are_lost_until_the_load_balancer_notices_a_killed_gateway() {
     let fault = "[[fault]]\nkind = \"kill-gateways\"\nat_seconds = 2.0\nlasts_seconds = 2.0\ncount = 1\n";
-    let point = play(&text(&[REQUESTS], fault));
+    let point = measure_point(&toml(&[REQUESTS], fault));
     let lost = value(&point, Metric::Lost);
     // A sixth of 300 requests a second for about a second.
     assert!((25.0..90.0).contains(&lost), "{lost} lost");
@@ -95,8 +95,8 @@
 fn partitioned_region_gets_no_counter_replies() {
     let fault =
         "[[fault]]\nkind = \"cut-regions\"\nat_seconds = 0.0\nlasts_seconds = 6.0\nfirst = 0\nsecond = 1\n";
-    let connected = play(&text(&[REQUESTS], ""));
-    let partitioned = play(&text(&[REQUESTS], fault));
+    let connected = measure_point(&toml(&[REQUESTS], ""));
+    let partitioned = measure_point(&toml(&[REQUESTS], fault));
     assert!(value(&partitioned, Metric::CounterBytes) < 0.8 * value(&connected, Metric::CounterBytes));
     assert!(value(&partitioned, Metric::Served) > 0.8 * value(&connected, Metric::Served));
 }
@@ -104,7 +104,7 @@
 #[test]
 fn stalled_gateway_fails_the_run() {
     let fault = "[[fault]]\nkind = \"stop-answering\"\nat_seconds = 1.0\ngateway = 2\n";
-    let error = try_play(&text(&[REQUESTS], fault)).unwrap_err();
+    let error = try_measure_point(&toml(&[REQUESTS], fault)).unwrap_err();
     assert!(matches!(error, LaboratoryError::GatewayStalled { gateway: 2, .. }), "{error}");
     assert_eq!(error.exit_code(), 1);
 }
--- a/crates/scale-laboratory/tests/program.rs
+++ b/crates/scale-laboratory/tests/program.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{program, standard_error, text};
+use common::{run_program, standard_error, toml};
 use grebehook_scale_laboratory::results::{Run, RunStatus};
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -23,14 +23,14 @@
 
 /// Plays an experiment file, with its results in the folder.
 fn run(folder: &TempDir, file: &str) -> std::process::Output {
-    program(&["run", file, "--results", &folder.path().to_string_lossy()])
+    run_program(&["run", file, "--results", &folder.path().to_string_lossy()])
 }
 
 #[test]
 fn run_writes_results_tables_plots_and_metrics() {
     let folder = TempDir::new().unwrap();
     let sweep = "[sweep]\nparameter = \"gateways\"\nvalues = [2, 3, 4, 5, 6]\n";
-    let file = write(&folder, &text(&[("requests_per_second = 0.0", "requests_per_second = 100.0")], sweep));
+    let file = write(&folder, &toml(&[("requests_per_second = 0.0", "requests_per_second = 100.0")], sweep));
     let output = run(&folder, &file);
     assert!(output.status.success(), "{}", standard_error(&output));
     let results = folder.path().join("small");
@@ -53,10 +53,10 @@
 fn invalid_use_exits_with_2_and_names_the_field() {
     let folder = TempDir::new().unwrap();
     let cases = [
-        (text(&[("gateways = 6", "gateways = 0")], ""), "fleet.gateways"),
-        (text(&[("seed = 7", "seed = \"seven\"")], ""), "seed"),
+        (toml(&[("gateways = 6", "gateways = 0")], ""), "fleet.gateways"),
+        (toml(&[("seed = 7", "seed = \"seven\"")], ""), "seed"),
         (
-            text(
+            toml(
                 &[
                     ("gateways = 6", "gateways = 2800"),
                     ("servers_per_service = 24", "servers_per_service = 190000"),
@@ -71,10 +71,10 @@
         assert_eq!(output.status.code(), Some(2), "{}", standard_error(&output));
         assert!(standard_error(&output).contains(named), "{}", standard_error(&output));
     }
-    assert_eq!(program(&["run", "no-such-file.toml"]).status.code(), Some(2));
-    assert_eq!(program(&["fly"]).status.code(), Some(2));
-    let real = write(&folder, &text(&[("mode = \"hollow\"", "mode = \"real\"")], ""));
-    let output = program(&["run", &real, "--gateway-program", "no-such-program"]);
+    assert_eq!(run_program(&["run", "no-such-file.toml"]).status.code(), Some(2));
+    assert_eq!(run_program(&["fly"]).status.code(), Some(2));
+    let real = write(&folder, &toml(&[("mode = \"hollow\"", "mode = \"real\"")], ""));
+    let output = run_program(&["run", &real, "--gateway-program", "no-such-program"]);
     assert_eq!(output.status.code(), Some(2));
     assert!(standard_error(&output).contains("--gateway-program"), "{}", standard_error(&output));
 }
@@ -83,26 +83,26 @@
 fn missing_and_incomplete_results_exit_with_1() {
     let folder = TempDir::new().unwrap();
     let missing = folder.path().join("missing");
-    assert_eq!(program(&["report", &missing.to_string_lossy()]).status.code(), Some(1));
+    assert_eq!(run_program(&["report", &missing.to_string_lossy()]).status.code(), Some(1));
     let fault = "[[fault]]\nkind = \"stop-answering\"\nat_seconds = 1.0\ngateway = 4\n\
                  [sweep]\nparameter = \"requests-per-second\"\nvalues = [0, 100]\n";
-    let output = run(&folder, &write(&folder, &text(&[], fault)));
+    let output = run(&folder, &write(&folder, &toml(&[], fault)));
     assert_eq!(output.status.code(), Some(1), "{}", standard_error(&output));
     assert!(standard_error(&output).contains("gateway 4 stopped answering"), "{}", standard_error(&output));
     // The point before the failure is kept, and a report on half a run is refused.
     let results = folder.path().join("small");
     let kept = Run::read(&results).unwrap();
     assert_eq!((kept.status, kept.points.len()), (RunStatus::Failed, 1));
-    let report = program(&["report", &results.to_string_lossy()]);
+    let report = run_program(&["report", &results.to_string_lossy()]);
     assert_eq!(report.status.code(), Some(1));
     assert!(standard_error(&report).contains("half written"), "{}", standard_error(&report));
     fs::write(results.join("run.json"), "{\"format\": 1, \"sta").unwrap();
-    assert_eq!(program(&["report", &results.to_string_lossy()]).status.code(), Some(1));
+    assert_eq!(run_program(&["report", &results.to_string_lossy()]).status.code(), Some(1));
 }
 
 #[test]
 fn list_names_the_built_in_experiments() {
-    let output = program(&["list"]);
+    let output = run_program(&["list"]);
     assert!(output.status.success());
     let names = String::from_utf8(output.stdout).unwrap();
     assert!(names.lines().any(|line| line.starts_with("quick ")), "{names}");
@@ -110,7 +110,7 @@
 
 #[test]
 fn log_can_be_json() {
-    let output = program(&["--log-format", "json", "run", "no-such-file.toml"]);
+    let output = run_program(&["--log-format", "json", "run", "no-such-file.toml"]);
     let line = standard_error(&output);
     let entry: serde_json::Value = serde_json::from_str(line.lines().next().unwrap()).unwrap();
     assert_eq!(entry["level"], "ERROR");
@@ -141,11 +141,11 @@
     let folder = TempDir::new().unwrap();
     let faults = "[[fault]]\nkind = \"change-members\"\nat_seconds = 0.5\ncount = 2\n\
                   [[fault]]\nkind = \"change-configuration\"\nat_seconds = 1.0\n";
-    let file = write(&folder, &text(REAL, faults));
+    let file = write(&folder, &toml(REAL, faults));
     let results = folder.path().to_string_lossy().into_owned();
     let gateway = gateway_program();
     let output =
-        program(&["run", &file, "--results", &results, "--gateway-program", &gateway.to_string_lossy()]);
+        run_program(&["run", &file, "--results", &results, "--gateway-program", &gateway.to_string_lossy()]);
     assert!(output.status.success(), "{}", standard_error(&output));
     let run = Run::read_complete(&folder.path().join("small")).unwrap();
     let metric = |name: &str| {
@@ -193,7 +193,7 @@
 fn interrupted_run_leaves_no_process_and_keeps_its_results() {
     let folder = TempDir::new().unwrap();
     let long = [REAL, &[("duration_seconds = 3.0", "duration_seconds = 300.0")]].concat();
-    let file = write(&folder, &text(&long, ""));
+    let file = write(&folder, &toml(&long, ""));
     let mut scale = Command::new(env!("CARGO_BIN_EXE_grebehook-scale"))
         .args(["run", &file, "--results", &folder.path().to_string_lossy(), "--gateway-program"])
         .arg(gateway_program())
