--- a/crates/scale-laboratory/src/experiment/fault.rs
+++ b/crates/scale-laboratory/src/experiment/fault.rs
@@ -14,122 +14,130 @@
     Region,
 }
 
-/// A fault. It begins `at_seconds` after the start of the measured time and is over `lasts_seconds` later.
+/// A fault that starts `at_seconds` into the measured time and ends `lasts_seconds` later.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Fault {
-    /// The first `count` gateways are killed, and started again at the end.
+    /// Kills the first `count` gateways and restarts them when the fault ends.
     KillGateways {
-        /// When it begins.
+        /// Start of the fault, in seconds of the measured time.
         at_seconds: f64,
-        /// How long it lasts.
+        /// Duration of the fault, in seconds.
         lasts_seconds: f64,
-        /// How many.
+        /// Number of gateways killed.
         count: usize,
     },
-    /// All servers of a domain stop without notice, and start again at the end.
-    Lose {
-        /// When it begins.
+    /// Stops all servers of a domain without notice and restarts them when the fault ends.
+    #[serde(rename = "lose")]
+    StopDomain {
+        /// Start of the fault, in seconds of the measured time.
         at_seconds: f64,
-        /// How long it lasts.
+        /// Duration of the fault, in seconds.
         lasts_seconds: f64,
-        /// The kind of domain.
+        /// Kind of the domain.
         domain: Domain,
-        /// Which one, from 0.
+        /// Index of the domain among those of its kind, from 0.
         index: usize,
-        /// Whether the gateways there stop as well.
-        #[serde(default)]
-        gateways_too: bool,
+        /// Whether the gateways of the domain stop as well.
+        #[serde(default, rename = "gateways_too")]
+        include_gateways: bool,
     },
-    /// The counter accepts calls and replies to none.
-    SilenceCounter {
-        /// When it begins.
+    /// Makes the shared counter accept calls without replying.
+    #[serde(rename = "silence-counter")]
+    StallCounter {
+        /// Start of the fault, in seconds of the measured time.
         at_seconds: f64,
-        /// How long it lasts.
+        /// Duration of the fault, in seconds.
         lasts_seconds: f64,
     },
-    /// Discovery answers no calls.
-    SilenceDiscovery {
-        /// When it begins.
+    /// Makes discovery leave calls unanswered.
+    #[serde(rename = "silence-discovery")]
+    StallDiscovery {
+        /// Start of the fault, in seconds of the measured time.
         at_seconds: f64,
-        /// How long it lasts.
+        /// Duration of the fault, in seconds.
         lasts_seconds: f64,
     },
-    /// The entries of the first `count` servers change at once.
-    ChangeMembers {
-        /// When it begins.
+    /// Changes the endpoint-list entries of the first `count` servers at once.
+    #[serde(rename = "change-members")]
+    ChangeEndpoints {
+        /// Start of the fault, in seconds of the measured time.
         at_seconds: f64,
-        /// How many.
+        /// Number of servers whose entries change.
         count: usize,
     },
-    /// A new configuration goes to all gateways: it names another address of the counter.
+    /// Sends all gateways a new configuration, with another address of the shared counter.
     ChangeConfiguration {
-        /// When it begins.
+        /// Start of the fault, in seconds of the measured time.
         at_seconds: f64,
     },
-    /// Two regions cannot reach each other; the counter and the origin of discovery are in region 0.
-    CutRegions {
-        /// When it begins.
+    /// Partitions the network between two regions. Region 0 holds the shared counter and discovery's origin.
+    #[serde(rename = "cut-regions")]
+    PartitionRegions {
+        /// Start of the fault, in seconds of the measured time.
         at_seconds: f64,
-        /// How long it lasts.
+        /// Duration of the fault, in seconds.
         lasts_seconds: f64,
-        /// One region.
+        /// Index of the first region.
         first: usize,
-        /// The other.
+        /// Index of the second region.
         second: usize,
     },
-    /// A gateway accepts requests and responds to none; the run has to fail.
-    StopAnswering {
-        /// When it begins.
+    /// Makes a gateway accept requests without responding; the run is expected to fail.
+    #[serde(rename = "stop-answering")]
+    StallGateway {
+        /// Start of the fault, in seconds of the measured time.
         at_seconds: f64,
-        /// Which gateway.
+        /// Index of the gateway.
         gateway: usize,
     },
 }
 
 impl Fault {
-    /// When it begins, in seconds.
+    /// Returns the start of the fault, in seconds of the measured time.
     pub fn at_seconds(&self) -> f64 {
         match self {
             Fault::KillGateways { at_seconds, .. }
-            | Fault::Lose { at_seconds, .. }
-            | Fault::SilenceCounter { at_seconds, .. }
-            | Fault::SilenceDiscovery { at_seconds, .. }
-            | Fault::ChangeMembers { at_seconds, .. }
+            | Fault::StopDomain { at_seconds, .. }
+            | Fault::StallCounter { at_seconds, .. }
+            | Fault::StallDiscovery { at_seconds, .. }
+            | Fault::ChangeEndpoints { at_seconds, .. }
             | Fault::ChangeConfiguration { at_seconds }
-            | Fault::CutRegions { at_seconds, .. }
-            | Fault::StopAnswering { at_seconds, .. } => *at_seconds,
+            | Fault::PartitionRegions { at_seconds, .. }
+            | Fault::StallGateway { at_seconds, .. } => *at_seconds,
         }
     }
 
-    /// How long it lasts, in seconds; 0 for one that is over at once.
+    /// Returns the duration of the fault in seconds, 0 for a fault that has no end.
     pub fn lasts_seconds(&self) -> f64 {
         match self {
             Fault::KillGateways { lasts_seconds, .. }
-            | Fault::Lose { lasts_seconds, .. }
-            | Fault::SilenceCounter { lasts_seconds, .. }
-            | Fault::SilenceDiscovery { lasts_seconds, .. }
-            | Fault::CutRegions { lasts_seconds, .. } => *lasts_seconds,
-            Fault::ChangeMembers { .. } | Fault::ChangeConfiguration { .. } | Fault::StopAnswering { .. } => {
-                0.0
-            }
+            | Fault::StopDomain { lasts_seconds, .. }
+            | Fault::StallCounter { lasts_seconds, .. }
+            | Fault::StallDiscovery { lasts_seconds, .. }
+            | Fault::PartitionRegions { lasts_seconds, .. } => *lasts_seconds,
+            Fault::ChangeEndpoints { .. }
+            | Fault::ChangeConfiguration { .. }
+            | Fault::StallGateway { .. } => 0.0,
         }
     }
 
-    /// A short name for tables.
+    /// Returns the fault's short name, as tables, results and logs show it.
     pub fn name(&self) -> String {
         match self {
             Fault::KillGateways { count, .. } => format!("kill {count} gateways"),
-            Fault::Lose { domain, gateways_too, .. } => {
-                let machines = if *gateways_too { "servers and gateways" } else { "servers" };
+            Fault::StopDomain { domain, include_gateways, .. } => {
+                let machines = if *include_gateways { "servers and gateways" } else { "servers" };
                 format!("lose a {} of {machines}", format!("{domain:?}").to_lowercase())
             }
-            Fault::SilenceCounter { .. } => "silence the counter".to_owned(),
-            Fault::SilenceDiscovery { .. } => "silence discovery".to_owned(),
-            Fault::ChangeMembers { count, .. } => format!("change {count} members"),
+            Fault::StallCounter { .. } => "silence the counter".to_owned(),
+            Fault::StallDiscovery { .. } => "silence discovery".to_owned(),
+            Fault::ChangeEndpoints { count, .. } => format!("change {count} members"),
             Fault::ChangeConfiguration { .. } => "change the configuration".to_owned(),
-            Fault::CutRegions { first, second, .. } => format!("cut region {first} from region {second}"),
-            Fault::StopAnswering { gateway, .. } => format!("gateway {gateway} stops answering"),
+            Fault::PartitionRegions { first, second, .. } => {
+                format!("cut region {first} from region {second}")
+            }
+            Fault::StallGateway { gateway, .. } => format!("gateway {gateway} stops answering"),
         }
     }
 }
--- a/crates/scale-laboratory/src/experiment/mod.rs
+++ b/crates/scale-laboratory/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! The experiment file: what is run, at which sizes, and which faults occur.
+//! The experiment file, which specifies the fleet, its load, the sizes to measure and the faults to inject.
 
 mod fault;
 mod sweep;
@@ -11,122 +11,122 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// What plays the part of a gateway.
+/// Way in which an experiment runs its gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// One decision core, timed event by event.
+    /// One decision core, whose events are timed one by one.
     Core,
-    /// Many decision cores and their control traffic on simulated time.
+    /// Hollow gateways: many decision cores and their control traffic on simulated time.
     Hollow,
-    /// Gateway processes on loopback.
+    /// Gateway processes on the loopback interface.
     Real,
 }
 
-/// An experiment, as its file gives it.
+/// Experiment as its file specifies it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name, also that of its results folder.
+    /// Name of the experiment and of its results folder.
     pub name: String,
-    /// One line on its purpose.
+    /// One-line statement of the purpose.
     pub description: String,
-    /// What plays the part of a gateway.
+    /// Way in which the gateways are run.
     pub mode: Mode,
-    /// Seed of all random numbers.
+    /// Seed of all random number generators.
     pub seed: u64,
-    /// Which quantity varies; none runs a single point.
+    /// Swept quantity and its values; `None` measures a single point.
     pub sweep: Option<Sweep>,
-    /// Sizes of the fleet.
+    /// Size and layout of the fleet.
     pub fleet: Fleet,
-    /// The clients' requests.
+    /// Load on the fleet.
     #[serde(default)]
     pub load: Load,
-    /// The servers' behaviour.
+    /// Behaviour of the servers.
     #[serde(default)]
     pub backend: Backend,
-    /// The discovery relay's behaviour.
+    /// Behaviour of the discovery relays.
     #[serde(default)]
     pub discovery: Discovery,
-    /// The shared counter's behaviour.
+    /// Behaviour of the shared counter.
     #[serde(default)]
     pub counter: CounterService,
-    /// Faults, in any order.
+    /// Faults to inject, in any order.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
 }
 
-/// Sizes of the fleet.
+/// Size and layout of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Gateways that run. In core mode only one runs, with settings for a fleet of this size.
+    /// Number of gateways. Core mode runs a single one, with settings for a fleet of this size.
     pub gateways: usize,
-    /// Services; the gateway lists the servers of all of them.
-    #[serde(default = "one")]
+    /// Number of services; the endpoint list covers the servers of all of them.
+    #[serde(default = "default_size")]
     pub services: usize,
-    /// Servers of each service.
+    /// Number of servers of each service.
     pub servers_per_service: usize,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: usize,
-    /// Gateways that serve each tenant.
-    #[serde(default = "one")]
+    /// Number of gateways that serve each tenant.
+    #[serde(default = "default_size")]
     pub gateways_per_tenant: usize,
-    /// Regions.
-    #[serde(default = "one")]
+    /// Number of regions.
+    #[serde(default = "default_size")]
     pub regions: usize,
-    /// Zones of each region.
-    #[serde(default = "one")]
+    /// Number of zones in each region.
+    #[serde(default = "default_size")]
     pub zones_per_region: usize,
-    /// Racks of each zone.
-    #[serde(default = "one")]
+    /// Number of racks in each zone.
+    #[serde(default = "default_size")]
     pub racks_per_zone: usize,
 }
 
-/// The default of sizes that are rarely given.
-fn one() -> usize {
+/// Returns the default of the optional fleet sizes.
+fn default_size() -> usize {
     1
 }
 
 impl Fleet {
-    /// Servers of all services.
+    /// Returns the number of servers of all services.
     pub fn servers(&self) -> usize {
         self.services.saturating_mul(self.servers_per_service)
     }
 
-    /// Racks of all zones.
+    /// Returns the number of racks in all zones.
     pub fn racks(&self) -> usize {
         self.regions.saturating_mul(self.zones_per_region).saturating_mul(self.racks_per_zone)
     }
 }
 
-/// The clients' requests.
+/// Clients' requests, and the changes and restarts scheduled besides them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Requests a second at all gateways together.
+    /// Requests per second at all gateways together.
     pub requests_per_second: f64,
-    /// Measured time of a point.
+    /// Measured time of a point, in seconds.
     pub duration_seconds: f64,
-    /// Time before that.
+    /// Warm-up time before the measured time, in seconds.
     pub warm_up_seconds: f64,
-    /// A tenant's quota, units a second.
+    /// Quota rate of each tenant, in units per second.
     pub quota_rate: f64,
-    /// Units that a tenant's token bucket holds at most.
+    /// Capacity of each tenant's token bucket, in units.
     pub quota_burst: f64,
-    /// Tenants that share `hot_share` of the requests.
+    /// Number of tenants that send `hot_share` of the requests.
     pub hot_tenants: usize,
-    /// Part of the requests that the hot tenants send.
+    /// Share of the requests that the hot tenants send, from 0 to 1.
     pub hot_share: f64,
-    /// Client connections to the gateways; real mode only.
+    /// Number of client connections to the gateways; real mode only.
     pub connections: usize,
-    /// Changes of one server's entry, at random times of the measured time.
+    /// Number of endpoint changes, each of one server at a random moment of the measured time.
     pub changes: usize,
-    /// Changes of the configuration, at random times of the measured time; hollow mode only.
+    /// Number of configuration changes at random moments of the measured time; hollow mode only.
     pub configurations: usize,
-    /// Gateways killed and started again one after another, spread evenly over the measured time.
+    /// Number of gateway restarts (kill and start), spread evenly over the measured time.
     pub restarts: usize,
-    /// Requests timed at each size; core mode only.
+    /// Number of requests in a timed batch; core mode only.
     pub timed_requests: usize,
 }
 
@@ -149,15 +149,15 @@
     }
 }
 
-/// The servers' behaviour.
+/// Behaviour of the servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Backend {
-    /// Mean service time.
+    /// Mean service time, in milliseconds.
     pub service_milliseconds: f64,
-    /// Requests that a server works on at once.
+    /// Number of requests that a server processes concurrently.
     pub concurrency: usize,
-    /// Requests that may wait for that; further ones are rejected.
+    /// Capacity of a server's request queue; requests beyond it are rejected.
     pub queue: usize,
 }
 
@@ -167,17 +167,17 @@
     }
 }
 
-/// The discovery relay's behaviour.
+/// Behaviour of the discovery relays.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// From the origin to a relay of another region.
+    /// Round-trip time between regions, as from the origin to a relay of another region, in milliseconds.
     pub region_milliseconds: f64,
-    /// Most time a relay takes to pass a change to an agent; drawn evenly from zero.
+    /// Longest delay of a change between relay and agent, in milliseconds; delays are uniform from 0.
     pub relay_milliseconds: f64,
-    /// Time until discovery notices that a server stopped.
+    /// Time until discovery detects that a server has stopped, in milliseconds.
     pub notice_milliseconds: f64,
-    /// Changes a relay keeps; an agent further behind is sent a snapshot.
+    /// Number of changes that a relay retains; an agent further behind receives a snapshot.
     pub history: usize,
 }
 
@@ -192,17 +192,17 @@
     }
 }
 
-/// The shared counter's behaviour.
+/// Behaviour of the shared counter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CounterService {
-    /// Whether there is one.
+    /// Whether the fleet has a shared counter.
     pub enabled: bool,
-    /// Calls a second that it can take.
+    /// Calls per second that the counter can process.
     pub capacity_per_second: f64,
-    /// Time of a call without a queue.
+    /// Latency of a call without queueing, in milliseconds.
     pub latency_milliseconds: f64,
-    /// A gateway gives up a call after this time.
+    /// Timeout of a gateway's call, in milliseconds.
     pub limit_milliseconds: f64,
 }
 
@@ -218,14 +218,14 @@
 }
 
 impl Experiment {
-    /// Reads and checks a file.
+    /// Reads an experiment file and validates it at each of its sizes.
     pub fn read(path: &Path) -> Result<Experiment> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| LaboratoryError::UnreadableFile { path: path.to_owned(), source })?;
         Experiment::parse(path, &text)
     }
 
-    /// Reads and checks the text of a file.
+    /// Parses the text of an experiment file and validates it at each of its sizes; errors name `path`.
     pub fn parse(path: &Path, text: &str) -> Result<Experiment> {
         let experiment: Experiment = toml::from_str(text).map_err(|source| {
             LaboratoryError::MalformedFile { path: path.to_owned(), source: Box::new(source) }
@@ -237,20 +237,20 @@
         Ok(experiment)
     }
 
-    /// The experiment at each of its sizes.
+    /// Returns the experiment at each of its sizes.
     pub fn points(&self) -> Vec<SizedExperiment> {
         match &self.sweep {
             None => vec![SizedExperiment { size: None, experiment: self.clone() }],
-            Some(sweep) => sweep.values.iter().map(|size| sweep.at(*size, self)).collect(),
+            Some(sweep) => sweep.values.iter().map(|size| sweep.apply(*size, self)).collect(),
         }
     }
 }
 
-/// An experiment at one size of its sweep.
+/// Experiment at one size of its sweep.
 #[derive(Clone, Debug)]
 pub struct SizedExperiment {
-    /// The swept quantity's value.
+    /// Value of the swept quantity; `None` without a sweep.
     pub size: Option<u64>,
-    /// The experiment with this value in place.
+    /// Experiment with this value applied.
     pub experiment: Experiment,
 }
--- a/crates/scale-laboratory/src/experiment/sweep.rs
+++ b/crates/scale-laboratory/src/experiment/sweep.rs
@@ -1,30 +1,30 @@
-//! The quantity that varies from one point of an experiment to the next.
+//! Sweep over a quantity, which takes another value at each point of an experiment.
 
 use super::{Experiment, SizedExperiment};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What can be swept.
+/// Quantity that can be swept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Parameter {
-    /// Gateways of the fleet.
+    /// Number of gateways.
     Gateways,
-    /// Services, each with `servers_per_service` servers.
+    /// Number of services, each with `servers_per_service` servers.
     Services,
-    /// Servers of a single service.
+    /// Number of servers of a single service.
     Servers,
-    /// Tenants.
+    /// Number of tenants.
     Tenants,
-    /// Requests a second at all gateways together.
+    /// Requests per second at all gateways together.
     RequestsPerSecond,
-    /// Client connections.
+    /// Number of client connections.
     Connections,
-    /// Changes of one server's entry within the measured time.
+    /// Number of endpoint changes within the measured time, each of one server.
     Changes,
-    /// Changes of the configuration within the measured time.
+    /// Number of configuration changes within the measured time.
     Configurations,
-    /// Gateways restarted within the measured time.
+    /// Number of gateway restarts within the measured time.
     Restarts,
 }
 
@@ -44,19 +44,19 @@
     }
 }
 
-/// A quantity and the values that it takes.
+/// Swept quantity and the values that it takes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
-    /// The quantity.
+    /// Quantity that varies.
     pub parameter: Parameter,
-    /// Its values, one point each.
+    /// Values in ascending order; each yields one point.
     pub values: Vec<u64>,
 }
 
 impl Sweep {
-    /// An experiment with one value of the quantity in place.
-    pub fn at(&self, size: u64, base: &Experiment) -> SizedExperiment {
+    /// Returns an experiment with one value of the quantity applied.
+    pub fn apply(&self, size: u64, base: &Experiment) -> SizedExperiment {
         let mut experiment = base.clone();
         let count = size as usize;
         let fleet = &mut experiment.fleet;
--- a/crates/scale-laboratory/src/hollow/faults.rs
+++ b/crates/scale-laboratory/src/hollow/faults.rs
@@ -56,13 +56,17 @@
         tracing::info!(fault = fault.name(), "fault begins");
         match fault {
             Fault::KillGateways { count, .. } => (0..count).for_each(|gateway| self.kill_gateway(gateway)),
-            Fault::Lose { domain, index, gateways_too, .. } => self.lose(domain, index, gateways_too),
-            Fault::SilenceCounter { .. } => self.counter.set_silent(true),
-            Fault::SilenceDiscovery { .. } => self.discovery_silent = true,
-            Fault::ChangeMembers { count, .. } => self.restart_servers(&Vec::from_iter(0..count)),
+            Fault::StopDomain { domain, index, include_gateways, .. } => {
+                self.lose(domain, index, include_gateways);
+            }
+            Fault::StallCounter { .. } => self.counter.set_silent(true),
+            Fault::StallDiscovery { .. } => self.discovery_silent = true,
+            Fault::ChangeEndpoints { count, .. } => self.restart_servers(&Vec::from_iter(0..count)),
             Fault::ChangeConfiguration { .. } => self.publish_configuration(),
-            Fault::CutRegions { first, second, .. } => self.network.set_partitioned(first, second, true),
-            Fault::StopAnswering { gateway, .. } => self.gateways[gateway].stalled = true,
+            Fault::PartitionRegions { first, second, .. } => {
+                self.network.set_partitioned(first, second, true);
+            }
+            Fault::StallGateway { gateway, .. } => self.gateways[gateway].stalled = true,
         }
     }
 
@@ -72,18 +76,21 @@
         tracing::info!(fault = fault.name(), "fault ends");
         match fault {
             Fault::KillGateways { count, .. } => self.schedule_starts(0..count),
-            Fault::Lose { domain, index, gateways_too, .. } => self.restore(domain, index, gateways_too),
-            Fault::SilenceCounter { .. } => self.counter.set_silent(false),
-            Fault::SilenceDiscovery { .. } => {
+            Fault::StopDomain { domain, index, include_gateways, .. } => {
+                self.restore(domain, index, include_gateways);
+            }
+            Fault::StallCounter { .. } => self.counter.set_silent(false),
+            Fault::StallDiscovery { .. } => {
                 self.discovery_silent = false;
                 self.resend_to_agents();
             }
-            Fault::CutRegions { first, second, .. } => {
+            Fault::PartitionRegions { first, second, .. } => {
                 self.network.set_partitioned(first, second, false);
                 self.resend_to_agents();
             }
-            Fault::ChangeMembers { .. } | Fault::ChangeConfiguration { .. } | Fault::StopAnswering { .. } => {
-            }
+            Fault::ChangeEndpoints { .. }
+            | Fault::ChangeConfiguration { .. }
+            | Fault::StallGateway { .. } => {}
         }
     }
 
--- a/crates/scale-laboratory/src/real/schedule.rs
+++ b/crates/scale-laboratory/src/real/schedule.rs
@@ -98,30 +98,30 @@
     let ends = begins + fault.lasts_seconds();
     match *fault {
         Fault::KillGateways { count, .. } => restart(begins, ends, (0..count).collect()),
-        Fault::Lose { domain, index, gateways_too, .. } => {
+        Fault::StopDomain { domain, index, include_gateways, .. } => {
             let noticed = begins + experiment.discovery.notice_milliseconds / 1e3;
             let mut steps = vec![
                 Step::new(begins, FaultAction::StopServers { domain, index }),
                 Step::new(noticed.min(ends), FaultAction::PublishStop { domain, index }),
                 Step::new(ends, FaultAction::RestoreServers { domain, index }),
             ];
-            if gateways_too {
+            if include_gateways {
                 steps.extend(restart(begins, ends, gateways_in(experiment, domain, index)));
             }
             steps
         }
-        Fault::SilenceCounter { .. } => vec![
+        Fault::StallCounter { .. } => vec![
             Step::new(begins, FaultAction::SilenceCounter(true)),
             Step::new(ends, FaultAction::SilenceCounter(false)),
         ],
-        Fault::SilenceDiscovery { .. } => vec![
+        Fault::StallDiscovery { .. } => vec![
             Step::new(begins, FaultAction::SilenceDiscovery(true)),
             Step::new(ends, FaultAction::SilenceDiscovery(false)),
         ],
-        Fault::ChangeMembers { count, .. } => vec![Step::new(begins, FaultAction::ChangeEndpoints(count))],
+        Fault::ChangeEndpoints { count, .. } => vec![Step::new(begins, FaultAction::ChangeEndpoints(count))],
         Fault::ChangeConfiguration { .. } => vec![Step::new(begins, FaultAction::ChangeConfiguration)],
         // The check of the experiment refuses these in a real run.
-        Fault::CutRegions { .. } | Fault::StopAnswering { .. } => Vec::new(),
+        Fault::PartitionRegions { .. } | Fault::StallGateway { .. } => Vec::new(),
     }
 }
 
