--- a/crates/scale-laboratory/src/capacity/cells.rs
+++ b/crates/scale-laboratory/src/capacity/cells.rs
@@ -1,9 +1,9 @@
-//! Cells of the tables that may be empty.
+//! Table cells of values that may be missing.
 
-/// A cell of something that was not measured.
+/// Content of the cell of a value that was not measured.
 pub const MISSING: &str = "–";
 
-/// A cell of something that may not have been measured.
+/// Returns the content of a cell, or [`MISSING`] if the value was not measured.
 pub fn or_missing(cell: Option<String>) -> String {
     cell.unwrap_or_else(|| MISSING.to_owned())
 }
--- a/crates/scale-laboratory/src/capacity/mod.rs
+++ b/crates/scale-laboratory/src/capacity/mod.rs
@@ -1,5 +1,6 @@
-//! The capacity page's tables, computed from committed results: what each role needs at the target size, beside its
-//! budget; the slopes that this rests on; and what faults cost.
+//! Tables of the capacity page, computed from committed results: the resource needs of each role at the
+//! target size beside their budgets, the measured slopes that they are extrapolated from, and the requests
+//! that faults cost.
 
 mod cells;
 mod fault_table;
@@ -16,7 +17,7 @@
 use run_set::RunSets;
 use std::path::Path;
 
-/// All tables as Markdown.
+/// Returns all tables as Markdown, computed from the results in a folder.
 pub fn tables(folder: &Path) -> Result<String> {
     let sets = RunSets::read(folder)?;
     let parts = [
@@ -29,7 +30,7 @@
     Ok(parts.join("\n"))
 }
 
-/// Replaces the tables of a page by those of the results.
+/// Replaces the tables of a page with those computed from the results in a folder.
 pub fn update_page(folder: &Path, page: &Path) -> Result<()> {
     page::replace_tables(page, &tables(folder)?)
 }
--- a/crates/scale-laboratory/src/capacity/need.rs
+++ b/crates/scale-laboratory/src/capacity/need.rs
@@ -1,78 +1,77 @@
-//! How a figure of a role follows from measured slopes.
+//! Resource needs of a role, extrapolated from measured slopes.
 
 use super::run_set::{RunSet, Slope};
 use crate::metric::Metric;
 
-/// What a figure takes of a slope's line.
+/// Way in which a slope's line is evaluated.
 #[derive(Clone, Copy, Debug)]
 enum Evaluation {
-    /// Its value at a size.
-    At,
-    /// Its growth over a size.
+    /// Value of the line at a size.
+    Value,
+    /// Growth of the line over a size, without its intercept.
     Growth,
 }
 
-/// A slope and its contribution to a figure.
+/// Contribution of one slope to a need.
 #[derive(Clone, Copy, Debug)]
 pub struct Contribution {
-    /// The slope.
+    /// Slope whose line is evaluated.
     pub slope: Slope,
-    /// What is taken of its line.
+    /// Way in which the line is evaluated.
     evaluation: Evaluation,
-    /// The size at which, or over which, the line is taken.
+    /// Size at which, or over which, the line is evaluated.
     size: f64,
-    /// Multiplier on that.
+    /// Multiplier of the result.
     factor: f64,
 }
 
-/// A line's value at a size, times a factor.
-pub const fn at(experiment: &'static str, metric: Metric, size: f64, factor: f64) -> Contribution {
-    Contribution { slope: Slope { experiment, metric }, evaluation: Evaluation::At, size, factor }
+/// Creates a contribution of a line's value at a size, times a factor.
+pub const fn value_at(experiment: &'static str, metric: Metric, size: f64, factor: f64) -> Contribution {
+    Contribution { slope: Slope { experiment, metric }, evaluation: Evaluation::Value, size, factor }
 }
 
-/// A line's growth over a size, times a factor.
-pub const fn growth(experiment: &'static str, metric: Metric, size: f64, factor: f64) -> Contribution {
+/// Creates a contribution of a line's growth over a size, times a factor.
+pub const fn growth_over(experiment: &'static str, metric: Metric, size: f64, factor: f64) -> Contribution {
     Contribution { slope: Slope { experiment, metric }, evaluation: Evaluation::Growth, size, factor }
 }
 
 impl Contribution {
-    /// So many times this contribution.
-    pub const fn times(self, factor: f64) -> Contribution {
+    /// Returns this contribution multiplied by a factor.
+    pub const fn scaled(self, factor: f64) -> Contribution {
         Contribution { factor: self.factor * factor, ..self }
     }
 
-    /// The contribution; `None` if the slope was not measured.
+    /// Returns the value of the contribution, or `None` if the slope was not measured.
     fn value(&self, runs: &RunSet) -> Option<f64> {
         let line = runs.line(self.slope)?;
         Some(match self.evaluation {
-            Evaluation::At => line.at(self.size) * self.factor,
+            Evaluation::Value => line.at(self.size) * self.factor,
             Evaluation::Growth => line.slope * self.size * self.factor,
         })
     }
 
-    /// The size, as a multiple of the largest that was measured.
+    /// Returns the ratio of the size to the largest measured size, or `None` if the slope was not measured.
     fn extrapolation(&self, runs: &RunSet) -> Option<f64> {
         Some(self.size / runs.largest_size(self.slope)?)
     }
 }
 
-/// A machine or process whose needs are computed.
+/// Machine or process whose needs are computed.
 #[derive(Clone, Copy, Debug)]
 pub enum Role {
-    /// A gateway.
     Gateway,
-    /// A gateway's discovery agent.
+    /// Discovery agent of a gateway.
     DiscoveryAgent,
-    /// A machine that serves discovery and the counter to gateways.
+    /// Machine that serves discovery and the shared counter to gateways.
     ControlMachine,
-    /// A part of the shared counter.
+    /// Shard of the shared counter.
     CounterShard,
-    /// A server.
+    /// Server of the back end.
     Server,
 }
 
 impl Role {
-    /// Its name in tables.
+    /// Returns the role's name in tables.
     pub fn name(self) -> &'static str {
         match self {
             Role::Gateway => "gateway",
@@ -84,23 +83,23 @@
     }
 }
 
-/// A figure of a role.
+/// Amount of a resource that a role needs at the target size.
 #[derive(Clone, Copy, Debug)]
 pub struct Need {
-    /// The role.
+    /// Role that has the need.
     pub role: Role,
-    /// The quantity.
+    /// Description of the quantity.
     pub quantity: &'static str,
-    /// Its unit.
+    /// Unit of the quantity and its budget.
     pub unit: &'static str,
-    /// The budget; `None` if the operators name none.
+    /// Budget; `None` if the operators specify none.
     pub budget: Option<f64>,
-    /// What it is the sum of.
+    /// Contributions whose sum is the need.
     pub contributions: &'static [Contribution],
 }
 
 impl Need {
-    /// A figure without a budget.
+    /// Creates a need without a budget.
     pub const fn new(
         role: Role,
         quantity: &'static str,
@@ -110,17 +109,18 @@
         Need { role, quantity, unit, budget: None, contributions }
     }
 
-    /// The same figure with a budget.
-    pub const fn within(self, budget: f64) -> Need {
+    /// Sets the budget, in the unit of the need.
+    pub const fn with_budget(self, budget: f64) -> Need {
         Need { budget: Some(budget), ..self }
     }
 
-    /// The figure; `None` if a slope was not measured.
+    /// Returns the amount needed, or `None` if a slope was not measured.
     pub fn value(&self, runs: &RunSet) -> Option<f64> {
         self.contributions.iter().map(|contribution| contribution.value(runs)).sum()
     }
 
-    /// How far its sizes lie beyond the measured ones, by the worst of them; 1 or less lies within.
+    /// Returns the largest ratio of a contribution's size to its largest measured size, or `None` if a slope
+    /// was not measured. Ratios up to 1 lie within the measured sizes.
     pub fn extrapolation(&self, runs: &RunSet) -> Option<f64> {
         let extrapolations = self.contributions.iter().map(|contribution| contribution.extrapolation(runs));
         extrapolations.collect::<Option<Vec<f64>>>()?.into_iter().reduce(f64::max)
--- a/crates/scale-laboratory/src/capacity/need_table.rs
+++ b/crates/scale-laboratory/src/capacity/need_table.rs
@@ -1,17 +1,18 @@
-//! The table of needs beside budgets.
+//! Table of resource needs beside their budgets.
 
 use super::cells::{or_missing, MISSING};
 use super::need::Need;
 use super::needs::NEEDS;
 use super::run_set::{RunSet, RunSets};
 use crate::error::Result;
-use crate::report::number;
+use crate::report::format_number;
 use std::fmt::Write;
 
-/// The table as Markdown.
+/// Returns the table as Markdown, or an error if a slope was not measured.
 pub fn markdown(sets: &RunSets) -> Result<String> {
     let mut text = String::from(
-        "| role | quantity | unit | budget | before | ratio | after | ratio | beyond the largest measured | slopes |\n\
+        "| role | quantity | unit | budget | before | ratio | after | ratio | beyond the largest measured \
+         | slopes |\n\
          |---|---|---|---:|---:|---:|---:|---:|---:|---|\n",
     );
     for need in NEEDS {
@@ -23,7 +24,6 @@
     Ok(text)
 }
 
-/// The row of a need.
 fn row(need: &Need, sets: &RunSets) -> String {
     let extrapolation = need.extrapolation(sets.latest()).or_else(|| need.extrapolation(&sets.before));
     let slopes: Vec<String> =
@@ -32,7 +32,7 @@
         need.role.name().to_owned(),
         need.quantity.to_owned(),
         need.unit.to_owned(),
-        or_missing(need.budget.map(number)),
+        or_missing(need.budget.map(format_number)),
         value_and_ratio(need, Some(&sets.before)),
         value_and_ratio(need, sets.after.as_ref()),
         or_missing(extrapolation.map(extrapolation_text)),
@@ -41,14 +41,14 @@
     format!("| {} |", cells.join(" | "))
 }
 
-/// Two cells: a need, and its ratio to the budget.
+/// Returns two cells: the amount needed, and its ratio to the budget.
 fn value_and_ratio(need: &Need, runs: Option<&RunSet>) -> String {
     let Some(value) = runs.and_then(|runs| need.value(runs)) else { return format!("{MISSING} | {MISSING}") };
-    let ratio = need.budget.map(|budget| format!("**{}**", number(value / budget)));
-    format!("{} | {}", number(value), or_missing(ratio))
+    let ratio = need.budget.map(|budget| format!("**{}**", format_number(value / budget)));
+    format!("{} | {}", format_number(value), or_missing(ratio))
 }
 
-/// How far a size lies beyond the largest measured one.
+/// Returns the cell of an extrapolation, the ratio of a size to the largest measured size.
 fn extrapolation_text(extrapolation: f64) -> String {
     if extrapolation <= 1.0 {
         "within".to_owned()
--- a/crates/scale-laboratory/src/capacity/run_set.rs
+++ b/crates/scale-laboratory/src/capacity/run_set.rs
@@ -1,4 +1,4 @@
-//! The committed results of all scale runs, before and after a change of the core.
+//! Committed results of all scale runs, before and after a change of the decision core.
 
 use crate::error::{LaboratoryError, Result};
 use crate::fit::Line;
@@ -7,43 +7,43 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The folder of the runs before the change.
+/// Name of the folder of the runs before the change.
 const BEFORE: &str = "before";
-/// The folder of those after it.
+/// Name of the folder of the runs after the change.
 const AFTER: &str = "after";
 
-/// A slope that a figure rests on: a metric of an experiment over the quantity swept there.
+/// Growth of a metric over the quantity that an experiment sweeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Slope {
-    /// The experiment.
+    /// Name of the experiment.
     pub experiment: &'static str,
-    /// The metric.
+    /// Metric that grows.
     pub metric: Metric,
 }
 
 impl Slope {
-    /// Its name in tables.
+    /// Returns the slope's name in tables.
     pub fn name(self) -> String {
         format!("{}/{}", self.experiment, self.metric.name())
     }
 }
 
-/// The runs of one version of the core.
+/// Runs of one version of the decision core.
 pub struct RunSet {
-    /// The runs by their experiments.
+    /// Runs by the names of their experiments.
     runs: BTreeMap<String, Run>,
 }
 
-/// The runs before the change of the core and, if they were made, after it.
+/// Runs before the change of the decision core and, if they exist, after it.
 pub struct RunSets {
-    /// Before.
+    /// Runs before the change.
     pub before: RunSet,
-    /// After.
+    /// Runs after the change; `None` if their folder does not exist.
     pub after: Option<RunSet>,
 }
 
 impl RunSets {
-    /// Reads all runs of a folder.
+    /// Reads the runs from the subfolders of a folder.
     pub fn read(folder: &Path) -> Result<RunSets> {
         let after = folder.join(AFTER);
         Ok(RunSets {
@@ -52,24 +52,25 @@
         })
     }
 
-    /// The runs of the newest version of the core.
+    /// Returns the runs of the latest version of the decision core.
     pub fn latest(&self) -> &RunSet {
         self.after.as_ref().unwrap_or(&self.before)
     }
 
-    /// Fails if neither set has a slope that the tables need.
+    /// Returns an error if neither set contains enough points of a slope.
     pub fn require(&self, slope: Slope) -> Result<()> {
         let sets = [Some(&self.before), self.after.as_ref()];
         if sets.into_iter().flatten().any(|set| set.line(slope).is_some()) {
             return Ok(());
         }
-        let reason = format!("no run gives the line of {}; run its experiment", slope.name());
+        let reason =
+            format!("no run has enough points to fit a line to {}; run the experiment", slope.name());
         Err(LaboratoryError::results(Path::new(BEFORE), reason))
     }
 }
 
 impl RunSet {
-    /// Reads all runs of a folder.
+    /// Reads all complete runs of a folder; an incomplete one is an error.
     fn read(folder: &Path) -> Result<RunSet> {
         let folders = run_folders(folder)?;
         let runs = folders.iter().map(|folder| Run::read_complete(folder));
@@ -77,17 +78,17 @@
         Ok(RunSet { runs: named.collect::<Result<_>>()? })
     }
 
-    /// The run of an experiment.
+    /// Returns the run of an experiment, or `None` if the set has none.
     pub fn run(&self, experiment: &str) -> Option<&Run> {
         self.runs.get(experiment)
     }
 
-    /// The line through a slope's points; `None` if the run or the metric is missing.
+    /// Returns the line fitted to a slope's points, or `None` if the run or enough points are missing.
     pub fn line(&self, slope: Slope) -> Option<Line> {
         Line::through(&self.run(slope.experiment)?.series(slope.metric))
     }
 
-    /// The largest size that a slope was measured at.
+    /// Returns the largest size at which a slope was measured.
     pub fn largest_size(&self, slope: Slope) -> Option<f64> {
         let points = self.run(slope.experiment)?.series(slope.metric);
         points.iter().map(|point| point.x).reduce(f64::max)
--- a/crates/scale-laboratory/src/capacity/slope_table.rs
+++ b/crates/scale-laboratory/src/capacity/slope_table.rs
@@ -1,41 +1,40 @@
-//! The table of all measured slopes.
+//! Table of the measured slopes.
 
 use super::cells::or_missing;
 use super::run_set::{RunSets, Slope};
-
 use crate::fit::Line;
 use crate::metric::Metric;
-use crate::report::number;
+use crate::report::format_number;
 use std::fmt::Write;
 
-/// A metric of an experiment.
+/// Creates a slope.
 const fn slope(experiment: &'static str, metric: Metric) -> Slope {
     Slope { experiment, metric }
 }
 
-/// The slopes of the page.
+/// Slopes in the order of the table.
 const SLOPES: &[Slope] = &[
     slope("core-servers", Metric::RequestCpu),
     slope("core-servers", Metric::RequestEntries),
-    slope("core-servers", Metric::RoundCpu),
-    slope("core-servers", Metric::RoundEntries),
+    slope("core-servers", Metric::TickCpu),
+    slope("core-servers", Metric::TickEntries),
     slope("core-servers", Metric::ChangeCpu),
     slope("core-servers", Metric::ListCpu),
     slope("core-servers", Metric::ListHeap),
     slope("core-services", Metric::RequestCpu),
-    slope("core-services", Metric::RoundCpu),
+    slope("core-services", Metric::TickCpu),
     slope("core-tenants", Metric::RequestCpu),
-    slope("core-tenants", Metric::RoundCpu),
+    slope("core-tenants", Metric::TickCpu),
     slope("core-tenants", Metric::TenantHeap),
     slope("core-gateways", Metric::RequestCpu),
-    slope("core-gateways", Metric::RoundCpu),
+    slope("core-gateways", Metric::TickCpu),
     slope("core-gateways", Metric::BaseHeap),
     slope("hollow-requests", Metric::CounterCalls),
     slope("hollow-requests", Metric::CounterBytes),
     slope("hollow-crowded-counter", Metric::CounterCalls),
     slope("hollow-crowded-counter", Metric::CounterBytes),
-    slope("hollow-requests", Metric::HoldP99),
-    slope("hollow-crowded-counter", Metric::HoldP99),
+    slope("hollow-requests", Metric::FirstAttemptDelayP99),
+    slope("hollow-crowded-counter", Metric::FirstAttemptDelayP99),
     slope("hollow-tenants", Metric::CounterCalls),
     slope("hollow-idle", Metric::DiscoveryCalls),
     slope("hollow-idle", Metric::DiscoveryBytes),
@@ -44,27 +43,28 @@
     slope("hollow-configurations", Metric::RelayBytes),
     slope("hollow-restarts", Metric::RelayBytes),
     slope("hollow-list", Metric::RelayBytes),
-    slope("hollow-in-force", Metric::ChangeInForce),
-    slope("hollow-in-force", Metric::ConfigurationInForce),
-    slope("hollow-server-gateways", Metric::GatewaysOfServer),
+    slope("hollow-in-force", Metric::EndpointPropagation),
+    slope("hollow-in-force", Metric::ConfigurationPropagation),
+    slope("hollow-server-gateways", Metric::GatewaysPerServer),
     slope("real-requests", Metric::GatewayCpu),
     slope("real-requests", Metric::AddedP99),
     slope("real-requests", Metric::CounterBytes),
     slope("real-servers", Metric::ProcessCpu),
     slope("real-servers", Metric::AddedP99),
-    slope("real-servers", Metric::Resident),
-    slope("real-listed", Metric::Resident),
+    slope("real-servers", Metric::ResidentMemory),
+    slope("real-listed", Metric::ResidentMemory),
     slope("real-tenants", Metric::ProcessCpu),
-    slope("real-tenants", Metric::Resident),
-    slope("real-connections", Metric::Resident),
+    slope("real-tenants", Metric::ResidentMemory),
+    slope("real-connections", Metric::ResidentMemory),
     slope("real-gateways", Metric::DiscoveryBytes),
     slope("real-gateways", Metric::AddedP99),
 ];
 
-/// The table as Markdown; a slope that neither set has is left out.
+/// Returns the table as Markdown, without the slopes that neither set contains.
 pub fn markdown(sets: &RunSets) -> String {
     let mut text = String::from(
-        "| slope | over | sizes | before: growth, at zero, residual, R² | after: growth, at zero, residual, R² |\n\
+        "| slope | over | sizes | before: growth, at zero, residual, R² \
+         | after: growth, at zero, residual, R² |\n\
          |---|---|---|---|---|\n",
     );
     for slope in SLOPES {
@@ -75,7 +75,7 @@
     text
 }
 
-/// The row of a slope; `None` if neither set has it.
+/// Returns the row of a slope, or `None` if neither set contains it.
 fn row(sets: &RunSets, slope: Slope) -> Option<String> {
     let before = sets.before.line(slope);
     let after = sets.after.as_ref().and_then(|runs| runs.line(slope));
@@ -92,8 +92,8 @@
     Some(format!("| {} |", cells.join(" | ")))
 }
 
-/// The cell of a line.
+/// Returns the cell of a fitted line.
 fn cell(line: Line) -> String {
-    let figures = [line.slope, line.intercept, line.residual].map(number);
+    let figures = [line.slope, line.intercept, line.residual].map(format_number);
     format!("{}, {:.3}", figures.join(", "), line.r_squared)
 }
--- a/crates/scale-laboratory/src/core_cost.rs
+++ b/crates/scale-laboratory/src/core_cost.rs
@@ -275,8 +275,8 @@
             core.respond(actions);
             BatchCost { cpu_us, entries }
         })?;
-        self.record(Metric::RoundCpu, cost.median_cpu_us);
-        self.record(Metric::RoundEntries, cost.entries as f64 / BATCHES as f64);
+        self.record(Metric::TickCpu, cost.median_cpu_us);
+        self.record(Metric::TickEntries, cost.entries as f64 / BATCHES as f64);
         Ok(())
     }
 
--- a/crates/scale-laboratory/src/error.rs
+++ b/crates/scale-laboratory/src/error.rs
@@ -1,133 +1,133 @@
-//! The errors of the laboratory; the exit code distinguishes invalid use from a failed run.
+//! Errors of the laboratory and the exit codes that tell invalid use from a failed run.
 
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Exit code of invalid use: nothing was started.
+/// Exit code of invalid use, where nothing was started.
 const EXIT_INVALID_USE: u8 = 2;
 /// Exit code of a run that failed.
 const EXIT_FAILED_RUN: u8 = 1;
 
-/// An error of the laboratory.
+/// Failure of a laboratory command.
 #[derive(Debug, Error)]
 pub enum LaboratoryError {
-    /// The experiment file is not TOML of the expected form; the source names the field.
+    /// An experiment file that is not TOML of the expected form; the source names the field.
     #[error("{path}: {source}")]
     MalformedFile {
-        /// The file.
+        /// Path of the experiment file.
         path: PathBuf,
-        /// What the parser says.
+        /// Error of the TOML parser.
         source: Box<toml::de::Error>,
     },
-    /// The experiment file cannot be read.
+    /// An experiment file that cannot be read.
     #[error("{path} cannot be read: {source}")]
     UnreadableFile {
-        /// The file.
+        /// Path of the experiment file.
         path: PathBuf,
-        /// Why.
+        /// Error of the read.
         source: std::io::Error,
     },
-    /// A field of the experiment is invalid.
+    /// An invalid field of an experiment, or an invalid command-line option.
     #[error("{field}: {reason}")]
     InvalidField {
-        /// The field, as a path in the file.
+        /// Path of the field in the experiment file, or name of the option.
         field: &'static str,
-        /// What is wrong with it.
+        /// Violated constraint, worded to follow the field.
         reason: String,
     },
-    /// The experiment needs more memory than the laboratory may use.
+    /// An experiment that needs more memory than the laboratory may use.
     #[error(
-        "{what} needs {needed_mib} MiB, and the bound is {bound_mib} MiB (half of this machine's memory)"
+        "{consumer} needs {needed_mib} MiB; the limit is {limit_mib} MiB (half of this machine's memory)"
     )]
-    MemoryBound {
-        /// What needs it.
-        what: String,
-        /// An estimate of the need.
+    MemoryLimitExceeded {
+        /// Size, experiment or run that needs the memory.
+        consumer: String,
+        /// Memory needed, estimated before a run or measured during it, in MiB.
         needed_mib: u64,
-        /// The bound.
-        bound_mib: u64,
+        /// Memory that the laboratory may use, in MiB.
+        limit_mib: u64,
     },
-    /// A results folder is missing, incomplete or unreadable.
+    /// A results folder or capacity page that is missing, incomplete or unreadable.
     #[error("{path}: {reason}")]
     Results {
-        /// The folder or file.
+        /// Path of the folder or file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Defect of the folder or file.
         reason: String,
     },
-    /// A gateway under test does not respond any more.
+    /// A gateway under test that no longer responds.
     #[error("gateway {gateway} stopped answering at {at_seconds:.1} s of the experiment: {symptom}")]
     GatewayStalled {
-        /// Its number.
+        /// Index of the gateway.
         gateway: usize,
-        /// Time since the start of the point.
+        /// Time since the start of the point, in seconds.
         at_seconds: f64,
-        /// What was seen.
+        /// Observation from which the stall was detected.
         symptom: String,
     },
-    /// The simulation itself makes no progress.
-    #[error("no progress for {seconds} s: a hollow gateway never returned from an event")]
+    /// A run without progress for longer than the watchdog allows.
+    #[error("run made no progress for {seconds} s: a hollow gateway did not return from an event")]
     NoProgress {
-        /// Wall time without progress.
+        /// Wall-clock time without progress, in seconds.
         seconds: u64,
     },
-    /// The thread that plays the points panicked.
-    #[error("the run panicked, in a decision core or in the laboratory; the log above says where")]
+    /// A panic of the thread that measures the points.
+    #[error("run panicked in a decision core or in the laboratory; the log above names the location")]
     Panicked,
-    /// The run was interrupted.
-    #[error("interrupted; the results so far are kept")]
+    /// An interruption of the run by a signal.
+    #[error("run interrupted; the points measured so far are kept")]
     Interrupted,
-    /// A gateway process could not be started or has ended by itself.
+    /// A gateway process that could not be started or ended unexpectedly.
     #[error("gateway process {gateway}: {reason}")]
     Process {
-        /// Its number.
+        /// Index of the gateway.
         gateway: usize,
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The decision core refused its settings.
-    #[error("the decision core refused {0}")]
+    /// Settings that the decision core rejected.
+    #[error("decision core rejected {0}")]
     Settings(#[from] grebehook_core::SettingsError),
-    /// Input or output failed.
+    /// A failed input or output operation.
     #[error("{context}: {source}")]
     Io {
-        /// What was being done.
+        /// Path or operation that failed.
         context: String,
-        /// Why it failed.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A plot could not be drawn.
-    #[error("plot: {0}")]
-    Plot(String),
+    /// A plot or metrics file that cannot be rendered.
+    #[error("cannot render {0}")]
+    Rendering(String),
 }
 
 impl LaboratoryError {
-    /// The program's exit code for this error.
+    /// Returns the program's exit code for this error.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::MalformedFile { .. }
             | Self::UnreadableFile { .. }
             | Self::InvalidField { .. }
-            | Self::MemoryBound { .. } => EXIT_INVALID_USE,
+            | Self::MemoryLimitExceeded { .. } => EXIT_INVALID_USE,
             _ => EXIT_FAILED_RUN,
         }
     }
 
-    /// An invalid field.
+    /// Creates an [`InvalidField`](Self::InvalidField) error.
     pub fn field(field: &'static str, reason: impl Into<String>) -> Self {
         Self::InvalidField { field, reason: reason.into() }
     }
 
-    /// An unusable results folder.
+    /// Creates a [`Results`](Self::Results) error.
     pub fn results(path: &Path, reason: impl ToString) -> Self {
         Self::Results { path: path.to_owned(), reason: reason.to_string() }
     }
 
-    /// A failure of input or output.
+    /// Creates an [`Io`](Self::Io) error.
     pub fn io(context: impl Into<String>, source: std::io::Error) -> Self {
         Self::Io { context: context.into(), source }
     }
 }
 
-/// A result of the laboratory.
+/// Result of a laboratory operation.
 pub type Result<T> = std::result::Result<T, LaboratoryError>;
--- a/crates/scale-laboratory/src/hollow/measurements.rs
+++ b/crates/scale-laboratory/src/hollow/measurements.rs
@@ -134,9 +134,9 @@
         let queueing_times = Some(&self.queueing_times).filter(|times| !times.is_empty());
         let milliseconds = |time: Micros| (time > 0).then_some(time as f64 / 1e3);
         let times = [
-            (Metric::HoldP99, queueing_times.map(|times| times.value_at_quantile(0.99) as f64)),
-            (Metric::ChangeInForce, milliseconds(self.change_in_force)),
-            (Metric::ConfigurationInForce, milliseconds(self.configuration_in_force)),
+            (Metric::FirstAttemptDelayP99, queueing_times.map(|times| times.value_at_quantile(0.99) as f64)),
+            (Metric::EndpointPropagation, milliseconds(self.change_in_force)),
+            (Metric::ConfigurationPropagation, milliseconds(self.configuration_in_force)),
         ];
         let times = times.into_iter().filter_map(|(metric, time)| Some((metric, time?)));
         count_metrics(&self.final_counts()).chain(times)
--- a/crates/scale-laboratory/src/hollow/point.rs
+++ b/crates/scale-laboratory/src/hollow/point.rs
@@ -12,7 +12,7 @@
         point.metrics.extend(self.measurements.metrics());
         if counts.attempts > 0 {
             let senders = self.measurements.senders.len() as f64 / self.servers.len() as f64;
-            point.metrics.insert(Metric::GatewaysOfServer, senders);
+            point.metrics.insert(Metric::GatewaysPerServer, senders);
         }
         if let Some(share) = self.over_quota() {
             point.metrics.insert(Metric::OverQuota, share);
--- a/crates/scale-laboratory/src/memory.rs
+++ b/crates/scale-laboratory/src/memory.rs
@@ -86,5 +86,5 @@
 
 /// The error of something that needs more than the bound.
 fn exceeded(what: String, needed: u64, bound: u64) -> LaboratoryError {
-    LaboratoryError::MemoryBound { what, needed_mib: needed / MIB, bound_mib: bound / MIB }
+    LaboratoryError::MemoryLimitExceeded { consumer: what, needed_mib: needed / MIB, limit_mib: bound / MIB }
 }
--- a/crates/scale-laboratory/src/metric.rs
+++ b/crates/scale-laboratory/src/metric.rs
@@ -1,31 +1,32 @@
-//! The quantities that points are measured for.
+//! Metrics that are measured at each point.
 
 use serde::{Deserialize, Serialize};
 
-/// The metrics with their names and units; the doc comment of each is its help in `metrics.prom`.
+/// Defines the metrics with their names and units. The doc comment of each is its help text in
+/// `metrics.prom`, so changing it changes stored results.
 macro_rules! metrics {
     ($($(#[doc = $doc:literal])+ $variant:ident = $name:literal, $unit:literal;)+) => {
-        /// A measured quantity.
+        /// Measured quantity of a point.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
         pub enum Metric {
             $($(#[doc = $doc])+ #[serde(rename = $name)] $variant,)+
         }
 
         impl Metric {
-            /// All metrics.
+            /// All metrics, in the order of tables.
             pub const ALL: &[Metric] = &[$(Metric::$variant,)+];
 
-            /// Its name in tables and results.
+            /// Returns the metric's name in tables and results.
             pub fn name(self) -> &'static str {
                 match self { $(Metric::$variant => $name,)+ }
             }
 
-            /// Its unit.
+            /// Returns the unit of the metric's values.
             pub fn unit(self) -> &'static str {
                 match self { $(Metric::$variant => $unit,)+ }
             }
 
-            /// What it measures.
+            /// Returns the metric's help text in the Prometheus text format.
             pub fn help(self) -> &'static str {
                 match self { $(Metric::$variant => concat!($($doc),+),)+ }
             }
@@ -34,10 +35,11 @@
 }
 
 metrics! {
-    /// Processor time of one request: its arrival, the counter's answer if it is asked, and its server's answer.
+    /// Processor time of one request: its arrival, the counter's answer if it is asked, and its server's
+    /// answer.
     RequestCpu = "request-cpu", "us";
     /// Processor time of one periodic round of housekeeping, after as many requests as come between two.
-    RoundCpu = "round-cpu", "us";
+    TickCpu = "round-cpu", "us";
     /// Processor time to take in one changed member.
     ChangeCpu = "change-cpu", "us";
     /// Processor time to take in the whole list of members.
@@ -51,13 +53,13 @@
     /// Entries of the core's stores that one request visits.
     RequestEntries = "request-entries", "entries";
     /// Entries of the core's stores that one round visits.
-    RoundEntries = "round-entries", "entries";
+    TickEntries = "round-entries", "entries";
     /// Requests that clients sent.
     Arrivals = "arrivals", "requests";
     /// Requests that were served.
     Served = "served", "requests";
     /// Requests that were refused.
-    Refused = "refused", "requests";
+    Rejected = "refused", "requests";
     /// Requests that failed.
     Failed = "failed", "requests";
     /// Requests without an answer.
@@ -67,7 +69,7 @@
     /// Attempts sent to servers.
     Attempts = "attempts", "attempts";
     /// Gateways that sent to a server, mean over the servers.
-    GatewaysOfServer = "gateways-of-server", "gateways";
+    GatewaysPerServer = "gateways-of-server", "gateways";
     /// Calls of the counter.
     CounterCalls = "counter-calls", "calls";
     /// Bytes of the counter's calls and answers.
@@ -83,11 +85,11 @@
     /// Bytes of messages between gateways.
     PeerBytes = "peer-bytes", "bytes";
     /// Longest time until a change of members was in force at the last gateway.
-    ChangeInForce = "change-in-force", "ms";
+    EndpointPropagation = "change-in-force", "ms";
     /// Longest time until a change of configuration was in force at the last gateway.
-    ConfigurationInForce = "configuration-in-force", "ms";
+    ConfigurationPropagation = "configuration-in-force", "ms";
     /// Time to the first attempt of a request, 99th percentile.
-    HoldP99 = "hold-p99", "us";
+    FirstAttemptDelayP99 = "hold-p99", "us";
     /// Units served beyond the hot tenants' quotas, as a share of these quotas.
     OverQuota = "over-quota", "share";
     /// Time that a gateway adds to a request, median.
@@ -99,5 +101,5 @@
     /// Processor time of a gateway process, share of a core, mean over the gateways.
     GatewayCpu = "gateway-cpu", "share";
     /// Resident memory of a gateway process, mean over the gateways.
-    Resident = "resident", "bytes";
+    ResidentMemory = "resident", "bytes";
 }
--- a/crates/scale-laboratory/src/metrics.rs
+++ b/crates/scale-laboratory/src/metrics.rs
@@ -1,4 +1,4 @@
-//! A run's measurements in the Prometheus text format.
+//! Export of a run's measurements in the Prometheus text format.
 
 use crate::error::{LaboratoryError, Result};
 use crate::results::Run;
@@ -9,16 +9,16 @@
 use std::path::Path;
 use std::sync::atomic::AtomicU64;
 
-/// The file in a results folder.
+/// Name of the metrics file in a results folder.
 const METRICS_FILE: &str = "metrics.prom";
-/// Prefix of all names.
+/// Prefix of all metric names.
 const PREFIX: &str = "grebehook_scale";
 
-/// Labels of a value.
+/// Label names and values of a time series.
 type Labels = Vec<(&'static str, String)>;
 
-/// A run's measurements as text.
-fn text(run: &Run) -> Result<String> {
+/// Returns a run's measurements in the Prometheus text format.
+fn encode_run(run: &Run) -> Result<String> {
     let mut registry = Registry::with_prefix(PREFIX);
     for metric in run.metrics() {
         let family = Family::<Labels, Gauge<f64, AtomicU64>>::default();
@@ -31,11 +31,11 @@
         }
     }
     let mut text = String::new();
-    encode(&mut text, &registry).map_err(|error| LaboratoryError::Plot(format!("metrics: {error}")))?;
+    encode(&mut text, &registry).map_err(|error| LaboratoryError::Rendering(format!("metrics: {error}")))?;
     Ok(text)
 }
 
-/// The labels of a point's values.
+/// Returns the labels of a point's values.
 fn labels(run: &Run, size: Option<u64>) -> Labels {
     let mut labels = vec![("experiment", run.experiment.name.clone())];
     if let (Some(sweep), Some(size)) = (&run.experiment.sweep, size) {
@@ -45,8 +45,9 @@
     labels
 }
 
-/// Writes them into the run's folder.
+/// Writes a run's measurements to its results folder.
 pub fn write(run: &Run, folder: &Path) -> Result<()> {
     let path = folder.join(METRICS_FILE);
-    std::fs::write(&path, text(run)?).map_err(|error| LaboratoryError::io(path.display().to_string(), error))
+    std::fs::write(&path, encode_run(run)?)
+        .map_err(|error| LaboratoryError::io(path.display().to_string(), error))
 }
--- a/crates/scale-laboratory/src/real/measurements.rs
+++ b/crates/scale-laboratory/src/real/measurements.rs
@@ -38,10 +38,10 @@
         point.metrics.extend(measured.metrics());
         let change_in_force = self.agents.take_change_in_force();
         if !change_in_force.is_zero() {
-            point.metrics.insert(Metric::ChangeInForce, milliseconds(change_in_force));
+            point.metrics.insert(Metric::EndpointPropagation, milliseconds(change_in_force));
         }
         if let Some(elapsed) = self.configuration_in_force() {
-            point.metrics.insert(Metric::ConfigurationInForce, milliseconds(elapsed));
+            point.metrics.insert(Metric::ConfigurationPropagation, milliseconds(elapsed));
         }
         let duration = micros_of_seconds(self.experiment.load.duration_seconds);
         point.faults = measured.timeline.fault_costs(&self.experiment.faults, duration);
@@ -55,7 +55,7 @@
         let cpu_seconds = cpu_time.as_secs_f64();
         let duration_seconds = self.experiment.load.duration_seconds;
         let mut metrics = vec![
-            (Metric::Resident, resident as f64 / running),
+            (Metric::ResidentMemory, resident as f64 / running),
             (Metric::GatewayCpu, cpu_seconds / duration_seconds / running),
         ];
         let arrivals = self.clients.statistics().arrivals;
--- a/crates/scale-laboratory/src/report/mod.rs
+++ b/crates/scale-laboratory/src/report/mod.rs
@@ -1,9 +1,9 @@
-//! A run's report: tables as Markdown and JSON, and plots as SVG.
+//! Report of a run: tables as Markdown and JSON, metrics in the Prometheus text format, and plots as SVG.
 
 mod plot;
 mod table;
 
-pub use table::{number, Fit, Report};
+pub use table::{format_number, Fit, Report};
 
 use crate::error::{LaboratoryError, Result};
 use crate::metrics;
@@ -11,14 +11,14 @@
 use std::fs;
 use std::path::Path;
 
-/// The tables as Markdown.
+/// Name of the file with the tables as Markdown.
 const MARKDOWN_FILE: &str = "report.md";
-/// The tables as JSON.
+/// Name of the file with the tables as JSON.
 const JSON_FILE: &str = "report.json";
-/// The folder of the plots.
+/// Name of the folder of the plots.
 const PLOTS_FOLDER: &str = "plots";
 
-/// Writes the report of a complete run into its folder.
+/// Writes the report of a complete run into its results folder.
 pub fn write(folder: &Path) -> Result<()> {
     let run = Run::read_complete(folder)?;
     let report = Report::of(&run);
@@ -29,7 +29,7 @@
     metrics::write(&run, folder)?;
     let plots = folder.join(PLOTS_FOLDER);
     fs::create_dir_all(&plots).map_err(|error| LaboratoryError::io(plots.display().to_string(), error))?;
-    for metric in run.varied_metrics() {
+    for metric in run.nonzero_metrics() {
         plot::write(&run, metric, &plots)?;
     }
     Ok(())
--- a/crates/scale-laboratory/src/report/plot.rs
+++ b/crates/scale-laboratory/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of a metric over the swept quantity, with the line through it.
+//! Plots of a metric over the swept quantity, with the fitted line.
 
 use crate::error::{LaboratoryError, Result};
 use crate::fit::{Line, Sample};
@@ -9,14 +9,14 @@
 };
 use std::path::Path;
 
-/// Width and height, pixels.
+/// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (640, 400);
-/// Factor of the axes' ends on the largest values.
+/// Ratio of an axis' end to the largest value on it.
 const HEADROOM: f64 = 1.1;
-/// Length of an axis where all values are 0.
+/// Length of an axis on which all values are 0.
 const MIN_AXIS_LENGTH: f64 = 1e-9;
 
-/// Writes one metric's plot, if the experiment has a sweep.
+/// Writes the plot of a metric; does nothing if the experiment has no sweep.
 pub fn write(run: &Run, metric: Metric, folder: &Path) -> Result<()> {
     let Some(sweep) = &run.experiment.sweep else { return Ok(()) };
     let path = folder.join(format!("{}.svg", metric.name()));
@@ -26,22 +26,22 @@
         y_label: format!("{} ({})", metric.name(), metric.unit()),
         samples: run.series(metric),
     };
-    draw(&path, &plot).map_err(|error| LaboratoryError::Plot(format!("{}: {error}", path.display())))
+    draw(&path, &plot).map_err(|error| LaboratoryError::Rendering(format!("{}: {error}", path.display())))
 }
 
-/// What is drawn.
+/// Content of a plot.
 struct Plot<'a> {
-    /// Over the plot.
+    /// Caption above the plot.
     title: &'a str,
-    /// At the horizontal axis.
+    /// Label of the horizontal axis.
     x_label: String,
-    /// At the vertical axis.
+    /// Label of the vertical axis.
     y_label: String,
-    /// The points.
+    /// Measured points.
     samples: Vec<Sample>,
 }
 
-/// Draws the points and the line through them.
+/// Draws the points and the line fitted to them.
 fn draw(path: &Path, plot: &Plot) -> std::result::Result<(), Box<dyn std::error::Error>> {
     let max_x = plot.samples.iter().map(|sample| sample.x).fold(MIN_AXIS_LENGTH, f64::max) * HEADROOM;
     let max_y = plot.samples.iter().map(|sample| sample.y).fold(MIN_AXIS_LENGTH, f64::max) * HEADROOM;
--- a/crates/scale-laboratory/src/report/table.rs
+++ b/crates/scale-laboratory/src/report/table.rs
@@ -1,4 +1,4 @@
-//! The tables of a report.
+//! Tables of a report.
 
 use crate::fit::Line;
 use crate::metric::Metric;
@@ -6,36 +6,36 @@
 use serde::Serialize;
 use std::fmt::Write;
 
-/// A line through a metric's values over the swept quantity.
+/// Line fitted to a metric's values over the swept quantity.
 #[derive(Clone, Debug, Serialize)]
 pub struct Fit {
-    /// The metric.
+    /// Metric whose values were fitted.
     pub metric: Metric,
-    /// Its unit.
+    /// Unit of the values.
     pub unit: &'static str,
-    /// The line.
+    /// Fitted line.
     pub line: Line,
 }
 
-/// A run's tables.
+/// Tables of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The experiment.
+    /// Name of the experiment.
     pub experiment: String,
-    /// Its purpose.
+    /// Purpose of the experiment.
     pub description: String,
-    /// The seed of all random numbers.
+    /// Seed of all random number generators.
     pub seed: u64,
-    /// The swept quantity; `None` for a single point.
+    /// Name of the swept quantity; `None` for a single point.
     pub parameter: Option<String>,
-    /// What was measured at each size.
+    /// Measurements at each size.
     pub points: Vec<Point>,
-    /// Lines through it, if there are enough points.
+    /// Lines fitted to the metrics that have enough points and are not 0 throughout.
     pub fits: Vec<Fit>,
 }
 
 impl Report {
-    /// The report of a run.
+    /// Creates the report of a run.
     pub fn of(run: &Run) -> Report {
         let fit = |metric: Metric| {
             let line = Line::through(&run.series(metric))?;
@@ -47,11 +47,11 @@
             seed: run.experiment.seed,
             parameter: run.experiment.sweep.as_ref().map(|sweep| sweep.parameter.to_string()),
             points: run.points.clone(),
-            fits: run.varied_metrics().into_iter().filter_map(fit).collect(),
+            fits: run.nonzero_metrics().into_iter().filter_map(fit).collect(),
         }
     }
 
-    /// The tables as Markdown.
+    /// Returns the tables as Markdown.
     pub fn markdown(&self) -> String {
         let mut text = format!("# {}\n\n{} Seed {}.\n", self.experiment, self.description, self.seed);
         self.write_points(&mut text);
@@ -60,7 +60,7 @@
         text
     }
 
-    /// The table of the points.
+    /// Appends the table of measurements, a row per metric and a column per size.
     fn write_points(&self, text: &mut String) {
         let metrics: Vec<Metric> = Metric::ALL
             .iter()
@@ -73,14 +73,15 @@
         let _ = writeln!(text, "\n| {parameter} | {} |", sizes.join(" | "));
         let _ = writeln!(text, "|---|{}", "---:|".repeat(sizes.len()));
         for metric in metrics {
-            let cell =
-                |point: &Point| point.metrics.get(&metric).map_or(String::new(), |value| number(*value));
+            let cell = |point: &Point| {
+                point.metrics.get(&metric).map_or(String::new(), |value| format_number(*value))
+            };
             let cells: Vec<String> = self.points.iter().map(cell).collect();
             let _ = writeln!(text, "| {} ({}) | {} |", metric.name(), metric.unit(), cells.join(" | "));
         }
     }
 
-    /// The table of the lines.
+    /// Appends the table of fitted lines.
     fn write_fits(&self, text: &mut String) {
         if self.fits.is_empty() {
             return;
@@ -93,15 +94,15 @@
                 text,
                 "| {} ({unit}) | {} | {} | {} | {:.4} |",
                 metric.name(),
-                number(line.slope),
-                number(line.intercept),
-                number(line.residual),
+                format_number(line.slope),
+                format_number(line.intercept),
+                format_number(line.residual),
                 line.r_squared
             );
         }
     }
 
-    /// The table of the faults.
+    /// Appends the table of fault costs.
     fn write_faults(&self, text: &mut String) {
         if self.points.iter().all(|point| point.faults.is_empty()) {
             return;
@@ -111,25 +112,25 @@
         for point in &self.points {
             let size = point.size.map_or(String::new(), |size| size.to_string());
             for fault in &point.faults {
-                let recovery = fault.recovery_milliseconds.map_or("not seen".to_owned(), number);
+                let recovery = fault.recovery_milliseconds.map_or("not seen".to_owned(), format_number);
                 let _ = writeln!(
                     text,
                     "| {size} | {} | {} | {} | {} | {recovery} |",
-                    fault.fault, fault.at_seconds, fault.lost, fault.refused_or_failed
+                    fault.fault, fault.at_seconds, fault.lost, fault.rejected_or_failed
                 );
             }
         }
     }
 }
 
-/// A number with about four digits.
-pub fn number(value: f64) -> String {
-    let size = value.abs();
-    if size >= 1e9 || size > 0.0 && size < 1e-3 {
+/// Formats a number with about four significant digits, in exponent form if it is very large or small.
+pub fn format_number(value: f64) -> String {
+    let magnitude = value.abs();
+    if magnitude >= 1e9 || magnitude > 0.0 && magnitude < 1e-3 {
         format!("{value:.3e}")
-    } else if size >= 100.0 || value.fract() == 0.0 {
+    } else if magnitude >= 100.0 || value.fract() == 0.0 {
         format!("{value:.0}")
-    } else if size >= 1.0 {
+    } else if magnitude >= 1.0 {
         format!("{value:.2}")
     } else {
         format!("{value:.4}")
--- a/crates/scale-laboratory/src/results.rs
+++ b/crates/scale-laboratory/src/results.rs
@@ -1,4 +1,5 @@
-//! Results on disk: a folder with `run.json`, rewritten after each point, so that an interrupted run keeps what it has.
+//! Results on disk: a folder with `run.json`, rewritten after each point so that an interrupted run
+//! keeps the points measured so far.
 
 use crate::error::{LaboratoryError, Result};
 use crate::experiment::Experiment;
@@ -9,73 +10,74 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The results file of a folder.
+/// Name of the results file in a results folder.
 pub const RUN_FILE: &str = "run.json";
-/// The same while it is written.
+/// Name of the results file until it is completely written.
 const PARTIAL_RUN_FILE: &str = "run.json.partial";
-/// The format of the file; one of another format is refused.
+/// Format version of the results file; files of other versions are rejected.
 const FORMAT: u32 = 1;
 
-/// How far a run has come.
+/// Progress of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunStatus {
-    /// Points are still to come.
+    /// Some points have not been measured yet.
     Running,
-    /// All points are there.
+    /// All points have been measured.
     Complete,
-    /// The run failed or was interrupted; the points so far are there.
+    /// The run failed or was interrupted, and keeps the points measured before.
     Failed,
 }
 
-/// What a fault cost.
+/// Requests that a fault cost, and the time until the fleet recovered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FaultCost {
-    /// The fault.
+    /// Name of the fault.
     pub fault: String,
-    /// When it began, seconds of measured time.
+    /// Start of the fault, in seconds of the measured time.
     pub at_seconds: f64,
-    /// Requests without an answer, from its begin to the recovery.
+    /// Requests without a response, from the start of the fault to the recovery.
     pub lost: u64,
-    /// Requests refused or failed in that time.
-    pub refused_or_failed: u64,
-    /// Time until requests were served as before; absent where that was not seen.
+    /// Requests rejected or failed in the same time.
+    #[serde(rename = "refused_or_failed")]
+    pub rejected_or_failed: u64,
+    /// Time until requests were served as before, in milliseconds; `None` if that was not observed.
     pub recovery_milliseconds: Option<f64>,
 }
 
-/// Measurements at one size.
+/// Measurements at one size of an experiment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The swept quantity's value; absent where nothing is swept.
+    /// Value of the swept quantity; `None` without a sweep.
     pub size: Option<u64>,
-    /// Measured values.
+    /// Values by metric.
     pub metrics: BTreeMap<Metric, f64>,
-    /// What each fault cost, in the order of their begins.
+    /// Cost of each fault, in the order in which the faults started.
     pub faults: Vec<FaultCost>,
 }
 
-/// A run of an experiment.
+/// Run of an experiment, as its results file stores it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// The format of this file.
+    /// Format version of the results file.
     pub format: u32,
-    /// How far the run has come.
+    /// Progress of the run.
     pub status: RunStatus,
-    /// The error that ended it, if one did.
+    /// Error that ended the run.
     pub error: Option<String>,
-    /// The experiment with its seed.
+    /// Experiment, including its seed.
     pub experiment: Experiment,
-    /// Points, in the order of the sizes.
+    /// Points measured so far, in the order of their sizes.
     pub points: Vec<Point>,
 }
 
 impl Run {
-    /// A run that begins.
+    /// Creates a run without points.
     pub fn new(experiment: Experiment) -> Run {
         Run { format: FORMAT, status: RunStatus::Running, error: None, experiment, points: Vec::new() }
     }
 
-    /// Writes the run into its folder, in one step.
+    /// Writes the results file atomically, by renaming a temporary file.
     pub fn write(&self, folder: &Path) -> Result<()> {
         let failed = |error| LaboratoryError::io(format!("{} cannot be written", folder.display()), error);
         fs::create_dir_all(folder).map_err(failed)?;
@@ -86,43 +88,46 @@
         fs::rename(&partial, folder.join(RUN_FILE)).map_err(failed)
     }
 
-    /// Reads a run, complete or not.
+    /// Reads a run in any status.
     pub fn read(folder: &Path) -> Result<Run> {
         let path = folder.join(RUN_FILE);
         let text = fs::read_to_string(&path).map_err(|error| LaboratoryError::results(&path, error))?;
         let run: Run = serde_json::from_str(&text).map_err(|error| LaboratoryError::results(&path, error))?;
         if run.format != FORMAT {
-            return Err(LaboratoryError::results(&path, format!("has format {}, not {FORMAT}", run.format)));
+            return Err(LaboratoryError::results(
+                &path,
+                format!("has format {}, expected {FORMAT}", run.format),
+            ));
         }
         Ok(run)
     }
 
-    /// Reads a run, and refuses one that is not complete.
+    /// Reads a run and rejects an incomplete one.
     pub fn read_complete(folder: &Path) -> Result<Run> {
         let run = Run::read(folder)?;
         if run.status == RunStatus::Complete {
             return Ok(run);
         }
-        let done = run.points.len();
-        let all = run.experiment.points().len();
-        let cause = run.error.as_deref().unwrap_or("the run did not end");
-        let reason = format!("is half written: {done} of {all} points ({cause})");
+        let measured = run.points.len();
+        let total = run.experiment.points().len();
+        let cause = run.error.as_deref().unwrap_or("the run did not finish");
+        let reason = format!("is half written: {measured} of {total} points ({cause})");
         Err(LaboratoryError::results(&folder.join(RUN_FILE), reason))
     }
 
-    /// The points of a metric that have a size.
+    /// Returns the values of a metric over the swept quantity; without a sweep there are none.
     pub fn series(&self, metric: Metric) -> Vec<Sample> {
         let sample = |point: &Point| Some(Sample { x: point.size? as f64, y: *point.metrics.get(&metric)? });
         self.points.iter().filter_map(sample).collect()
     }
 
-    /// The metrics that are not zero at every size.
-    pub fn varied_metrics(&self) -> Vec<Metric> {
-        let varies = |metric: &Metric| self.series(*metric).iter().any(|sample| sample.y != 0.0);
-        self.metrics().into_iter().filter(varies).collect()
+    /// Returns the metrics that have a value other than 0 at some size.
+    pub fn nonzero_metrics(&self) -> Vec<Metric> {
+        let is_nonzero = |metric: &Metric| self.series(*metric).iter().any(|sample| sample.y != 0.0);
+        self.metrics().into_iter().filter(is_nonzero).collect()
     }
 
-    /// The metrics that any point has.
+    /// Returns the metrics that were measured at any point.
     pub fn metrics(&self) -> Vec<Metric> {
         let is_measured =
             |metric: &Metric| self.points.iter().any(|point| point.metrics.contains_key(metric));
@@ -130,7 +135,7 @@
     }
 }
 
-/// The folders with results in or directly under a folder, in the order of their names.
+/// Returns the folder itself if it holds results, otherwise its subfolders that do, sorted by name.
 pub fn run_folders(folder: &Path) -> Result<Vec<PathBuf>> {
     if folder.join(RUN_FILE).exists() {
         return Ok(vec![folder.to_owned()]);
@@ -139,7 +144,7 @@
     let paths = entries.filter_map(|entry| Some(entry.ok()?.path()));
     let mut folders: Vec<PathBuf> = paths.filter(|path| path.join(RUN_FILE).exists()).collect();
     if folders.is_empty() {
-        return Err(LaboratoryError::results(folder, format!("holds no {RUN_FILE}")));
+        return Err(LaboratoryError::results(folder, format!("contains no {RUN_FILE}")));
     }
     folders.sort();
     Ok(folders)
--- a/crates/scale-laboratory/src/timeline.rs
+++ b/crates/scale-laboratory/src/timeline.rs
@@ -67,7 +67,7 @@
     pub fn metrics(&self) -> [(Metric, u64); 4] {
         [
             (Metric::Served, self.served),
-            (Metric::Refused, self.rejected),
+            (Metric::Rejected, self.rejected),
             (Metric::Failed, self.failed),
             (Metric::Lost, self.lost),
         ]
@@ -146,7 +146,7 @@
             fault: fault.name(),
             at_seconds: fault.at_seconds(),
             lost: during.iter().map(|bin| bin.lost).sum(),
-            refused_or_failed: during.iter().map(|bin| bin.rejected_or_failed).sum(),
+            rejected_or_failed: during.iter().map(|bin| bin.rejected_or_failed).sum(),
             recovery_milliseconds: was_seen.then(|| ((recovered - first) as Micros * BIN_WIDTH) as f64 / 1e3),
         }
     }
--- a/crates/scale-laboratory/tests/core_cost.rs
+++ b/crates/scale-laboratory/tests/core_cost.rs
@@ -31,7 +31,7 @@
     let points = [61, 6_100, 30_500].map(|servers| measure(servers, 200));
     for point in &points {
         assert!(value(point, Metric::RequestEntries) <= MAX_REQUEST_ENTRIES, "{point:?}");
-        assert_eq!(value(point, Metric::RoundEntries), value(&points[0], Metric::RoundEntries));
+        assert_eq!(value(point, Metric::TickEntries), value(&points[0], Metric::TickEntries));
     }
     let per_server = value(&points[2], Metric::ListHeap) / 30_500.0;
     assert!((100.0..400.0).contains(&per_server), "{per_server} bytes a server");
--- a/crates/scale-laboratory/tests/hollow.rs
+++ b/crates/scale-laboratory/tests/hollow.rs
@@ -23,7 +23,7 @@
 #[test]
 fn every_request_has_exactly_one_outcome() {
     let point = measure_point(&toml(&[REQUESTS], ""));
-    let endings = [Metric::Served, Metric::Refused, Metric::Failed, Metric::Lost];
+    let endings = [Metric::Served, Metric::Rejected, Metric::Failed, Metric::Lost];
     let ended: f64 = endings.iter().map(|metric| value(&point, *metric)).sum();
     assert_eq!(ended, value(&point, Metric::Arrivals));
     assert!(value(&point, Metric::Served) > 0.95 * ended, "{point:?}");
@@ -49,7 +49,7 @@
     let body = value(&changed, Metric::RelayBytes) / 6.0;
     assert!((150.0..250.0).contains(&body) && body.fract() == 0.0, "{body} bytes of one entry");
     assert_eq!(value(&changed, Metric::GatewayEvents), value(&idle, Metric::GatewayEvents) + 6.0);
-    let slowest = value(&changed, Metric::ChangeInForce);
+    let slowest = value(&changed, Metric::EndpointPropagation);
     assert!(slowest > 0.0 && slowest <= 240.6, "{slowest} ms");
 }
 
@@ -75,7 +75,7 @@
 fn change_arrives_once_discovery_recovers() {
     let faults = "[[fault]]\nkind = \"silence-discovery\"\nat_seconds = 0.5\nlasts_seconds = 3.0\n\
                   [[fault]]\nkind = \"change-members\"\nat_seconds = 1.0\ncount = 1\n";
-    let slowest = value(&measure_point(&toml(&[], faults)), Metric::ChangeInForce);
+    let slowest = value(&measure_point(&toml(&[], faults)), Metric::EndpointPropagation);
     assert!((2_500.0..2_800.0).contains(&slowest), "{slowest} ms");
 }
 
