--- a/crates/scale-laboratory/src/experiment/mod.rs
+++ b/crates/scale-laboratory/src/experiment/mod.rs
@@ -45,7 +45,7 @@
     /// Behaviour of the servers.
     #[serde(default)]
     pub backend: Backend,
-    /// Behaviour of the discovery relays.
+    /// Behaviour of discovery and its relays.
     #[serde(default)]
     pub discovery: Discovery,
     /// Behaviour of the shared counter.
@@ -167,7 +167,7 @@
     }
 }
 
-/// Behaviour of the discovery relays.
+/// Behaviour of discovery and its relays.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
--- a/crates/scale-laboratory/src/fit.rs
+++ b/crates/scale-laboratory/src/fit.rs
@@ -22,7 +22,7 @@
     pub slope: f64,
     /// Value at `x = 0`.
     pub intercept: f64,
-    /// Residual standard error: root of the mean squared residual, less two degrees of freedom.
+    /// Residual standard error: root of the sum of squared residuals over two fewer than `points`.
     pub residual: f64,
     /// Coefficient of determination: share of the variance that the line explains.
     pub r_squared: f64,
