--- a/crates/scale-laboratory/src/hollow/faults.rs
+++ b/crates/scale-laboratory/src/hollow/faults.rs
@@ -57,13 +57,17 @@
         tracing::info!(fault = fault.name(), "fault begins");
         match fault {
             Fault::KillGateways { count, .. } => (0..count).for_each(|gateway| self.kill_gateway(gateway)),
-            Fault::Lose { domain, index, gateways_too, .. } => self.stop_domain(domain, index, gateways_too),
-            Fault::SilenceCounter { .. } => self.counter.set_unresponsive(true),
-            Fault::SilenceDiscovery { .. } => self.discovery_unresponsive = true,
-            Fault::ChangeMembers { count, .. } => self.restart_servers(&Vec::from_iter(0..count)),
+            Fault::StopDomain { domain, index, include_gateways, .. } => {
+                self.stop_domain(domain, index, include_gateways)
+            }
+            Fault::StallCounter { .. } => self.counter.set_unresponsive(true),
+            Fault::StallDiscovery { .. } => self.discovery_unresponsive = true,
+            Fault::ChangeEndpoints { count, .. } => self.restart_servers(&Vec::from_iter(0..count)),
             Fault::ChangeConfiguration { .. } => self.publish_configuration(),
-            Fault::CutRegions { first, second, .. } => self.network.set_partitioned(first, second, true),
-            Fault::StopAnswering { gateway, .. } => self.gateways[gateway].stalled = true,
+            Fault::PartitionRegions { first, second, .. } => {
+                self.network.set_partitioned(first, second, true);
+            }
+            Fault::StallGateway { gateway, .. } => self.gateways[gateway].stalled = true,
         }
     }
 
@@ -73,20 +77,21 @@
         tracing::info!(fault = fault.name(), "fault ends");
         match fault {
             Fault::KillGateways { count, .. } => self.schedule_starts(0..count),
-            Fault::Lose { domain, index, gateways_too, .. } => {
-                self.restart_domain(domain, index, gateways_too);
+            Fault::StopDomain { domain, index, include_gateways, .. } => {
+                self.restart_domain(domain, index, include_gateways);
             }
-            Fault::SilenceCounter { .. } => self.counter.set_unresponsive(false),
-            Fault::SilenceDiscovery { .. } => {
+            Fault::StallCounter { .. } => self.counter.set_unresponsive(false),
+            Fault::StallDiscovery { .. } => {
                 self.discovery_unresponsive = false;
                 self.resend_to_agents();
             }
-            Fault::CutRegions { first, second, .. } => {
+            Fault::PartitionRegions { first, second, .. } => {
                 self.network.set_partitioned(first, second, false);
                 self.resend_to_agents();
             }
-            Fault::ChangeMembers { .. } | Fault::ChangeConfiguration { .. } | Fault::StopAnswering { .. } => {
-            }
+            Fault::ChangeEndpoints { .. }
+            | Fault::ChangeConfiguration { .. }
+            | Fault::StallGateway { .. } => {}
         }
     }
 
--- a/crates/scale-laboratory/src/hollow/point.rs
+++ b/crates/scale-laboratory/src/hollow/point.rs
@@ -13,7 +13,7 @@
         if counts.attempts > 0 {
             let gateways_per_server =
                 self.measurements.server_gateway_pairs.len() as f64 / self.servers.len() as f64;
-            point.metrics.insert(Metric::GatewaysOfServer, gateways_per_server);
+            point.metrics.insert(Metric::GatewaysPerServer, gateways_per_server);
         }
         if let Some(share) = self.over_quota() {
             point.metrics.insert(Metric::OverQuota, share);
--- a/crates/scale-laboratory/src/real/measurements.rs
+++ b/crates/scale-laboratory/src/real/measurements.rs
@@ -38,10 +38,10 @@
         point.metrics.extend(statistics.metrics());
         let propagation_delay = self.agents.take_max_propagation_delay();
         if !propagation_delay.is_zero() {
-            point.metrics.insert(Metric::ChangeInForce, milliseconds(propagation_delay));
+            point.metrics.insert(Metric::EndpointPropagation, milliseconds(propagation_delay));
         }
         if let Some(elapsed) = self.configuration_delay() {
-            point.metrics.insert(Metric::ConfigurationInForce, milliseconds(elapsed));
+            point.metrics.insert(Metric::ConfigurationPropagation, milliseconds(elapsed));
         }
         let duration = micros_from_seconds(self.experiment.load.duration_seconds);
         point.faults = statistics.timeline.fault_costs(&self.experiment.faults, duration);
@@ -55,7 +55,7 @@
         let cpu_seconds = cpu_time.as_secs_f64();
         let duration_seconds = self.experiment.load.duration_seconds;
         let mut metrics = vec![
-            (Metric::Resident, resident as f64 / running),
+            (Metric::ResidentMemory, resident as f64 / running),
             (Metric::GatewayCpu, cpu_seconds / duration_seconds / running),
         ];
         let arrivals = self.clients.statistics().arrivals;
--- a/crates/scale-laboratory/src/real/schedule.rs
+++ b/crates/scale-laboratory/src/real/schedule.rs
@@ -99,14 +99,14 @@
         Fault::KillGateways { count, .. } => {
             kill_and_restart(start_seconds, end_seconds, (0..count).collect())
         }
-        Fault::Lose { domain, index, gateways_too, .. } => {
+        Fault::StopDomain { domain, index, include_gateways, .. } => {
             let detected_seconds = start_seconds + experiment.discovery.notice_milliseconds / 1e3;
             let mut steps = vec![
                 Step::new(start_seconds, FaultAction::StopServers { domain, index }),
                 Step::new(detected_seconds.min(end_seconds), FaultAction::PublishStop { domain, index }),
                 Step::new(end_seconds, FaultAction::RestoreServers { domain, index }),
             ];
-            if gateways_too {
+            if include_gateways {
                 steps.extend(kill_and_restart(
                     start_seconds,
                     end_seconds,
@@ -115,20 +115,20 @@
             }
             steps
         }
-        Fault::SilenceCounter { .. } => vec![
+        Fault::StallCounter { .. } => vec![
             Step::new(start_seconds, FaultAction::SilenceCounter(true)),
             Step::new(end_seconds, FaultAction::SilenceCounter(false)),
         ],
-        Fault::SilenceDiscovery { .. } => vec![
+        Fault::StallDiscovery { .. } => vec![
             Step::new(start_seconds, FaultAction::SilenceDiscovery(true)),
             Step::new(end_seconds, FaultAction::SilenceDiscovery(false)),
         ],
-        Fault::ChangeMembers { count, .. } => {
+        Fault::ChangeEndpoints { count, .. } => {
             vec![Step::new(start_seconds, FaultAction::ChangeEndpoints(count))]
         }
         Fault::ChangeConfiguration { .. } => vec![Step::new(start_seconds, FaultAction::ChangeConfiguration)],
         // The validation of the experiment rejects these faults in real mode.
-        Fault::CutRegions { .. } | Fault::StopAnswering { .. } => Vec::new(),
+        Fault::PartitionRegions { .. } | Fault::StallGateway { .. } => Vec::new(),
     }
 }
 
--- a/crates/scale-laboratory/tests/program.rs
+++ b/crates/scale-laboratory/tests/program.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{program, standard_error, text};
+use common::{run_program, standard_error, toml};
 use grebehook_scale_laboratory::results::{Run, RunStatus};
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -23,7 +23,7 @@
 
 /// Runs an experiment file, with results in the folder.
 fn run_experiment(folder: &TempDir, file: &str) -> std::process::Output {
-    program(&["run", file, "--results", &folder.path().to_string_lossy()])
+    run_program(&["run", file, "--results", &folder.path().to_string_lossy()])
 }
 
 #[test]
@@ -32,7 +32,7 @@
     let sweep = "[sweep]\nparameter = \"gateways\"\nvalues = [2, 3, 4, 5, 6]\n";
     let file = write_experiment(
         &folder,
-        &text(&[("requests_per_second = 0.0", "requests_per_second = 100.0")], sweep),
+        &toml(&[("requests_per_second = 0.0", "requests_per_second = 100.0")], sweep),
     );
     let output = run_experiment(&folder, &file);
     assert!(output.status.success(), "{}", standard_error(&output));
@@ -56,10 +56,10 @@
 fn invalid_input_exits_with_2_and_reports_the_field() {
     let folder = TempDir::new().unwrap();
     let cases = [
-        (text(&[("gateways = 6", "gateways = 0")], ""), "fleet.gateways"),
-        (text(&[("seed = 7", "seed = \"seven\"")], ""), "seed"),
+        (toml(&[("gateways = 6", "gateways = 0")], ""), "fleet.gateways"),
+        (toml(&[("seed = 7", "seed = \"seven\"")], ""), "seed"),
         (
-            text(
+            toml(
                 &[
                     ("gateways = 6", "gateways = 2800"),
                     ("servers_per_service = 24", "servers_per_service = 190000"),
@@ -74,10 +74,10 @@
         assert_eq!(output.status.code(), Some(2), "{}", standard_error(&output));
         assert!(standard_error(&output).contains(reported), "{}", standard_error(&output));
     }
-    assert_eq!(program(&["run", "no-such-file.toml"]).status.code(), Some(2));
-    assert_eq!(program(&["fly"]).status.code(), Some(2));
-    let real = write_experiment(&folder, &text(&[("mode = \"hollow\"", "mode = \"real\"")], ""));
-    let output = program(&["run", &real, "--gateway-program", "no-such-program"]);
+    assert_eq!(run_program(&["run", "no-such-file.toml"]).status.code(), Some(2));
+    assert_eq!(run_program(&["fly"]).status.code(), Some(2));
+    let real = write_experiment(&folder, &toml(&[("mode = \"hollow\"", "mode = \"real\"")], ""));
+    let output = run_program(&["run", &real, "--gateway-program", "no-such-program"]);
     assert_eq!(output.status.code(), Some(2));
     assert!(standard_error(&output).contains("--gateway-program"), "{}", standard_error(&output));
 }
@@ -86,26 +86,26 @@
 fn missing_and_incomplete_results_exit_with_1() {
     let folder = TempDir::new().unwrap();
     let missing = folder.path().join("missing");
-    assert_eq!(program(&["report", &missing.to_string_lossy()]).status.code(), Some(1));
+    assert_eq!(run_program(&["report", &missing.to_string_lossy()]).status.code(), Some(1));
     let fault = "[[fault]]\nkind = \"stop-answering\"\nat_seconds = 1.0\ngateway = 4\n\
                  [sweep]\nparameter = \"requests-per-second\"\nvalues = [0, 100]\n";
-    let output = run_experiment(&folder, &write_experiment(&folder, &text(&[], fault)));
+    let output = run_experiment(&folder, &write_experiment(&folder, &toml(&[], fault)));
     assert_eq!(output.status.code(), Some(1), "{}", standard_error(&output));
     assert!(standard_error(&output).contains("gateway 4 stopped answering"), "{}", standard_error(&output));
     // The results keep the point measured before the failure; a report on an incomplete run is refused.
     let results = folder.path().join("small");
     let kept = Run::read(&results).unwrap();
     assert_eq!((kept.status, kept.points.len()), (RunStatus::Failed, 1));
-    let report = program(&["report", &results.to_string_lossy()]);
+    let report = run_program(&["report", &results.to_string_lossy()]);
     assert_eq!(report.status.code(), Some(1));
     assert!(standard_error(&report).contains("half written"), "{}", standard_error(&report));
     fs::write(results.join("run.json"), "{\"format\": 1, \"sta").unwrap();
-    assert_eq!(program(&["report", &results.to_string_lossy()]).status.code(), Some(1));
+    assert_eq!(run_program(&["report", &results.to_string_lossy()]).status.code(), Some(1));
 }
 
 #[test]
 fn list_prints_the_built_in_experiments() {
-    let output = program(&["list"]);
+    let output = run_program(&["list"]);
     assert!(output.status.success());
     let names = String::from_utf8(output.stdout).unwrap();
     assert!(names.lines().any(|line| line.starts_with("quick ")), "{names}");
@@ -113,7 +113,7 @@
 
 #[test]
 fn json_log_format_writes_json_entries() {
-    let output = program(&["--log-format", "json", "run", "no-such-file.toml"]);
+    let output = run_program(&["--log-format", "json", "run", "no-such-file.toml"]);
     let line = standard_error(&output);
     let entry: serde_json::Value = serde_json::from_str(line.lines().next().unwrap()).unwrap();
     assert_eq!(entry["level"], "ERROR");
@@ -144,11 +144,11 @@
     let folder = TempDir::new().unwrap();
     let faults = "[[fault]]\nkind = \"change-members\"\nat_seconds = 0.5\ncount = 2\n\
                   [[fault]]\nkind = \"change-configuration\"\nat_seconds = 1.0\n";
-    let file = write_experiment(&folder, &text(REAL_MODE, faults));
+    let file = write_experiment(&folder, &toml(REAL_MODE, faults));
     let results = folder.path().to_string_lossy().into_owned();
     let gateway = gateway_program();
     let output =
-        program(&["run", &file, "--results", &results, "--gateway-program", &gateway.to_string_lossy()]);
+        run_program(&["run", &file, "--results", &results, "--gateway-program", &gateway.to_string_lossy()]);
     assert!(output.status.success(), "{}", standard_error(&output));
     let run = Run::read_complete(&folder.path().join("small")).unwrap();
     let metric = |name: &str| {
@@ -196,7 +196,7 @@
 fn interrupted_run_leaves_no_process_and_keeps_its_results() {
     let folder = TempDir::new().unwrap();
     let long_run = [REAL_MODE, &[("duration_seconds = 3.0", "duration_seconds = 300.0")]].concat();
-    let file = write_experiment(&folder, &text(&long_run, ""));
+    let file = write_experiment(&folder, &toml(&long_run, ""));
     let mut laboratory = Command::new(env!("CARGO_BIN_EXE_grebehook-scale"))
         .args(["run", &file, "--results", &folder.path().to_string_lossy(), "--gateway-program"])
         .arg(gateway_program())
