--- a/crates/core/src/balancing/subset.rs
+++ b/crates/core/src/balancing/subset.rs
@@ -1,6 +1,6 @@
 //! The subset of the servers that one of many gateways sends to, so that each gateway needs few connections
 //! and observes each of its servers often enough. The subset is a range of the ready servers, ordered by
-//! number on a ring: the last is followed by the first. Positions count from the start of the range.
+//! id on a ring: the last is followed by the first. Positions count from the start of the range.
 
 use crate::endpoints::ranked_tree::Subset;
 use crate::endpoints::server::Server;
@@ -68,7 +68,7 @@
     /// Returns this gateway's subset of `ready` servers.
     pub(super) fn subset_range(&self, ready: usize) -> SubsetRange {
         let size = self.subset_size(ready);
-        // Start positions are spread evenly over the list, those of consecutive gateway numbers far apart.
+        // Start positions are spread evenly over the list, those of consecutive gateway indexes far apart.
         let start = if size == ready { 0 } else { (self.start_fraction() * ready as f64) as usize };
         SubsetRange { start, size, ready }
     }
--- a/crates/core/src/customer/counter_account.rs
+++ b/crates/core/src/customer/counter_account.rs
@@ -48,7 +48,7 @@
     possibly_counted_units: f64,
     /// Units that overflowed the bucket since the last total.
     overflow: f64,
-    /// Correction of the total that the call in flight makes.
+    /// Correction of the total, which the next call adds and which is kept until its reply.
     total_correction: f64,
     /// Requests that wait for the call in flight.
     queued_requests: Vec<RequestId>,
--- a/crates/core/src/customer/mod.rs
+++ b/crates/core/src/customer/mod.rs
@@ -59,7 +59,7 @@
     pub pacer: Pacer,
     /// This gateway's share of the plan's hard limit.
     pub hard_limit: HardLimit,
-    /// Account at the shared counter.
+    /// Record of the calls to the shared counter.
     pub counter: CounterAccount,
     /// Usage totals exchanged by gossip.
     pub peer_usage: PeerUsage,
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -48,7 +48,7 @@
     pub(crate) changed_customers: ChangedCustomers,
     /// Time of the last usage report in a response.
     pub(crate) usage_reported_at: Micros,
-    /// Budget for calls of the shared counter and the calls in flight.
+    /// Budget for calls to the shared counter and the calls in flight.
     pub(crate) counter_calls: CounterCalls,
     /// State of the gossip with peers.
     pub(crate) gossip: Gossip,
--- a/crates/core/src/gossip/mod.rs
+++ b/crates/core/src/gossip/mod.rs
@@ -85,7 +85,7 @@
             return;
         }
         let units = customer.peer_usage.record(from, incarnation, entry.total_eighths);
-        // A difference above the burst means that the total's beginning was missed.
+        // A difference above the burst shows that the start of the peer's running total was missed.
         let units = if units <= customer.plan.burst { units } else { 0.0 };
         customer.bucket.take_peer_usage(units, &customer.plan);
     }
--- a/crates/core/src/gossip/state.rs
+++ b/crates/core/src/gossip/state.rs
@@ -5,7 +5,7 @@
 
 /// Time without a message after which a peer is assumed to be down or unreachable.
 const PEER_TIMEOUT: Micros = 1_500_000;
-/// Time between two messages to a peer without queued entries. Fits three times into [`PEER_TIMEOUT`], since
+/// Time between two messages to a peer without queued entries. [`PEER_TIMEOUT`] covers three of them, since
 /// three lost messages in a row are rarer than a peer that is down.
 const HEARTBEAT_INTERVAL: Micros = 500_000;
 /// Fraction of a gateway's receive rate that messages from all its peers together may use.
--- a/crates/core/src/quota/counter_calls.rs
+++ b/crates/core/src/quota/counter_calls.rs
@@ -1,4 +1,5 @@
-//! The call budget of the shared counter, which adapts to the counter's latency, and the calls in flight.
+//! The budget for calls to the shared counter, which adapts to the counter's latency, and the calls in
+//! flight.
 
 use crate::api::{CounterId, CustomerId, Micros};
 use crate::customer::Customer;
@@ -34,7 +35,7 @@
 /// start of the window.
 const CUSTOMER_BITS: u32 = 33;
 
-/// A call of the shared counter for one customer.
+/// A call to the shared counter for one customer.
 #[derive(Clone, Copy)]
 pub(crate) struct CounterCall {
     /// Customer whose usage the call reports.
@@ -58,7 +59,7 @@
     }
 }
 
-/// The call budget of the shared counter and the calls in flight.
+/// The budget for calls to the shared counter and the calls in flight.
 #[derive(Default)]
 pub(crate) struct CounterCalls {
     /// Number of calls that may be made now.
--- a/crates/core/src/quota/counter_report.rs
+++ b/crates/core/src/quota/counter_report.rs
@@ -1,4 +1,4 @@
-//! Calls of the shared counter: which usage is reported, and when.
+//! Calls to the shared counter: which usage is reported, and when.
 
 use crate::api::{Action, CustomerId, Micros};
 use crate::customer::counter_account::COUNTER_KEY_LIFETIME;
--- a/crates/core/src/quota/usage_report.rs
+++ b/crates/core/src/quota/usage_report.rs
@@ -15,11 +15,11 @@
 /// Number of a customer's requests that the quota must allow within a report's period before a low demand is
 /// relied on.
 const LOW_DEMAND_MIN_REQUESTS: f64 = 2.0;
-/// Reported usage, as a fraction of the quota, from which a customer new to this gateway keeps in its bucket
+/// Reported usage, in multiples of the quota, from which a customer new to this gateway keeps in its bucket
 /// only what the counter's total leaves of the burst; without a total, nothing.
 const FULL_USAGE: f64 = 1.0;
 
-/// The accounting data of the request whose response holds a report.
+/// The accounting data of the request whose response carries a report.
 #[derive(Clone, Copy)]
 struct ReportedRequest {
     /// Estimated units of the request.
