--- a/crates/gateway/src/bodies/download.rs
+++ b/crates/gateway/src/bodies/download.rs
@@ -17,7 +17,7 @@
 pub enum ResponseContent {
     Buffered(Bytes),
     /// Forwarded as it arrives.
-    Forwarded(Box<Download>),
+    Streamed(Box<Download>),
 }
 
 impl ResponseContent {
@@ -26,7 +26,7 @@
         match self {
             ResponseContent::Buffered(data) if data.is_empty() => Poll::Ready(None),
             ResponseContent::Buffered(data) => Poll::Ready(Some(Ok(split_chunk(data)))),
-            ResponseContent::Forwarded(download) => download.poll_chunk(cx),
+            ResponseContent::Streamed(download) => download.poll_chunk(cx),
         }
     }
 
@@ -34,7 +34,7 @@
     pub fn is_complete(&self) -> bool {
         match self {
             ResponseContent::Buffered(data) => data.is_empty(),
-            ResponseContent::Forwarded(download) => download.on_complete.is_none(),
+            ResponseContent::Streamed(download) => download.on_complete.is_none(),
         }
     }
 
@@ -42,7 +42,7 @@
     pub fn size_hint(&self) -> SizeHint {
         match self {
             ResponseContent::Buffered(data) => SizeHint::with_exact(data.len() as u64),
-            ResponseContent::Forwarded(download) => download.size_hint(),
+            ResponseContent::Streamed(download) => download.size_hint(),
         }
     }
 }
--- a/crates/gateway/src/clients/connection.rs
+++ b/crates/gateway/src/clients/connection.rs
@@ -138,7 +138,7 @@
     }
 
     /// Asks the connection's task to close it unless a request arrives first.
-    pub fn request_close(&self) {
+    pub fn signal_close(&self) {
         self.closing.set(true);
         self.closing_mid_request.set(self.stream.request_began_at().is_some());
         self.close.notify_one();
@@ -150,17 +150,17 @@
     }
 
     /// Waits for a request to close the connection.
-    pub fn close_requested(&self) -> Notified<'_> {
+    pub fn close_signalled(&self) -> Notified<'_> {
         self.close.notified()
     }
 
     /// Asks the connection's task to close it after the current request, or at once if there is none.
-    pub fn request_drain(&self) {
+    pub fn signal_drain(&self) {
         self.drain.notify_one();
     }
 
     /// Waits for a request to close the connection after the current request.
-    pub fn drain_requested(&self) -> Notified<'_> {
+    pub fn drain_signalled(&self) -> Notified<'_> {
         self.drain.notified()
     }
 
--- a/crates/gateway/src/clients/connection/tests.rs
+++ b/crates/gateway/src/clients/connection/tests.rs
@@ -14,7 +14,7 @@
         let mut client_end = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let connection = ClientConnection::new(0, listener.accept().await.unwrap().0);
         connection.has_sent_request.set(true);
-        connection.request_close();
+        connection.signal_close();
         assert!(connection.may_close() && connection.may_drain());
         client_end.write_all(b"GET").unwrap();
         assert!(!connection.may_close() && !connection.may_drain());
--- a/crates/gateway/src/clients/connection_table.rs
+++ b/crates/gateway/src/clients/connection_table.rs
@@ -88,7 +88,7 @@
         };
         let selected = eviction::select(&candidates, Instant::now(), self.max_connections, has_unread_input);
         if let Some(connection) = selected.and_then(|key| connections.get(&key)) {
-            connection.request_close();
+            connection.signal_close();
         }
     }
 
@@ -99,7 +99,7 @@
         for connection in self.connections.borrow().values().filter(|connection| connection.is_expired(now)) {
             let stream = &connection.stream;
             if stream.request_began_at().is_some() || !stream.has_unread_input() {
-                connection.request_close();
+                connection.signal_close();
             }
         }
     }
@@ -108,7 +108,7 @@
     pub fn close_idle(&self) {
         for connection in self.connections.borrow().values() {
             if connection.is_idle() && !connection.has_incoming_request() {
-                connection.request_close();
+                connection.signal_close();
             }
         }
     }
@@ -116,7 +116,7 @@
     /// Closes all connections after their current request, and idle ones at once.
     pub fn drain(&self) {
         for connection in self.connections.borrow().values() {
-            connection.request_drain();
+            connection.signal_drain();
         }
     }
 }
--- a/crates/gateway/src/clients/disconnect.rs
+++ b/crates/gateway/src/clients/disconnect.rs
@@ -29,13 +29,13 @@
 
     /// Reports at once that the client has disconnected and returns the final answer to its request.
     pub fn report(&self) -> Answer {
-        self.driver.client_disconnected(self.id)
+        self.driver.handle_client_disconnect(self.id)
     }
 }
 
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        self.driver.client_disconnected(self.id);
+        self.driver.handle_client_disconnect(self.id);
     }
 }
 
--- a/crates/gateway/src/clients/eviction/tests.rs
+++ b/crates/gateway/src/clients/eviction/tests.rs
@@ -19,19 +19,19 @@
 /// Guards against one system call per idle connection for every accepted connection: in a flood these would
 /// use up the processor, and requests would wait in the listen queue for seconds.
 #[test]
-fn system_is_asked_only_about_the_connections_to_be_closed_next() {
+fn unread_input_is_checked_only_for_the_connections_to_be_closed_next() {
     let start = Instant::now();
     let now = start + Duration::from_secs(1);
     for count in [10, 100, 300, 1_000] {
         for has_sent_request in [false, true] {
-            let mut asked = Vec::new();
+            let mut checked = Vec::new();
             let candidates = connections(count, has_sent_request, start);
             let selected = select(&candidates, now, MAX_CONNECTIONS, |key| {
-                asked.push(key);
+                checked.push(key);
                 key < 2
             });
             assert_eq!(selected, Some(2), "{count} connections, has sent request: {has_sent_request}");
-            assert_eq!(asked, [0, 1, 2], "{count} connections, has sent request: {has_sent_request}");
+            assert_eq!(checked, [0, 1, 2], "{count} connections, has sent request: {has_sent_request}");
         }
     }
 }
--- a/crates/gateway/src/clients/request_handler.rs
+++ b/crates/gateway/src/clients/request_handler.rs
@@ -6,7 +6,7 @@
 use crate::clients::connection::ClientConnection;
 use crate::clients::disconnect::{wait_for_disconnect, DisconnectGuard};
 use crate::clients::request_error::RequestError;
-use crate::clients::request_head::RequestHeadReader;
+use crate::clients::request_head::RequestHeadParser;
 use crate::clients::response::{
     announce_close, answer_response, error_response, text_response, ResponseBody,
 };
@@ -39,7 +39,7 @@
 pub struct RequestHandler {
     driver: Rc<DecisionDriver>,
     /// Parses request heads.
-    head_reader: RequestHeadReader,
+    head_parser: RequestHeadParser,
     /// Memory for buffered parts of request bodies, in permits of [`BYTES_PER_PERMIT`].
     body_memory: Arc<Semaphore>,
 }
@@ -63,11 +63,11 @@
     /// one body if that is more.
     pub fn new(
         driver: Rc<DecisionDriver>,
-        head_reader: RequestHeadReader,
+        head_parser: RequestHeadParser,
         body_memory_bytes: usize,
     ) -> RequestHandler {
         let permits = body_memory_bytes.max(MAX_BUFFERED_BODY_BYTES) / BYTES_PER_PERMIT;
-        RequestHandler { driver, head_reader, body_memory: Arc::new(Semaphore::new(permits)) }
+        RequestHandler { driver, head_parser, body_memory: Arc::new(Semaphore::new(permits)) }
     }
 
     /// Returns the response to a request.
@@ -124,7 +124,7 @@
     ) -> Result<AnsweredRequest, RequestError> {
         let (head, body) = request.into_parts();
         check_body_length(&client.stream, &head.headers)?;
-        let request_head = self.head_reader.read(&head.method, &head.headers)?;
+        let request_head = self.head_parser.parse(&head.method, &head.headers)?;
         let body = Rc::new(self.read_body(client, body).await?);
         if head.method == Method::GET && body.length() != Some(0) {
             return Err(InvalidHeader(CONTENT_LENGTH).into());
--- a/crates/gateway/src/clients/request_head.rs
+++ b/crates/gateway/src/clients/request_head.rs
@@ -13,7 +13,7 @@
 const MAX_REQUEST_ID_LENGTH: usize = 64;
 
 /// Parses request heads according to the settings and the configured names of classes and plans.
-pub struct RequestHeadReader {
+pub struct RequestHeadParser {
     /// Settings of the decision core.
     pub settings: Settings,
     /// Configured names of the classes and plans.
@@ -22,9 +22,9 @@
     pub max_units: f64,
 }
 
-impl RequestHeadReader {
+impl RequestHeadParser {
     /// Parses a request head, or returns the reason why the request is not accepted.
-    pub fn read(&self, method: &Method, headers: &HeaderMap) -> Result<RequestHead, RequestError> {
+    pub fn parse(&self, method: &Method, headers: &HeaderMap) -> Result<RequestHead, RequestError> {
         let id_length = headers::single_text(headers, headers::REQUEST_ID)?.len();
         if !(1..=MAX_REQUEST_ID_LENGTH).contains(&id_length) {
             return Err(InvalidHeader(headers::REQUEST_ID).into());
@@ -44,7 +44,7 @@
             customer: headers::customer(headers)?,
             client_timeout: parse_client_timeout(timeout_text, class_settings)?,
             units: quota.units,
-            customer_gateway_count: quota.gateway_count,
+            customer_gateway_count: quota.customer_gateway_count,
             first_gateway: quota.first_gateway,
             deduplication_window: match class_settings.idempotency {
                 Idempotency::IdempotencyKey { window, .. } => Some(window),
@@ -60,13 +60,13 @@
         let fleet_size = self.settings.gateway_count;
         let is_possible = quota.units > 0.0
             && quota.units <= self.max_units
-            && (1..=fleet_size).contains(&quota.gateway_count)
+            && (1..=fleet_size).contains(&quota.customer_gateway_count)
             && quota.first_gateway < fleet_size;
         if !is_possible {
             return false;
         }
         let position = (self.settings.gateway_index + fleet_size - quota.first_gateway) % fleet_size;
-        position < quota.gateway_count
+        position < quota.customer_gateway_count
     }
 }
 
--- a/crates/gateway/src/clients/response.rs
+++ b/crates/gateway/src/clients/response.rs
@@ -44,7 +44,7 @@
     /// Marks the client connection as streaming until this body is dropped, if the body is forwarded as it
     /// arrives.
     pub fn mark_streaming(&mut self, client: &Rc<ClientConnection>) {
-        if let ResponseContent::Forwarded(_) = self.content {
+        if let ResponseContent::Streamed(_) = self.content {
             client.begin_streaming();
             self.streaming_to = Some(client.clone());
         }
--- a/crates/gateway/src/clients/server.rs
+++ b/crates/gateway/src/clients/server.rs
@@ -4,7 +4,7 @@
 use crate::clients::connection::ClientConnection;
 use crate::clients::connection_table::ConnectionTable;
 use crate::clients::request_handler::RequestHandler;
-use crate::clients::request_head::RequestHeadReader;
+use crate::clients::request_head::RequestHeadParser;
 use crate::clients::response::{announce_close, ResponseBody};
 use crate::clients::stream::transport::ClientStreamIo;
 use crate::driver::decision_driver::DecisionDriver;
@@ -43,13 +43,13 @@
     /// `body_memory_bytes` of memory.
     pub fn new(
         driver: Rc<DecisionDriver>,
-        head_reader: RequestHeadReader,
+        head_parser: RequestHeadParser,
         max_connections: usize,
         body_memory_bytes: usize,
     ) -> Rc<ClientServer> {
         Rc::new(ClientServer {
             connections: ConnectionTable::new(max_connections),
-            handler: RequestHandler::new(driver, head_reader, body_memory_bytes),
+            handler: RequestHandler::new(driver, head_parser, body_memory_bytes),
             accept_error_handler: AcceptErrorHandler::default(),
             stopping: Cell::new(false),
             handed_over: Cell::new(false),
@@ -189,10 +189,10 @@
                 // A broken connection affects no other client. hyper itself responds to requests that it
                 // cannot parse.
                 result = connection.as_mut() => break result.is_err() || client.must_discard_input(),
-                () = client.drain_requested() => if client.may_drain() {
+                () = client.drain_signalled() => if client.may_drain() {
                     connection.as_mut().graceful_shutdown();
                 },
-                () = client.close_requested() => {
+                () = client.close_signalled() => {
                     if client.may_close() {
                         return;
                     }
@@ -203,7 +203,7 @@
         if may_have_input {
             tokio::select! {
                 () = client.stream.lingering_close() => {}
-                () = client.close_requested() => {}
+                () = client.close_signalled() => {}
             }
         }
     }
--- a/crates/gateway/src/clients/stream.rs
+++ b/crates/gateway/src/clients/stream.rs
@@ -55,7 +55,7 @@
     is_responding: Cell<bool>,
     /// Whether a request is in progress. Meanwhile only [`ClientStream::wait_for_disconnect`] reads the
     /// socket.
-    request_in_progress: Cell<bool>,
+    waiting_for_disconnect: Cell<bool>,
     /// Whether hyper's next read is postponed by one poll. The last read may have completed a request; the
     /// request's service must run before hyper reads on, finds that the client closed its sending side and
     /// drops the request.
@@ -80,7 +80,7 @@
             input: RefCell::new(input),
             request_began_at: Cell::new(None),
             is_responding: Cell::new(false),
-            request_in_progress: Cell::new(false),
+            waiting_for_disconnect: Cell::new(false),
             defers_next_read: Cell::new(false),
             last_written_at: Cell::new(Instant::now()),
             last_read_at: Cell::new(Instant::now()),
@@ -177,7 +177,7 @@
     /// Waits, while a request is in progress, until the client closes its sending side or the connection
     /// breaks. hyper does not detect this behind further input, so that input is read here and stored.
     pub async fn wait_for_disconnect(&self) {
-        let _guard = RequestInProgressGuard::new(&self.request_in_progress);
+        let _guard = DisconnectWaitGuard::new(&self.waiting_for_disconnect);
         poll_fn(|cx| self.poll_disconnected(cx)).await;
     }
 
@@ -257,20 +257,20 @@
 }
 
 /// Marks a request as in progress until the guard is dropped.
-struct RequestInProgressGuard<'a> {
-    request_in_progress: &'a Cell<bool>,
+struct DisconnectWaitGuard<'a> {
+    waiting_for_disconnect: &'a Cell<bool>,
 }
 
-impl<'a> RequestInProgressGuard<'a> {
+impl<'a> DisconnectWaitGuard<'a> {
     /// Marks a request as in progress.
-    fn new(request_in_progress: &'a Cell<bool>) -> RequestInProgressGuard<'a> {
-        request_in_progress.set(true);
-        RequestInProgressGuard { request_in_progress }
+    fn new(waiting_for_disconnect: &'a Cell<bool>) -> DisconnectWaitGuard<'a> {
+        waiting_for_disconnect.set(true);
+        DisconnectWaitGuard { waiting_for_disconnect }
     }
 }
 
-impl Drop for RequestInProgressGuard<'_> {
+impl Drop for DisconnectWaitGuard<'_> {
     fn drop(&mut self) {
-        self.request_in_progress.set(false);
+        self.waiting_for_disconnect.set(false);
     }
 }
--- a/crates/gateway/src/clients/stream/transport.rs
+++ b/crates/gateway/src/clients/stream/transport.rs
@@ -15,7 +15,7 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let stream = &self.0;
         // No waker is needed: hyper polls again once the request has its response.
-        if stream.request_in_progress.get() {
+        if stream.waiting_for_disconnect.get() {
             return Poll::Pending;
         }
         if stream.defers_next_read.replace(false) {
--- a/crates/gateway/src/config/document.rs
+++ b/crates/gateway/src/config/document.rs
@@ -42,9 +42,9 @@
     /// Listen address for operators; `None` disables the operators' server.
     pub operations_listen: Option<SocketAddr>,
     /// Address of the discovery agent.
-    pub discovery: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// Address of the shared counter, if the gateway uses one.
-    pub counter: Option<SocketAddr>,
+    pub counter_address: Option<SocketAddr>,
     /// Listen address for gossip; `None` disables gossip.
     pub peer_listen: Option<SocketAddr>,
     /// Gossip addresses of all gateways, by gateway index.
@@ -126,15 +126,15 @@
             name: file.name.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
             listen: file.listen,
             operations_listen: file.operations_listen,
-            discovery: file.discovery,
-            counter: file.counter,
+            discovery_address: file.discovery,
+            counter_address: file.counter,
             peer_listen: file.peer_listen,
             peers: file.peers.unwrap_or_default(),
             seed: file.seed,
             max_descriptors: max_descriptors(limits.max_descriptors),
             max_memory_bytes: max_memory_bytes(limits.max_memory_mb),
             known_endpoints: file.known_endpoints.into_list(&names),
-            max_units: max_units(transport.customer_interface.max_units),
+            max_units: max_units(transport.quota_accounting.max_units),
             settings,
             names,
             connect_timeout: transport.limits.connect_timeout,
--- a/crates/gateway/src/config/file.rs
+++ b/crates/gateway/src/config/file.rs
@@ -76,7 +76,7 @@
     pub limits: ConnectionLimits,
     /// Properties of the interface that customers use.
     #[serde(rename = "familyInfo", default, deserialize_with = "fields::lenient_object")]
-    pub customer_interface: CustomerInterface,
+    pub quota_accounting: QuotaAccounting,
 }
 
 /// Limits of connections to servers.
@@ -93,7 +93,7 @@
 /// Properties of the interface that customers use.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct CustomerInterface {
+pub struct QuotaAccounting {
     /// Limit on the units of one request.
     #[serde(deserialize_with = "fields::lenient")]
     pub max_units: Option<f64>,
--- a/crates/gateway/src/control/discovery.rs
+++ b/crates/gateway/src/control/discovery.rs
@@ -137,7 +137,7 @@
         let is_unchanged = self.known_version == Some(list.version) && list.endpoints.is_empty();
         self.known_version = Some(list.version);
         let watch_event = if list.is_snapshot { WatchEvent::Snapshot } else { WatchEvent::Delta };
-        driver.endpoints_changed(watch_event, list.endpoints);
+        driver.handle_endpoint_update(watch_event, list.endpoints);
         (is_unchanged && started_at.elapsed() < RETRY_INTERVAL).then_some(RETRY_INTERVAL)
     }
 
@@ -159,7 +159,7 @@
         if error.invalidates_version() {
             self.known_version = None;
         }
-        driver.endpoints_changed(WatchEvent::Failed, Vec::new());
+        driver.handle_endpoint_update(WatchEvent::Failed, Vec::new());
         let delay = self.backoff.delay_after(error, self.is_shared_service);
         delay.min(MAX_CALL_INTERVAL.saturating_sub(started_at.elapsed()))
     }
--- a/crates/gateway/src/driver/decision_driver.rs
+++ b/crates/gateway/src/driver/decision_driver.rs
@@ -74,7 +74,7 @@
         request_counters: Rc<RequestCounters>,
     ) -> Rc<DecisionDriver> {
         let mut timers = TimerQueue::default();
-        timers.arm(clock.now() + timer_loop::CLOSE_EXPIRED_INTERVAL, Timer::CloseExpiredConnections);
+        timers.arm(clock.now() + timer_loop::EXPIRY_CHECK_INTERVAL, Timer::CloseExpiredServerConnections);
         let state = DriverState {
             decision_core,
             requests: RequestTable::default(),
@@ -93,7 +93,7 @@
     }
 
     /// Applies an event of the endpoint watch to the connection pool, then to the decision core.
-    pub fn endpoints_changed(self: &Rc<Self>, watch_event: WatchEvent, listed: Vec<ListedEndpoint>) {
+    pub fn handle_endpoint_update(self: &Rc<Self>, watch_event: WatchEvent, listed: Vec<ListedEndpoint>) {
         if watch_event != WatchEvent::Failed {
             self.transports.upstream.pool.update(watch_event != WatchEvent::Delta, &listed);
         }
@@ -105,29 +105,29 @@
     }
 
     /// Notifies the decision core of a shutdown: every request must have its final answer by the deadline.
-    pub fn shut_down_by(self: &Rc<Self>, deadline: Instant) {
-        self.handle(Event::Shutdown { deadline: self.clock.micros_at(deadline) });
+    pub fn begin_shutdown(self: &Rc<Self>, deadline: Instant) {
+        self.handle_event(Event::Shutdown { deadline: self.clock.micros_at(deadline) });
     }
 
     /// Passes a gossip message from another gateway to the decision core.
-    pub fn gossip_received(self: &Rc<Self>, from: usize, message: Vec<u8>) {
-        self.handle(Event::GossipReceived { from, message });
+    pub fn handle_gossip(self: &Rc<Self>, from: usize, message: Vec<u8>) {
+        self.handle_event(Event::GossipReceived { from, message });
     }
 
     /// Returns the state of the decision core for the successor process.
-    pub fn hand_over(&self) -> String {
+    pub fn handover_state(&self) -> String {
         self.state.borrow_mut().decision_core.hand_over(self.clock.now())
     }
 
     /// Restores the state from the predecessor process. Continues without it if it is not valid.
-    pub fn take_over(&self, text: &str) {
+    pub fn restore_handover_state(&self, text: &str) {
         if let Err(error) = self.state.borrow_mut().decision_core.take_over(self.clock.now(), text) {
             warn!(%error, "cannot restore the predecessor's state; the decision core starts without it");
         }
     }
 
     /// Closes the idle connections to servers.
-    pub fn close_idle(&self) {
+    pub fn close_idle_server_connections(&self) {
         self.transports.upstream.pool.close_idle();
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// Queues an event and processes all queued events.
-    fn handle(self: &Rc<Self>, event: Event) {
+    fn handle_event(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         state.events.push_back(event);
         self.process_events(&mut state);
@@ -146,11 +146,11 @@
 
     /// Passes all queued events to the decision core and carries out its actions.
     fn process_events(self: &Rc<Self>, state: &mut DriverState) {
-        self.process_events_from(state, self.clock.now());
+        self.process_events_at(state, self.clock.now());
     }
 
     /// Processes all queued events, the first one with `now` as its time.
-    fn process_events_from(self: &Rc<Self>, state: &mut DriverState, mut now: Micros) {
+    fn process_events_at(self: &Rc<Self>, state: &mut DriverState, mut now: Micros) {
         while let Some(event) = state.events.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
             let decision_core = &mut state.decision_core;
@@ -195,7 +195,7 @@
             let path = driver.transports.health_check_path;
             let HealthCheckResult { status, load_report } =
                 upstream.check_health(server, path, HEALTH_CHECK_TIMEOUT).await;
-            driver.handle(Event::HealthCheckCompleted { server, status, load_report });
+            driver.handle_event(Event::HealthCheckCompleted { server, status, load_report });
         });
     }
 
@@ -223,7 +223,7 @@
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             let reply = shared_counter.add(counter, amount, ttl).await;
-            driver.handle(reply);
+            driver.handle_event(reply);
         });
     }
 }
--- a/crates/gateway/src/driver/decision_driver/attempts.rs
+++ b/crates/gateway/src/driver/decision_driver/attempts.rs
@@ -30,14 +30,15 @@
         let deadline = request.attempt_deadline(now, Some(timeout).filter(|timeout| *timeout > 0));
         let connection = Rc::new(AttemptConnection::default());
         let deadlines = AttemptDeadlines {
-            send_by: self.clock.instant_at(request.send_by(deadline)),
-            answer_by: self.clock.instant_at(deadline),
+            send_deadline: self.clock.instant_at(request.send_deadline(deadline)),
+            response_deadline: self.clock.instant_at(deadline),
         };
-        let exchange = self.clone().exchange(server, connection.clone(), request.outgoing.clone(), deadlines);
+        let exchange =
+            self.clone().send_attempt(server, connection.clone(), request.outgoing.clone(), deadlines);
         let driver = self.clone();
         let task = tokio::task::spawn_local(async move {
             let outcome = exchange.await;
-            driver.attempt_ended(id, attempt, outcome);
+            driver.handle_attempt_end(id, attempt, outcome);
         });
         let task = task.abort_handle();
         request.in_flight = Some(InFlightAttempt { attempt, server, sent_at: now, connection, task });
@@ -48,7 +49,7 @@
 
     /// Exchanges one attempt with a server, and counts the attempt once its request has been written
     /// completely.
-    async fn exchange(
+    async fn send_attempt(
         self: Rc<Self>,
         server: ServerId,
         connection: Rc<AttemptConnection>,
@@ -61,7 +62,7 @@
 
     /// Handles the end of an attempt that was not aborted. A successful response is passed to the client
     /// immediately and ends the request.
-    fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: u32, mut outcome: AttemptOutcome) {
+    fn handle_attempt_end(self: &Rc<Self>, id: RequestId, attempt: u32, mut outcome: AttemptOutcome) {
         let mut state = self.state.borrow_mut();
         let Some(request) = state.requests.get_mut(id) else { return };
         let Some(ended) = request.in_flight.take_if(|in_flight| in_flight.attempt == attempt) else { return };
@@ -82,7 +83,7 @@
         let pool = &self.transports.upstream.pool;
         let is_affected =
             |attempt: &InFlightAttempt| attempt.connection.is_connecting() && !pool.is_ready(attempt.server);
-        for id in state.requests.with_attempt(is_affected) {
+        for id in state.requests.ids_with_attempt(is_affected) {
             self.abort_attempt(state, id, AttemptStatus::ConnectFailed);
         }
     }
--- a/crates/gateway/src/driver/decision_driver/requests.rs
+++ b/crates/gateway/src/driver/decision_driver/requests.rs
@@ -36,12 +36,12 @@
         // The decision core must get the time that the deadline timer was computed from. On a busy machine, a
         // second reading of the clock can be later by more than the core's margin, and the deadline would
         // then fall due before the core's own timer.
-        self.process_events_from(&mut state, now);
+        self.process_events_at(&mut state, now);
         Some(SubmittedRequest { id, answer, counter: self.request_counters.begin(head.class) })
     }
 
-    /// Arranges for [`DecisionDriver::body_complete`] to be called once a request's body has been forwarded
-    /// completely. Returns whether part of the body has yet to be forwarded.
+    /// Arranges for [`DecisionDriver::handle_body_forwarded`] to be called once a request's body has been
+    /// forwarded completely. Returns whether part of the body has yet to be forwarded.
     fn notify_when_body_forwarded(
         self: &Rc<Self>,
         state: &DriverState,
@@ -54,27 +54,27 @@
         request
             .outgoing
             .body
-            .on_forwarded(move || driver.body_complete(id, client_timeout, newest_byte_age()))
+            .on_forwarded(move || driver.handle_body_forwarded(id, client_timeout, newest_byte_age()))
     }
 
     /// Restarts the request's time after the last part of a long body has been forwarded. The time counts
     /// from the arrival of that part at this machine, `age` ago.
-    fn body_complete(self: &Rc<Self>, id: RequestId, client_timeout: Micros, age: Duration) {
+    fn handle_body_forwarded(self: &Rc<Self>, id: RequestId, client_timeout: Micros, age: Duration) {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
         let Some(request) = state.requests.get_mut(id) else { return };
         let age = age.as_micros() as Micros;
         let deadline = now + client_timeout.saturating_sub(age);
-        if let Some(attempt) = request.restart_timing(now, deadline) {
+        if let Some(attempt) = request.restart_timeouts(now, deadline) {
             self.arm(&mut state, deadline, Timer::AttemptTimeout { id, attempt });
         }
         self.arm(&mut state, deadline, Timer::RequestDeadline(id));
         state.events.push_back(Event::BodyComplete { id, age });
-        self.process_events_from(&mut state, now);
+        self.process_events_at(&mut state, now);
     }
 
     /// Ends a request whose client has disconnected, and returns its final answer.
-    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) -> Answer {
+    pub fn handle_client_disconnect(self: &Rc<Self>, id: RequestId) -> Answer {
         let mut state = self.state.borrow_mut();
         let Some(request) = state.requests.get_mut(id) else { return Answer::Failed };
         let answer = request.answer_without_response();
--- a/crates/gateway/src/driver/decision_driver/timer_loop.rs
+++ b/crates/gateway/src/driver/decision_driver/timer_loop.rs
@@ -9,7 +9,7 @@
 
 /// Interval between checks for idle connections that have expired, in microseconds. It is also the maximum
 /// sleep of the timer loop.
-pub(super) const CLOSE_EXPIRED_INTERVAL: Micros = 500_000;
+pub(super) const EXPIRY_CHECK_INTERVAL: Micros = 500_000;
 
 impl DecisionDriver {
     /// Fires timers when they are due. Never returns.
@@ -32,7 +32,7 @@
         }
         let DriverState { timers, requests, .. } = &mut *state;
         timers.discard_obsolete(|timer| requests.is_obsolete(timer));
-        let latest = self.clock.now() + CLOSE_EXPIRED_INTERVAL;
+        let latest = self.clock.now() + EXPIRY_CHECK_INTERVAL;
         self.clock.instant_at(timers.schedule_wake(latest))
     }
 
@@ -44,10 +44,10 @@
                 self.abort_if_in_flight(state, id, attempt, AttemptStatus::Timeout);
             }
             Timer::RequestDeadline(id) => self.expire_request(state, id),
-            Timer::CloseExpiredConnections => {
+            Timer::CloseExpiredServerConnections => {
                 self.transports.upstream.pool.close_expired();
-                let next = self.clock.now() + CLOSE_EXPIRED_INTERVAL;
-                self.arm(state, next, Timer::CloseExpiredConnections);
+                let next = self.clock.now() + EXPIRY_CHECK_INTERVAL;
+                self.arm(state, next, Timer::CloseExpiredServerConnections);
             }
         }
     }
--- a/crates/gateway/src/driver/request_table.rs
+++ b/crates/gateway/src/driver/request_table.rs
@@ -109,7 +109,7 @@
     /// Returns the latest time at which an attempt may be written. The decision core checks the deduplication
     /// window when it decides on the attempt. An attempt whose connection is established after the end of the
     /// window must not be sent, because the request could take effect twice.
-    pub fn send_by(&self, attempt_deadline: Micros) -> Micros {
+    pub fn send_deadline(&self, attempt_deadline: Micros) -> Micros {
         let first_run = self.first_run_sent_at.zip(self.deduplication_window);
         let window_end = first_run.map(|(sent_at, window)| sent_at + window);
         window_end.map_or(attempt_deadline, |end| attempt_deadline.min(end))
@@ -117,7 +117,7 @@
 
     /// Restarts the request's time once the last part of a long body has been forwarded. Returns the index of
     /// the attempt in flight.
-    pub fn restart_timing(&mut self, now: Micros, deadline: Micros) -> Option<u32> {
+    pub fn restart_timeouts(&mut self, now: Micros, deadline: Micros) -> Option<u32> {
         self.deadline = deadline;
         let attempt = self.in_flight.as_mut()?;
         attempt.sent_at = now;
@@ -207,7 +207,7 @@
     }
 
     /// Returns the requests whose attempt in flight satisfies a condition, ordered by id.
-    pub fn with_attempt(&self, condition: impl Fn(&InFlightAttempt) -> bool) -> Vec<RequestId> {
+    pub fn ids_with_attempt(&self, condition: impl Fn(&InFlightAttempt) -> bool) -> Vec<RequestId> {
         let satisfies = |request: &PendingRequest| request.in_flight.as_ref().is_some_and(&condition);
         let selected = self.requests.iter().filter(|(_, request)| satisfies(request));
         let mut ids: Vec<RequestId> = selected.map(|(id, _)| *id).collect();
@@ -237,7 +237,7 @@
     /// Returns whether a timer no longer has any effect because its request or attempt has ended.
     pub fn is_obsolete(&self, timer: Timer) -> bool {
         match timer {
-            Timer::Decision(_) | Timer::CloseExpiredConnections => false,
+            Timer::Decision(_) | Timer::CloseExpiredServerConnections => false,
             Timer::AttemptTimeout { id, attempt } => !self.is_in_flight(id, attempt),
             Timer::RequestDeadline(id) => !self.is_unanswered(id),
         }
--- a/crates/gateway/src/driver/timers.rs
+++ b/crates/gateway/src/driver/timers.rs
@@ -19,7 +19,7 @@
     Decision(TimerId),
     RequestDeadline(RequestId),
     /// Periodic closing of connections that have been idle for too long.
-    CloseExpiredConnections,
+    CloseExpiredServerConnections,
 }
 
 /// A timer and its due time, ordered by due time first.
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -24,7 +24,7 @@
     /// Path of the configuration file.
     pub path: PathBuf,
     /// Sends the address of the discovery agent to the endpoint watch.
-    pub discovery_agent: watch::Sender<SocketAddr>,
+    pub discovery_address: watch::Sender<SocketAddr>,
     /// Client of the shared counter, if the gateway uses one.
     pub counter: Option<Rc<SharedCounter>>,
 }
@@ -60,10 +60,11 @@
 
     /// Applies the addresses of a configuration.
     fn apply(&self, config: &Config) {
-        let replace =
-            |current: &mut SocketAddr| std::mem::replace(current, config.discovery) != config.discovery;
-        let discovery_agent_changed = self.discovery_agent.send_if_modified(replace);
-        let counter = self.counter.as_ref().zip(config.counter);
+        let replace = |current: &mut SocketAddr| {
+            std::mem::replace(current, config.discovery_address) != config.discovery_address
+        };
+        let discovery_agent_changed = self.discovery_address.send_if_modified(replace);
+        let counter = self.counter.as_ref().zip(config.counter_address);
         let counter_changed = counter.is_some_and(|(counter, address)| counter.set_address(address));
         let file = self.path.display();
         info!(%file, discovery_agent_changed, counter_changed, "configuration reloaded");
--- a/crates/gateway/src/lifecycle/services.rs
+++ b/crates/gateway/src/lifecycle/services.rs
@@ -31,7 +31,7 @@
     /// Client of the shared counter, if the gateway uses one.
     pub counter: Option<Rc<SharedCounter>>,
     /// Sends the address of another discovery agent to the endpoint watch.
-    pub discovery_agent: watch::Sender<SocketAddr>,
+    pub discovery_address: watch::Sender<SocketAddr>,
 }
 
 /// Starts the services. The known endpoint list is moved out of the configuration.
@@ -45,18 +45,18 @@
     let request_counters = RequestCounters::new(config.names.classes.clone());
     let driver = DecisionDriver::new(gateway, clock, transports, request_counters);
     let known_endpoints = std::mem::take(&mut config.known_endpoints.endpoints);
-    driver.endpoints_changed(WatchEvent::CachedSnapshot, known_endpoints);
+    driver.handle_endpoint_update(WatchEvent::CachedSnapshot, known_endpoints);
     spawn_local(driver.clone().run_timers());
     if let Some(peers) = peers {
         let driver = driver.clone();
-        spawn_local(peers.receive(move |from, message| driver.gossip_received(from, message)));
+        spawn_local(peers.receive(move |from, message| driver.handle_gossip(from, message)));
     }
-    let (discovery_agent, addresses) = watch::channel(config.discovery);
+    let (discovery_address, addresses) = watch::channel(config.discovery_address);
     let known_version = config.known_endpoints.version;
     let names = config.names.clone();
     let watch = EndpointWatch::new(addresses, names, known_version, &config.settings, config.seed);
     spawn_local(watch.run(driver.clone()));
-    Ok(Services { driver, counter, discovery_agent })
+    Ok(Services { driver, counter, discovery_address })
 }
 
 /// Creates the transports with which the actions of the decision core are carried out.
@@ -76,7 +76,7 @@
     Ok(Transports {
         upstream: Rc::new(upstream),
         peers,
-        counter: config.counter.map(counter_at),
+        counter: config.counter_address.map(counter_at),
         health_check_path: if reports_load { LOAD_REPORT_PATH } else { PING_PATH },
     })
 }
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -56,7 +56,7 @@
         listener: ClientListener,
         serving_end: &ServingEnd,
     ) {
-        driver.shut_down_by(self.answer_deadline());
+        driver.begin_shutdown(self.answer_deadline());
         clients.stop();
         if serving_end.is_handed_over {
             // The backlog stays open as long as any process holds the listener, and the successor may end
--- a/crates/gateway/src/lifecycle/shutdown/tests.rs
+++ b/crates/gateway/src/lifecycle/shutdown/tests.rs
@@ -9,7 +9,7 @@
 /// Guards against schedules in which short deadlines cut off clients that connect in time, or in which idle
 /// connections close before the listener or after the process exits, or the exit comes after SIGKILL.
 #[test]
-fn shutdown_times_are_in_order_however_short_the_deadlines() {
+fn shutdown_steps_are_in_order_however_short_the_deadlines() {
     for deadline in [1, 50, 100, 300, 500, 1_000, 3_000, 20_000].map(Duration::from_millis) {
         let signalled_at = Instant::now();
         let shutdown = Shutdown::new(signalled_at, deadline);
--- a/crates/gateway/src/lifecycle/startup.rs
+++ b/crates/gateway/src/lifecycle/startup.rs
@@ -102,7 +102,7 @@
         None => None,
     };
     if let Some(Predecessor { listener, state, control_connection }) = predecessor {
-        driver.take_over(&state);
+        driver.restore_handover_state(&state);
         return Ok(ClientListener { socket: listener, predecessor: Some(control_connection) });
     }
     let socket = retry_bind("clients", || async { bind_client_listener(address) }).await?;
--- a/crates/gateway/src/lifecycle/takeover.rs
+++ b/crates/gateway/src/lifecycle/takeover.rs
@@ -135,8 +135,8 @@
     driver: &Rc<DecisionDriver>,
 ) -> io::Result<()> {
     send_descriptor(successor.get_ref(), listener.as_fd()).await?;
-    driver.close_idle();
-    let state = driver.hand_over();
+    driver.close_idle_server_connections();
+    let state = driver.handover_state();
     successor.write_u64(state.len() as u64).await?;
     successor.write_all(state.as_bytes()).await
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -12,7 +12,7 @@
 mod operations;
 mod servers;
 
-use crate::clients::request_head::RequestHeadReader;
+use crate::clients::request_head::RequestHeadParser;
 use crate::clients::server::ClientServer;
 use crate::config::command_line::{CommandLine, CONFIG_VARIABLE};
 use crate::config::document::Config;
@@ -96,9 +96,9 @@
 /// Starts the gateway, serves clients until a stop signal, and shuts down.
 async fn serve(mut config: Config, path: PathBuf) -> Result<(), RunError> {
     let mut signals = Signals::install().map_err(RunError::Signal)?;
-    let shutdown_limit = config.longest_deadline();
+    let longest_deadline = config.longest_deadline();
     let resources = ResourceBudget::new(&config);
-    let Services { driver, counter, discovery_agent } = services::start(&mut config, &resources).await?;
+    let Services { driver, counter, discovery_address } = services::start(&mut config, &resources).await?;
     let name = config.name.clone();
     let operations_listen = config.operations_listen;
 
@@ -112,7 +112,7 @@
     };
     let address = listener.socket.local_addr().map_err(RunError::LocalAddress)?;
     let control_socket = takeover::listen_for_successor(address);
-    spawn_local(ConfigReloader { path, discovery_agent, counter }.run(signals.reload));
+    spawn_local(ConfigReloader { path, discovery_address, counter }.run(signals.reload));
     let clients = start_client_server(config, &resources, &driver);
     info!(gateway = %name, %address, "accepting clients");
     if let Some(address) = operations_listen {
@@ -124,7 +124,7 @@
     // Closed before the shutdown, since a successor that connected now would wait for a hand-over that never
     // takes place.
     drop(control_socket);
-    Shutdown::new(end.signalled_at, shutdown_limit).run(&clients, &driver, listener, &end).await;
+    Shutdown::new(end.signalled_at, longest_deadline).run(&clients, &driver, listener, &end).await;
     info!(gateway = %name, "stopped");
     Ok(())
 }
@@ -135,10 +135,10 @@
     resources: &ResourceBudget,
     driver: &Rc<DecisionDriver>,
 ) -> Rc<ClientServer> {
-    let head_reader =
-        RequestHeadReader { settings: config.settings, names: config.names, max_units: config.max_units };
+    let head_parser =
+        RequestHeadParser { settings: config.settings, names: config.names, max_units: config.max_units };
     let max_connections = resources.client_connections;
-    let clients = ClientServer::new(driver.clone(), head_reader, max_connections, resources.request_bytes);
+    let clients = ClientServer::new(driver.clone(), head_parser, max_connections, resources.request_bytes);
     spawn_local(clients.clone().close_expired_connections());
     clients
 }
--- a/crates/gateway/src/network/headers.rs
+++ b/crates/gateway/src/network/headers.rs
@@ -26,9 +26,9 @@
 /// Set to 1 by a server that rejected a request before executing it.
 const REJECTED: HeaderName = HeaderName::from_static("x-rejected");
 /// The customer's usage of its quota, in percent.
-const USAGE: HeaderName = HeaderName::from_static("api-usage");
+const REPORTED_USAGE: HeaderName = HeaderName::from_static("api-usage");
 /// Units that the request actually took.
-const CHARGE: HeaderName = HeaderName::from_static("api-charge");
+const SETTLED_UNITS: HeaderName = HeaderName::from_static("api-charge");
 
 /// Hop-by-hop headers besides `Connection` and the two that define the length of the body.
 const HOP_BY_HOP: [&str; 5] = ["keep-alive", "proxy-connection", "te", "trailer", "upgrade"];
@@ -47,7 +47,7 @@
     /// Units that the request takes.
     pub units: f64,
     /// Number of gateways that serve the customer.
-    pub gateway_count: usize,
+    pub customer_gateway_count: usize,
     /// Index of the first of these gateways.
     pub first_gateway: usize,
 }
@@ -89,19 +89,23 @@
 /// Parses quota parameters; other names than these three are ignored.
 fn parse_quota_parameters(text: &str) -> Option<QuotaParameters> {
     let mut units = None;
-    let mut gateway_count = None;
+    let mut customer_gateway_count = None;
     let mut first_gateway = None;
     for pair in text.split(',') {
         let (name, value) = pair.split_once('=')?;
         let value = value.trim();
         match name.trim() {
             "units" => units = value.parse().ok(),
-            "spread" => gateway_count = value.parse().ok(),
+            "spread" => customer_gateway_count = value.parse().ok(),
             "first" => first_gateway = value.parse().ok(),
             _ => {}
         }
     }
-    Some(QuotaParameters { units: units?, gateway_count: gateway_count?, first_gateway: first_gateway? })
+    Some(QuotaParameters {
+        units: units?,
+        customer_gateway_count: customer_gateway_count?,
+        first_gateway: first_gateway?,
+    })
 }
 
 /// Returns whether the client marked the request as a retry.
@@ -115,14 +119,14 @@
 }
 
 /// Returns the customer's usage of its quota that a response reports, as a fraction of the quota.
-pub fn usage(headers: &HeaderMap) -> Option<f64> {
-    let percent: f64 = headers.get(USAGE)?.to_str().ok()?.trim().parse().ok()?;
+pub fn reported_usage(headers: &HeaderMap) -> Option<f64> {
+    let percent: f64 = headers.get(REPORTED_USAGE)?.to_str().ok()?.trim().parse().ok()?;
     Some(percent / 100.0).filter(|usage| usage.is_finite() && *usage >= 0.0)
 }
 
 /// Returns the units that a request actually took. Values that no request can take are ignored.
-pub fn charged_units(headers: &HeaderMap, max_units: f64) -> Option<f64> {
-    let units: f64 = headers.get(CHARGE)?.to_str().ok()?.trim().parse().ok()?;
+pub fn settled_units(headers: &HeaderMap, max_units: f64) -> Option<f64> {
+    let units: f64 = headers.get(SETTLED_UNITS)?.to_str().ok()?.trim().parse().ok()?;
     Some(units).filter(|units| *units > 0.0 && *units <= max_units)
 }
 
--- a/crates/gateway/src/network/headers/tests.rs
+++ b/crates/gateway/src/network/headers/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of the parsing and removal of headers.
 
 use super::{
-    charged_units, customer, has_unambiguous_body_end, load_report, quota_parameters, remove_hop_by_hop,
-    single, usage, InvalidHeader, CUSTOMER, QUOTA_PARAMETERS, REQUEST_ID,
+    customer, has_unambiguous_body_end, load_report, quota_parameters, remove_hop_by_hop, reported_usage,
+    settled_units, single, InvalidHeader, CUSTOMER, QUOTA_PARAMETERS, REQUEST_ID,
 };
 use grebehook_core::{CustomerId, LoadReport};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -41,7 +41,7 @@
     let read = |value| quota_parameters(&header_map(&[("api-terms", value)]));
     for text in ["units=2.5,spread=3,first=1", "first = 1, other=x, spread=3 ,units=2.5"] {
         let quota = read(text).unwrap();
-        assert_eq!((quota.units, quota.gateway_count, quota.first_gateway), (2.5, 3, 1), "{text}");
+        assert_eq!((quota.units, quota.customer_gateway_count, quota.first_gateway), (2.5, 3, 1), "{text}");
     }
     for text in [
         "units=2,spread=3",
@@ -55,12 +55,12 @@
 
 #[test]
 fn reports_of_servers_are_ignored_where_they_are_impossible() {
-    let read_usage = |percent| usage(&header_map(&[("api-usage", percent)]));
+    let read_usage = |percent| reported_usage(&header_map(&[("api-usage", percent)]));
     assert_eq!(read_usage(" 150 "), Some(1.5));
     assert_eq!(["-1", "inf", "x"].map(read_usage), [None; 3]);
-    let read_charge = |units| charged_units(&header_map(&[("api-charge", units)]), 4.0);
-    assert_eq!(read_charge("4"), Some(4.0));
-    assert_eq!(["0", "4.1", "NaN", "x"].map(read_charge), [None; 4]);
+    let read_settled_units = |units| settled_units(&header_map(&[("api-charge", units)]), 4.0);
+    assert_eq!(read_settled_units("4"), Some(4.0));
+    assert_eq!(["0", "4.1", "NaN", "x"].map(read_settled_units), [None; 4]);
 }
 
 #[test]
--- a/crates/gateway/src/network/system_error/tests.rs
+++ b/crates/gateway/src/network/system_error/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn only_transient_errors_may_pass() {
+fn transient_errors_are_distinguished_from_permanent_ones() {
     for errno in [Errno::ACCESS, Errno::INVAL, Errno::NOENT, Errno::AFNOSUPPORT] {
         assert!(!is_transient(&error(errno)), "{errno}");
     }
--- a/crates/gateway/src/network/tcp_info/tests.rs
+++ b/crates/gateway/src/network/tcp_info/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn fresh_data_has_no_age() {
+fn newly_received_data_has_no_age() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (accepted, _) = listener.accept().unwrap();
--- a/crates/gateway/src/servers/attempt.rs
+++ b/crates/gateway/src/servers/attempt.rs
@@ -27,9 +27,9 @@
 #[derive(Clone, Copy)]
 pub struct AttemptDeadlines {
     /// Latest time to write the first byte; if it is missed, nothing is written.
-    pub send_by: Instant,
+    pub send_deadline: Instant,
     /// Time at which the attempt times out. The server receives the remaining time as the forwarded timeout.
-    pub answer_by: Instant,
+    pub response_deadline: Instant,
 }
 
 /// The outcome of an attempt, with or without a response.
--- a/crates/gateway/src/servers/connection.rs
+++ b/crates/gateway/src/servers/connection.rs
@@ -48,7 +48,7 @@
 #[derive(Clone)]
 pub struct WriteCondition {
     /// Latest time to write the first byte.
-    pub send_by: Instant,
+    pub send_deadline: Instant,
     /// Time at which the forwarded timeout was computed.
     pub timeout_computed_at: Instant,
     /// Reports whether the client has disconnected; nothing may be written once it has.
@@ -62,7 +62,7 @@
             return false;
         }
         let now = Instant::now();
-        now < self.send_by && now.duration_since(self.timeout_computed_at) <= MAX_FORWARDED_TIMEOUT_AGE
+        now < self.send_deadline && now.duration_since(self.timeout_computed_at) <= MAX_FORWARDED_TIMEOUT_AGE
     }
 }
 
--- a/crates/gateway/src/servers/exchange.rs
+++ b/crates/gateway/src/servers/exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::bodies::buffering::{read_up_to_limit, PartiallyReadBody};
 use crate::bodies::download::{Download, ResponseContent};
-use crate::bodies::size::{FORWARDING_BUFFER_BYTES, MAX_BUFFERED_BODY_BYTES};
+use crate::bodies::size::{MAX_BUFFERED_BODY_BYTES, STREAMING_BUFFER_BYTES};
 use crate::bodies::upload::RequestBody;
 use crate::network::headers;
 use crate::servers::attempt::{AttemptConnection, AttemptDeadlines, AttemptOutcome, OutgoingRequest};
@@ -68,8 +68,8 @@
     /// Creates an upstream over a pool. `body_memory_bytes` is the memory for responses that are forwarded as
     /// they arrive, and `max_units` the maximum number of quota units that a request can use.
     pub fn new(pool: ConnectionPool, body_memory_bytes: usize, max_units: f64) -> Upstream {
-        let max_forwarded = (body_memory_bytes / FORWARDING_BUFFER_BYTES).max(1);
-        Upstream { pool, body_memory: Arc::new(Semaphore::new(max_forwarded)), max_units }
+        let max_streamed = (body_memory_bytes / STREAMING_BUFFER_BYTES).max(1);
+        Upstream { pool, body_memory: Arc::new(Semaphore::new(max_streamed)), max_units }
     }
 
     /// Sends a request once within the deadlines and reads the response. Increments `written_counter` once
@@ -100,7 +100,7 @@
         if !attempt.write_condition().holds() {
             return AttemptOutcome::without_response(AttemptStatus::NotSent);
         }
-        let connected = match timeout_at(deadlines.send_by.into(), self.pool.connect(server)).await {
+        let connected = match timeout_at(deadlines.send_deadline.into(), self.pool.connect(server)).await {
             Ok(Ok(connected)) => connected,
             Ok(Err(status)) => return AttemptOutcome::without_response(status),
             Err(_) => return AttemptOutcome::without_response(AttemptStatus::NotSent),
@@ -179,9 +179,9 @@
         body: ReceivedBody,
     ) -> AttemptOutcome {
         let status = classify_response(&head);
-        let reported_usage = headers::usage(&head.headers);
+        let reported_usage = headers::reported_usage(&head.headers);
         let load_report = headers::load_report(head.headers.get(headers::LOAD_REPORT));
-        let charged_units = headers::charged_units(&head.headers, self.max_units);
+        let settled_units = headers::settled_units(&head.headers, self.max_units);
         let connection = pooled.connection.clone();
         let upstream = self.clone();
         let release_connection = move || {
@@ -196,7 +196,7 @@
                 release_connection();
                 ResponseContent::Buffered(body)
             }
-            ReceivedBody::Partial { buffered, remainder, body_memory } => ResponseContent::Forwarded(
+            ReceivedBody::Partial { buffered, remainder, body_memory } => ResponseContent::Streamed(
                 Download::new(buffered, remainder, connection, Box::new(release_connection), body_memory),
             ),
         };
@@ -204,7 +204,7 @@
         AttemptOutcome {
             status,
             reported_usage,
-            settled_units: charged_units.filter(|_| is_ok),
+            settled_units: settled_units.filter(|_| is_ok),
             load_report,
             response: is_ok.then(|| response_to_client(head, content)),
         }
@@ -215,7 +215,7 @@
     /// Returns the condition for writing the request, with the current time for the forwarded timeout.
     fn write_condition(&self) -> WriteCondition {
         WriteCondition {
-            send_by: self.deadlines.send_by,
+            send_deadline: self.deadlines.send_deadline,
             timeout_computed_at: Instant::now(),
             client_has_disconnected: self.request.client_has_disconnected.clone(),
         }
@@ -227,7 +227,7 @@
         *request.method_mut() = self.request.method.clone();
         *request.uri_mut() = self.request.uri.clone();
         *request.headers_mut() = self.request.headers.clone();
-        let remaining = self.deadlines.answer_by.saturating_duration_since(Instant::now());
+        let remaining = self.deadlines.response_deadline.saturating_duration_since(Instant::now());
         let remaining_ms = HeaderValue::from(remaining.as_millis() as u64);
         request.headers_mut().insert(headers::TIMEOUT_MS, remaining_ms);
         request
--- a/crates/gateway/src/servers/exchange/tests.rs
+++ b/crates/gateway/src/servers/exchange/tests.rs
@@ -20,7 +20,7 @@
 async fn exchange(
     address: SocketAddr,
     max_connections: usize,
-    send_by: Instant,
+    send_deadline: Instant,
     client_has_disconnected: impl Fn() -> bool + 'static,
 ) -> AttemptOutcome {
     let pool = ConnectionPool::new(max_connections, GENEROUS_TIMEOUT, GENEROUS_TIMEOUT);
@@ -35,7 +35,7 @@
         client_has_disconnected: Rc::new(client_has_disconnected),
     };
     let connection = AttemptConnection::default();
-    let deadlines = AttemptDeadlines { send_by, answer_by: Instant::now() + GENEROUS_TIMEOUT };
+    let deadlines = AttemptDeadlines { send_deadline, response_deadline: Instant::now() + GENEROUS_TIMEOUT };
     upstream.exchange(ServerId(1), &connection, &request, deadlines, None).await
 }
 
@@ -66,10 +66,10 @@
 /// Guards against a server reported as unreachable because the gateway has no capacity for another
 /// connection.
 #[test]
-fn attempt_is_not_sent_when_the_pool_is_full_and_the_server_is_not_blamed() {
+fn attempt_fails_as_not_sent_when_the_pool_is_full() {
     run(async {
-        let send_by = Instant::now() + GENEROUS_TIMEOUT;
-        let outcome = exchange(([127, 0, 0, 1], 1).into(), 0, send_by, || false).await;
+        let send_deadline = Instant::now() + GENEROUS_TIMEOUT;
+        let outcome = exchange(([127, 0, 0, 1], 1).into(), 0, send_deadline, || false).await;
         assert_eq!(outcome.status, AttemptStatus::NotSent);
     });
 }
@@ -82,9 +82,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let checks = Cell::new(0);
         let disconnects_after_two_checks = move || checks.replace(checks.get() + 1) >= 2;
-        let send_by = Instant::now() + GENEROUS_TIMEOUT;
+        let send_deadline = Instant::now() + GENEROUS_TIMEOUT;
         let address = listener.local_addr().unwrap();
-        let attempt = exchange(address, 1, send_by, disconnects_after_two_checks);
+        let attempt = exchange(address, 1, send_deadline, disconnects_after_two_checks);
         let (outcome, received) = tokio::join!(attempt, bytes_received_by(&listener));
         assert_eq!((received, outcome.status), (0, AttemptStatus::NotSent));
     });
@@ -111,9 +111,9 @@
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let delayed_at_the_second_check = delayed_client_check(1, Duration::from_millis(300));
-        let send_by = Instant::now() + Duration::from_millis(200);
+        let send_deadline = Instant::now() + Duration::from_millis(200);
         let address = listener.local_addr().unwrap();
-        let attempt = exchange(address, 1, send_by, delayed_at_the_second_check);
+        let attempt = exchange(address, 1, send_deadline, delayed_at_the_second_check);
         let (outcome, received) = tokio::join!(attempt, bytes_received_by(&listener));
         assert_eq!((received, outcome.status), (0, AttemptStatus::NotSent));
     });
--- a/crates/gateway/src/servers/health_check.rs
+++ b/crates/gateway/src/servers/health_check.rs
@@ -21,12 +21,12 @@
 }
 
 impl Upstream {
-    /// Checks a server's health by a GET request for `path`, which times out after `time_limit`.
+    /// Checks a server's health by a GET request for `path`, which times out after `check_timeout`.
     pub async fn check_health(
         self: &Rc<Self>,
         server: ServerId,
         path: &'static str,
-        time_limit: Duration,
+        check_timeout: Duration,
     ) -> HealthCheckResult {
         let request = OutgoingRequest {
             method: Method::GET,
@@ -36,16 +36,16 @@
             client_has_disconnected: Rc::new(|| false),
         };
         let connection = AttemptConnection::default();
-        let deadline = Instant::now() + time_limit;
-        let deadlines = AttemptDeadlines { send_by: deadline, answer_by: deadline };
+        let deadline = Instant::now() + check_timeout;
+        let deadlines = AttemptDeadlines { send_deadline: deadline, response_deadline: deadline };
         let exchange = self.exchange(server, &connection, &request, deadlines, None);
-        let Ok(outcome) = timeout(time_limit, exchange).await else {
+        let Ok(outcome) = timeout(check_timeout, exchange).await else {
             connection.close();
             return HealthCheckResult { status: AttemptStatus::Timeout, load_report: None };
         };
         let body = outcome.response.as_ref().and_then(|response| match response.body() {
             ResponseContent::Buffered(body) => HeaderValue::from_bytes(body).ok(),
-            ResponseContent::Forwarded(_) => None,
+            ResponseContent::Streamed(_) => None,
         });
         // The load report is either in a header or the body itself.
         let load_report = outcome.load_report.or_else(|| headers::load_report(body.as_ref()));
--- a/crates/gateway/src/servers/pool.rs
+++ b/crates/gateway/src/servers/pool.rs
@@ -34,7 +34,7 @@
 }
 
 impl ServerProcess {
-    fn of(listed: &ListedEndpoint) -> ServerProcess {
+    fn from_listed(listed: &ListedEndpoint) -> ServerProcess {
         ServerProcess { address: listed.address, started_at: listed.endpoint.started_at }
     }
 }
@@ -68,13 +68,17 @@
 
 impl PooledServer {
     fn new(listed: &ListedEndpoint) -> PooledServer {
-        PooledServer { process: ServerProcess::of(listed), state: listed.endpoint.state, idle: Vec::new() }
+        PooledServer {
+            process: ServerProcess::from_listed(listed),
+            state: listed.endpoint.state,
+            idle: Vec::new(),
+        }
     }
 
     /// Applies the server's entry in the list, and closes idle connections that do not lead to the listed
     /// process.
     fn update(&mut self, listed: &ListedEndpoint) {
-        self.process = ServerProcess::of(listed);
+        self.process = ServerProcess::from_listed(listed);
         self.state = listed.endpoint.state;
         // A machine that failed has not closed its connections, and a machine that restarted has lost them.
         let process = self.process;
@@ -193,13 +197,13 @@
         let open_guard = OpenConnectionGuard::new(&self.open_connections);
         let stream = self.open_stream(process.address).await?;
         let connection = ServerConnection::new(stream, open_guard);
-        let (sender, driver) = http1::Builder::new()
+        let (sender, connection_task) = http1::Builder::new()
             .max_buf_size(MAX_READ_BUFFER_BYTES)
             .writev(false)
             .handshake(TokioIo::new(ServerConnectionIo(connection.clone())))
             .await
             .map_err(|_| AttemptStatus::ConnectFailed)?;
-        tokio::task::spawn_local(driver);
+        tokio::task::spawn_local(connection_task);
         Ok(PooledConnection { sender, connection, process, idle_since: Instant::now() })
     }
 
--- a/crates/gateway/src/servers/request_progress.rs
+++ b/crates/gateway/src/servers/request_progress.rs
@@ -109,7 +109,7 @@
 
     /// Returns whether bytes have been read that cannot belong to the response to this request.
     pub fn has_unsolicited_input(&self) -> bool {
-        self.bytes_read > 0 && !self.may_be_answered()
+        self.bytes_read > 0 && !self.may_receive_response()
     }
 
     /// Returns whether the response head exceeds [`MAX_RESPONSE_HEAD_BYTES`].
@@ -119,7 +119,7 @@
 
     /// Returns whether the server may already respond. It may reject a request with a long body before the
     /// body has arrived completely.
-    fn may_be_answered(&self) -> bool {
+    fn may_receive_response(&self) -> bool {
         match self.remaining_body {
             RemainingBody::Bytes(remaining) if remaining <= MAX_BUFFERED_BODY_BYTES as u64 => {
                 self.is_complete()
