--- a/crates/gateway/src/bodies/buffering.rs
+++ b/crates/gateway/src/bodies/buffering.rs
@@ -1,11 +1,11 @@
-//! Buffering of the beginning of a body.
+//! Buffering of a body, or of its prefix if it exceeds the buffer limit.
 
 use crate::bodies::size::MAX_BUFFERED_BODY_BYTES;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 
-/// A body whose beginning has been read.
+/// A body whose prefix, or the whole of it, has been read.
 pub struct PartiallyReadBody {
     /// The part that has been read.
     pub buffered: Bytes,
--- a/crates/gateway/src/bodies/download.rs
+++ b/crates/gateway/src/bodies/download.rs
@@ -9,8 +9,8 @@
 use std::task::{ready, Context, Poll};
 use tokio::sync::OwnedSemaphorePermit;
 
-/// Largest chunk of a buffered body passed to hyper, which would copy the whole of a longer one and keep the
-/// buffer.
+/// Maximum size of a chunk of a buffered body that is passed to hyper, which would copy all of a longer one
+/// and keep the buffer for it.
 const MAX_CHUNK_BYTES: usize = 16 << 10;
 
 /// The body of a response.
@@ -47,10 +47,9 @@
     }
 }
 
-/// A response body that is forwarded while the server sends it. If it is dropped before its end, the
-/// connection to the server is closed.
+/// A streamed response body. If it is dropped before its end, the connection to the server is closed.
 pub struct Download {
-    /// The part read before forwarding began.
+    /// The unsent part of the prefix that was read before streaming began.
     buffered: Bytes,
     /// The part that the server is still sending.
     remainder: StallTimeoutBody,
@@ -58,13 +57,13 @@
     connection: Rc<ServerConnection>,
     /// Returns the connection to its pool once the body is complete; `None` from then on.
     on_complete: Option<Box<dyn FnOnce()>>,
-    /// Reserved memory for forwarding.
+    /// Reserved memory for streaming.
     _body_memory: OwnedSemaphorePermit,
 }
 
 impl Download {
-    /// Creates a body from its buffered beginning and the remainder on the connection. `on_complete` is
-    /// called once all of the body has arrived.
+    /// Creates a body from its buffered prefix and the remainder on the connection. `on_complete` is called
+    /// once all of the body has arrived.
     pub fn new(
         buffered: Bytes,
         remainder: Incoming,
--- a/crates/gateway/src/bodies/mod.rs
+++ b/crates/gateway/src/bodies/mod.rs
@@ -1,5 +1,5 @@
-//! Bodies of requests and responses. Short ones are buffered; longer ones are forwarded as they arrive, at
-//! the pace of the slower side. The total memory for forwarding is limited.
+//! Bodies of requests and responses. Short bodies are buffered. Longer ones are streamed: they are forwarded
+//! as they arrive, no faster than the receiver reads. The total memory for streaming is limited.
 
 pub mod buffering;
 pub mod download;
--- a/crates/gateway/src/bodies/stall.rs
+++ b/crates/gateway/src/bodies/stall.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// Longest time without data from the sender before its body fails.
+/// Maximum time without data from the sender before the body fails.
 const STALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A body that fails if its sender sends no data for [`STALL_TIMEOUT`].
--- a/crates/gateway/src/bodies/upload.rs
+++ b/crates/gateway/src/bodies/upload.rs
@@ -45,7 +45,7 @@
 }
 
 impl Upload {
-    /// Creates a body from its buffered beginning and the memory reserved for it.
+    /// Creates a body from its buffered prefix and the memory reserved for it.
     pub fn new(
         body: PartiallyReadBody,
         length: Option<u64>,
@@ -74,7 +74,7 @@
         self.length
     }
 
-    /// Returns whether a further attempt could no longer send the whole body.
+    /// Returns whether the body can no longer be sent completely by a further attempt.
     pub fn is_consumed(&self) -> bool {
         self.state.get() != UploadState::Available
     }
@@ -93,7 +93,7 @@
         self.is_streamed
     }
 
-    /// Returns whether part of the body has yet to be forwarded and still can be.
+    /// Returns whether the body is streamed, has not been forwarded completely, and has not failed.
     pub fn is_incomplete(&self) -> bool {
         self.on_forwarded.borrow().is_some() && !self.has_failed()
     }
@@ -112,7 +112,7 @@
 pub struct RequestBody {
     /// The body that this attempt sends.
     upload: Rc<Upload>,
-    /// The unsent part of the buffered beginning.
+    /// The unsent part of the buffered prefix.
     buffered: Bytes,
     /// The part that the client is still sending, while this attempt holds it.
     remainder: Option<StallTimeoutBody>,
--- a/crates/gateway/src/clients/accept_error.rs
+++ b/crates/gateway/src/clients/accept_error.rs
@@ -6,17 +6,18 @@
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// Backoff after each error in a row but the first.
+/// Backoff after each consecutive error except the first.
 pub const REPEATED_ERROR_BACKOFF: Duration = Duration::from_millis(20);
-/// Backoff after the first error in a row, whose cause may be momentary.
+/// Backoff after the first of consecutive errors, whose cause may be momentary.
 const FIRST_ERROR_BACKOFF: Duration = Duration::from_millis(1);
-/// Consecutive errors tolerated before a connection is evicted, where a resource of the whole system is
+/// Consecutive errors tolerated before a connection is evicted, if a resource of the whole system is
 /// exhausted.
 const MAX_SYSTEM_EXHAUSTION_ERRORS: u32 = 5;
-/// Consecutive errors tolerated before a connection is evicted, where this process is at its descriptor
+/// Consecutive errors tolerated before a connection is evicted, if this process has reached its descriptor
 /// limit.
 const MAX_DESCRIPTOR_LIMIT_ERRORS: u32 = 1;
-/// Consecutive errors of single connections per backoff; after the others `accept` is called again at once.
+/// Number of consecutive errors of single connections per backoff. After all other such errors, `accept` is
+/// called again at once.
 const CONNECTION_ERRORS_PER_BACKOFF: u32 = 32;
 
 /// Steps to take before the next call of `accept`.
@@ -35,9 +36,9 @@
 
 impl AcceptErrorHandler {
     /// Returns how to recover from the last of `consecutive_errors` errors, or `None` to call `accept` again
-    /// at once. An error of a single connection or of the network does not concern the connections queued
-    /// behind it. While descriptors or memory are exhausted, queued connections wait in the backlog until an
-    /// open one ends; if the error lasts, one is evicted.
+    /// at once. An error of a single connection or of the network does not affect the other connections in
+    /// the backlog. While descriptors or memory are exhausted, connections wait in the backlog until an open
+    /// one closes; if the error persists, one is evicted.
     pub fn recovery(&self, error: &io::Error, consecutive_errors: u32) -> Option<AcceptRecovery> {
         let exhausted = is_resource_exhaustion(error);
         if !exhausted && !consecutive_errors.is_multiple_of(CONNECTION_ERRORS_PER_BACKOFF) {
--- a/crates/gateway/src/clients/connection.rs
+++ b/crates/gateway/src/clients/connection.rs
@@ -9,38 +9,38 @@
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// Time limit for receiving a complete request, from the acceptance of the connection or, for later requests,
-/// from the first byte of the request. A client may need 2 s; a connection that never sends a request must be
-/// closed within 3 s.
+/// Timeout for receiving a complete request, from the acceptance of the connection or, for later requests,
+/// from the first byte of the request. A client may need 2 s; a connection on which no request arrives must
+/// be closed within 3 s.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Longest idle time of a connection that has sent a request, and longest time without progress in writing a
-/// response.
+/// Maximum idle time of a connection on which a request has arrived, and maximum time without progress in
+/// writing a response.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A client connection and its state between requests.
 pub struct ClientConnection {
     /// Identifies the connection among the open ones.
     pub key: u64,
-    /// The socket, as hyper reads and writes it.
+    /// Byte stream that hyper reads and writes.
     pub stream: Rc<ClientStream>,
     /// Whether the decision core is handling a request of this connection.
     request_in_progress: Cell<bool>,
-    /// Whether a response is being forwarded as it arrives from the server.
+    /// Whether a response is being streamed: forwarded as it arrives from the server.
     response_streaming: Cell<bool>,
     /// Whether any request of this connection has been accepted.
     has_sent_request: Cell<bool>,
-    /// Time since which no request has been in progress.
+    /// Time at which the last request ended, or the connection was accepted.
     idle_since: Cell<Instant>,
-    /// Whether the connection has been asked to close.
+    /// Whether the connection's task has been signalled to close it.
     closing: Cell<bool>,
-    /// Whether part of a request had been read when the connection was asked to close.
+    /// Whether part of a request had been read when the close was signalled.
     closing_mid_request: Cell<bool>,
     /// Whether the remaining input cannot be parsed as a request. It is then discarded, so that the client
     /// receives its response before the connection closes.
     must_discard_input: Cell<bool>,
-    /// Asks the connection's task to close it after the current request.
+    /// Signals the connection's task to close it after the current request.
     drain: Notify,
-    /// Asks the connection's task to close it now if it is idle.
+    /// Signals the connection's task to close it at once if it is idle.
     close: Notify,
 }
 
@@ -73,19 +73,19 @@
         self.record_request();
     }
 
-    /// Records that the response to a request with a body of `body_length` bytes begins.
+    /// Records that the response begins to a request whose body has `body_length` bytes.
     pub fn end_request(&self, body_length: usize) {
         self.request_in_progress.set(false);
         self.idle_since.set(Instant::now());
         self.stream.begin_response(body_length);
     }
 
-    /// Records that forwarding of a response begins.
+    /// Records that streaming of a response begins.
     pub fn begin_streaming(&self) {
         self.response_streaming.set(true);
     }
 
-    /// Records that forwarding of a response has ended.
+    /// Records that streaming of a response has ended.
     pub fn end_streaming(&self) {
         self.response_streaming.set(false);
         self.idle_since.set(Instant::now());
@@ -113,7 +113,8 @@
             && now.duration_since(self.stream.last_written_at()) > IDLE_TIMEOUT
     }
 
-    /// Returns whether the connection has been idle, or its request incomplete, for longer than allowed.
+    /// Returns whether the connection has exceeded its idle timeout or the timeout of an incomplete request,
+    /// or its client has stopped reading the response.
     pub fn is_expired(&self, now: Instant) -> bool {
         let is_idle_client = self.has_sent_request.get() && self.stream.request_began_at().is_none();
         let limit = if is_idle_client { IDLE_TIMEOUT } else { REQUEST_READ_TIMEOUT };
@@ -125,41 +126,42 @@
         self.waiting_since() + REQUEST_READ_TIMEOUT
     }
 
-    /// Returns when waiting for the next request began: at its first byte if that has arrived, otherwise when
-    /// the connection became idle. For the first request it began when the connection was accepted.
+    /// Returns the start of the timeout for the next request: the arrival of its first byte, or the time at
+    /// which the connection became idle if no byte has arrived. For the first request, it is the time at
+    /// which the connection was accepted.
     fn waiting_since(&self) -> Instant {
         let began_at = self.stream.request_began_at().filter(|_| self.has_sent_request.get());
         began_at.unwrap_or(self.idle_since.get())
     }
 
-    /// Returns whether the connection has been asked to close.
+    /// Returns whether a close of the connection has been signalled.
     pub fn is_closing(&self) -> bool {
         self.closing.get()
     }
 
-    /// Asks the connection's task to close it unless a request arrives first.
+    /// Signals the connection's task to close it unless a request arrives first.
     pub fn signal_close(&self) {
         self.closing.set(true);
         self.closing_mid_request.set(self.stream.request_began_at().is_some());
         self.close.notify_one();
     }
 
-    /// Withdraws the request to close the connection.
+    /// Withdraws the signal to close the connection.
     pub fn cancel_close(&self) {
         self.closing.set(false);
     }
 
-    /// Waits for a request to close the connection.
+    /// Waits for the signal to close the connection.
     pub fn close_signalled(&self) -> Notified<'_> {
         self.close.notified()
     }
 
-    /// Asks the connection's task to close it after the current request, or at once if there is none.
+    /// Signals the connection's task to close it after the current request, or at once if there is none.
     pub fn signal_drain(&self) {
         self.drain.notify_one();
     }
 
-    /// Waits for a request to close the connection after the current request.
+    /// Waits for the signal to close the connection after the current request.
     pub fn drain_signalled(&self) -> Notified<'_> {
         self.drain.notified()
     }
@@ -169,8 +171,8 @@
         self.stream.request_began_at().is_some() || self.stream.has_unread_input()
     }
 
-    /// Returns whether the connection may be closed as requested. A request that has arrived since then is
-    /// not interrupted.
+    /// Returns whether the connection may be closed as signalled. A request that has begun to arrive since
+    /// the signal is not interrupted.
     pub fn may_close(&self) -> bool {
         self.is_stalled(Instant::now())
             || self.is_idle() && (self.closing_mid_request.get() || !self.has_incoming_request())
@@ -182,7 +184,7 @@
         !self.is_idle() || self.has_sent_request.get() && !self.has_incoming_request()
     }
 
-    /// Returns the attributes of the connection by which eviction selects.
+    /// Returns the attributes by which [`eviction`](crate::clients::eviction) selects a connection.
     pub fn eviction_candidate(&self) -> Candidate {
         Candidate {
             key: self.key,
--- a/crates/gateway/src/clients/connection_table.rs
+++ b/crates/gateway/src/clients/connection_table.rs
@@ -1,4 +1,4 @@
-//! The table of open client connections, which decides when to close which of them.
+//! Table of the open client connections, which selects the connections to close.
 
 use crate::clients::connection::ClientConnection;
 use crate::clients::eviction::{self, Candidate};
@@ -50,7 +50,7 @@
         self.connection_closed.notify_one();
     }
 
-    /// Returns when the last connection was accepted.
+    /// Returns the time at which the last connection was accepted.
     pub fn last_accepted_at(&self) -> Instant {
         self.last_accepted_at.get()
     }
@@ -60,7 +60,7 @@
         self.connections.borrow().len() > self.max_connections
     }
 
-    /// Returns whether a connection that was asked to close is still open.
+    /// Returns whether a connection that was signalled to close is still open.
     pub fn has_closing(&self) -> bool {
         self.connections.borrow().values().any(|connection| connection.is_closing())
     }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Asks the idle connection that [`eviction`] selects, if any, to close.
+    /// Signals the idle connection that [`eviction`] selects, if any, to close.
     pub fn evict_one(&self) {
         let connections = self.connections.borrow();
         let idle = connections.values().filter(|connection| connection.is_idle() && !connection.is_closing());
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Closes connections that have been idle, or their request incomplete, for longer than allowed. A
-    /// connection on which a request is just beginning to arrive is kept, however long it was idle before.
+    /// Closes connections whose idle timeout, or timeout for an incomplete request, has expired. A connection
+    /// on which a request is just beginning to arrive is kept, however long it was idle before.
     pub fn close_expired(&self) {
         let now = Instant::now();
         for connection in self.connections.borrow().values().filter(|connection| connection.is_expired(now)) {
--- a/crates/gateway/src/clients/disconnect.rs
+++ b/crates/gateway/src/clients/disconnect.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Interval of the checks for a disconnect while the rest of a body is not being read.
+/// Interval between checks for a disconnect while the rest of a streamed body is not being read.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Reports to the decision core, when dropped, that the client has disconnected. The driver ignores the
@@ -48,8 +48,8 @@
     }
 }
 
-/// Waits until the client of a partly read body closes its sending side. Once an attempt takes the body,
-/// hyper reads the connection and detects its end.
+/// Waits until the client closes its sending side, while its body has been read only in part. Once an attempt
+/// takes the rest of the body, hyper reads the connection and detects its end.
 async fn wait_for_disconnect_before_upload(stream: &ClientStream, body: &Upload) {
     while !body.is_consumed() {
         if stream.is_read_closed() {
--- a/crates/gateway/src/clients/eviction.rs
+++ b/crates/gateway/src/clients/eviction.rs
@@ -24,9 +24,9 @@
     pub has_sent_request: bool,
     /// Whether part of a request has been read.
     pub has_partial_request: bool,
-    /// When bytes were last received, or the connection was accepted.
+    /// Time at which bytes were last received, or the connection was accepted.
     pub last_read_at: Instant,
-    /// Time since which no request has been in progress.
+    /// Time at which the last request ended, or the connection was accepted.
     pub idle_since: Instant,
 }
 
@@ -45,12 +45,16 @@
     }
 }
 
-/// Returns the key of the connection to close, or `None` to close none. The first choice is the longest
-/// inactive of the new connections that have never sent a byte. Otherwise it is the connection that has been
-/// idle longest, except in a flood of new connections. A connection in the middle of a request is closed only
-/// in a flood, and only if it is new: the longest inactive one, since a slow client that is sending a request
-/// continues to write. A connection with unread input is kept; `has_unread_input`, which costs a system call,
-/// is called only for the connection to be closed next.
+/// Returns the key of the connection to close, or `None` to close none.
+///
+/// A connection is new until a request on it has been accepted, and regular from then on. The first choice is
+/// the longest inactive of the new connections that have not sent a byte within [`FIRST_BYTE_GRACE_PERIOD`].
+/// If there is none, it is the regular connection that has been idle longest. In a flood of new connections,
+/// regular connections are kept. Only then is a connection in the middle of a request closed: the longest
+/// inactive of the new ones, since a slow client that is sending a request continues to write.
+///
+/// A connection with unread input is kept; `has_unread_input`, which costs a system call, is called only for
+/// the connection to be closed next.
 pub fn select(
     candidates: &[Candidate],
     now: Instant,
--- a/crates/gateway/src/clients/eviction/tests.rs
+++ b/crates/gateway/src/clients/eviction/tests.rs
@@ -6,7 +6,7 @@
 /// Connection limit of the tests.
 const MAX_CONNECTIONS: usize = 300;
 
-/// Returns a connection without any input for a next request, last used at `at`.
+/// Returns a connection that has received no part of a next request and was last used at `at`.
 fn candidate(key: u64, has_sent_request: bool, at: Instant) -> Candidate {
     Candidate { key, has_sent_request, has_partial_request: false, last_read_at: at, idle_since: at }
 }
@@ -16,8 +16,8 @@
     (0..count).map(|key| candidate(key, has_sent_request, start + Duration::from_millis(key))).collect()
 }
 
-/// Guards against one system call per idle connection for every accepted connection: in a flood these would
-/// use up the processor, and requests would wait in the listen queue for seconds.
+/// Guards against a system call for every idle connection whenever one is accepted: in a flood these calls
+/// would take all of the processor's time, and requests would wait in the backlog for seconds.
 #[test]
 fn unread_input_is_checked_only_for_the_connections_to_be_closed_next() {
     let start = Instant::now();
@@ -58,7 +58,7 @@
     assert_eq!(select(&[], now, MAX_CONNECTIONS, |_| false), None);
 }
 
-/// Guards against interrupting a request, since its client would never learn the outcome.
+/// Guards against interrupting a request, whose client would receive no answer.
 #[test]
 fn connection_in_the_middle_of_a_request_is_closed_only_in_a_flood() {
     let start = Instant::now();
--- a/crates/gateway/src/clients/head_scanner.rs
+++ b/crates/gateway/src/clients/head_scanner.rs
@@ -2,7 +2,7 @@
 //! of the body: where both are present, hyper drops one of them, so the parsed request does not show the
 //! ambiguity.
 
-/// Length of the longest header name searched for, `transfer-encoding`.
+/// Length of `transfer-encoding`, the longest header name that the scanner looks for.
 const MAX_NAME_LENGTH: usize = 17;
 
 /// The headers that define the length of a request body.
@@ -15,7 +15,8 @@
 }
 
 impl Framing {
-    /// Returns whether the length is defined twice, so that a server could apply the other definition.
+    /// Returns whether both headers define the length, so that a server could apply a different one than the
+    /// gateway.
     pub fn is_ambiguous(self) -> bool {
         self.content_length && self.transfer_encoding
     }
@@ -27,9 +28,9 @@
     #[default]
     BeforeRequest,
     InHead,
-    /// The given number of bytes past the head of a request.
+    /// Past the head of a request by this number of bytes.
     PastHead(usize),
-    /// Position lost: the beginning of a request was read together with the previous request.
+    /// The position is lost, because the beginning of a request was read together with the previous request.
     Unknown,
 }
 
@@ -97,7 +98,7 @@
         self.line_length += 1;
     }
 
-    /// Checks the current line for the headers searched for and starts a new line.
+    /// Checks the current line for the two headers and starts a new line.
     fn end_line(&mut self) {
         let name = &self.line_prefix[..self.line_length.min(MAX_NAME_LENGTH)];
         self.framing.content_length |= name.starts_with(b"content-length");
--- a/crates/gateway/src/clients/linger.rs
+++ b/crates/gateway/src/clients/linger.rs
@@ -8,13 +8,13 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest time to wait for further input before the connection is closed.
+/// Maximum time without further input before the connection is closed.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest time for which input is discarded.
+/// Maximum time for which input is discarded.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(6);
-/// Largest amount of input that is discarded.
+/// Maximum amount of input that is discarded.
 const MAX_DISCARDED_BYTES: usize = 64 << 20;
-/// Bytes read per call.
+/// Number of bytes read per call.
 const READ_CHUNK_BYTES: usize = 4096;
 
 /// Shuts down the sending side, discards further input for a limited time and closes the connection.
--- a/crates/gateway/src/clients/request_error.rs
+++ b/crates/gateway/src/clients/request_error.rs
@@ -19,7 +19,8 @@
     /// The body ended early or took too long to arrive.
     #[error("the body did not arrive")]
     BodyIncomplete,
-    /// The length of the body is defined twice, so that a server could apply the other definition.
+    /// Two headers define the length of the body, so that a server could apply a different one than the
+    /// gateway.
     #[error("the body's length is ambiguous")]
     AmbiguousBodyLength,
     /// A request with the same ID is still in progress on this gateway.
--- a/crates/gateway/src/clients/request_handler.rs
+++ b/crates/gateway/src/clients/request_handler.rs
@@ -26,13 +26,13 @@
 use tokio::sync::{oneshot, Semaphore};
 use tokio::time::timeout_at;
 
-/// Largest request body accepted.
+/// Maximum length of a request body.
 const MAX_REQUEST_BODY_BYTES: u64 = 32 << 20;
-/// Largest body that needs no reserved memory, since it fits into hyper's read buffer.
+/// Maximum length of a body that needs no reserved memory, since it fits into hyper's read buffer.
 const MAX_UNRESERVED_BODY_BYTES: u64 = 4 << 10;
-/// Bytes of body memory that one semaphore permit represents.
+/// Number of bytes of body memory that one semaphore permit represents.
 const BYTES_PER_PERMIT: usize = 1 << 10;
-/// Path of the platform's health check of the gateway.
+/// HTTP path of the platform's health check of the gateway.
 const HEALTH_PATH: &str = "/_health";
 
 /// Handles client requests.
@@ -44,10 +44,10 @@
     body_memory: Arc<Semaphore>,
 }
 
-/// A response and the effect on its connection.
+/// A response, and whether its connection may be reused.
 struct HandledRequest {
     response: Response<ResponseBody>,
-    /// Whether the connection must close, because the beginning of a next request could not be located.
+    /// Whether the connection must close, because the beginning of the next request could not be located.
     must_close: bool,
 }
 
@@ -93,7 +93,7 @@
             client.record_request();
             return HandledRequest { response: text_response(StatusCode::OK, ""), must_close: has_body };
         }
-        // Only hyper can tell where a chunked body ends in the bytes of the connection.
+        // Only hyper determines where a chunked body ends in the bytes of the connection.
         let is_chunked = request.body().size_hint().exact().is_none();
         match self.answer(client, request).await {
             Ok(AnsweredRequest { answer, counter, body }) => {
@@ -161,7 +161,8 @@
         }
     }
 
-    /// Reads a short body, or the beginning of a longer one, by the deadline for receiving the request.
+    /// Reads a short body, or the beginning of a longer one. Fails if it does not arrive by the deadline for
+    /// receiving the request.
     async fn read_body(&self, client: &ClientConnection, body: Incoming) -> Result<Upload, RequestError> {
         if body.size_hint().exact().is_some_and(|length| length > MAX_REQUEST_BODY_BYTES) {
             return Err(RequestError::BodyTooLarge);
@@ -190,8 +191,8 @@
     }
 }
 
-/// Checks that the length of the body is defined only once. hyper drops one of the two headers, but the
-/// stream scans the raw bytes.
+/// Checks that only one header defines the length of the body. If both are present, hyper drops one of them,
+/// so the check relies on the stream, which scans the raw bytes.
 fn check_body_length(stream: &ClientStream, headers: &HeaderMap) -> Result<(), RequestError> {
     let is_ambiguous = match stream.framing() {
         Some(framing) => framing.is_ambiguous(),
--- a/crates/gateway/src/clients/request_head.rs
+++ b/crates/gateway/src/clients/request_head.rs
@@ -9,7 +9,7 @@
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::Method;
 
-/// Largest length of a request ID, in bytes.
+/// Maximum length of a request ID, in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 64;
 
 /// Parses request heads according to the settings and the configured names of classes and plans.
@@ -18,7 +18,7 @@
     pub settings: Settings,
     /// Configured names of the classes and plans.
     pub names: WireNames,
-    /// Largest number of units that a request may take.
+    /// Maximum number of quota units that a request can use.
     pub max_units: f64,
 }
 
@@ -70,8 +70,8 @@
     }
 }
 
-/// Checks that the method and the idempotency key match the class. Servers need the key to recognize a
-/// repeated request; a request that is never repeated has none.
+/// Checks that the method and the idempotency key match the class. Servers need the key to recognize a retry;
+/// a request that is never retried needs none.
 fn check_idempotency(class: &Class, method: &Method, headers: &HeaderMap) -> Result<(), RequestError> {
     let expected_method = match class.idempotency {
         Idempotency::Idempotent => Method::GET,
@@ -87,9 +87,9 @@
     Ok(())
 }
 
-/// Returns the client timeout, in microseconds. For one attempt it must not exceed the deadline that its
-/// class sets for all of them. A request with no time left is rejected by the decision core, like any request
-/// that arrives too late.
+/// Returns the client timeout, in microseconds. It must not exceed the deadline of the class, which covers
+/// the client's first request and all of its retries. A timeout of 0 is valid here: the decision core rejects
+/// such a request like any other that arrives too late.
 fn parse_client_timeout(timeout_text: &str, class: &Class) -> Result<Micros, InvalidHeader> {
     let max_timeout_ms = class.deadline.div_ceil(1_000);
     let timeout_ms = timeout_text.parse().ok().filter(|timeout_ms| *timeout_ms <= max_timeout_ms);
--- a/crates/gateway/src/clients/response.rs
+++ b/crates/gateway/src/clients/response.rs
@@ -24,14 +24,14 @@
 /// Lower bound of the `Retry-After` of a rejection, in microseconds.
 const MIN_RETRY_AFTER: Micros = 1_000;
 
-/// The body of a response, passed to hyper in small chunks. A request is counted as finished when its
-/// response body is.
+/// The body of a response, passed to hyper in small chunks. The request counts as finished when its response
+/// body has been passed on completely or is dropped.
 pub struct ResponseBody {
-    /// The part of the body that has not been passed to hyper.
+    /// The part of the body that has not been passed to hyper yet.
     content: ResponseContent,
     /// Counts the request until it is finished; `None` for a request that was not accepted.
     request_counter: Option<RequestCounterGuard>,
-    /// The client connection, if the response is forwarded as it arrives.
+    /// The client connection, if the response is streamed.
     streaming_to: Option<Rc<ClientConnection>>,
 }
 
@@ -41,8 +41,7 @@
         ResponseBody { content, request_counter: None, streaming_to: None }
     }
 
-    /// Marks the client connection as streaming until this body is dropped, if the body is forwarded as it
-    /// arrives.
+    /// Marks the client connection as streaming until this body is dropped, if the body is streamed.
     pub fn mark_streaming(&mut self, client: &Rc<ClientConnection>) {
         if let ResponseContent::Streamed(_) = self.content {
             client.begin_streaming();
@@ -127,7 +126,8 @@
     Response::from_parts(head, ResponseBody::new(content))
 }
 
-/// Returns a rejection. The request may safely be repeated, after `retry_after` if that is given.
+/// Returns the response to a rejected request. The request may be retried safely, after `retry_after` if that
+/// is given.
 fn rejection_response(retry_after: Option<Micros>) -> Response<ResponseBody> {
     let mut response = text_response(StatusCode::TOO_MANY_REQUESTS, REJECTED_TEXT);
     if let Some(retry_after) = retry_after {
--- a/crates/gateway/src/clients/server.rs
+++ b/crates/gateway/src/clients/server.rs
@@ -22,9 +22,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// Largest read buffer that hyper keeps for a connection.
+/// Maximum size of the read buffer that hyper keeps for a connection.
 const MAX_READ_BUFFER_BYTES: usize = 32 << 10;
-/// Interval between checks of the connections for expired time limits.
+/// Interval between checks for connections whose timeouts have expired.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Accepts and serves all client connections.
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Closes connections whose time limits have expired, until the future is dropped.
+    /// Closes connections whose timeouts have expired, until the future is dropped.
     pub async fn close_expired_connections(self: Rc<Self>) {
         loop {
             sleep(EXPIRY_CHECK_INTERVAL).await;
@@ -118,7 +118,8 @@
         self.handed_over.set(handed_over);
     }
 
-    /// Makes connections close after their current request from now on, and idle ones close at once.
+    /// Closes all connections after their current request, and idle ones at once. Later connections close
+    /// after their first request.
     pub fn stop(&self) {
         self.stopping.set(true);
         self.connections.drain();
@@ -129,7 +130,7 @@
         self.connections.close_idle();
     }
 
-    /// Returns when the last connection was accepted.
+    /// Returns the time at which the last connection was accepted.
     pub fn last_accepted_at(&self) -> Instant {
         self.connections.last_accepted_at()
     }
@@ -155,12 +156,12 @@
             if !self.connections.has_closing() {
                 self.connections.evict_one();
             }
-            // The notification may stem from a connection that closed earlier.
+            // A connection that closed earlier may have triggered the notification.
             let _ = timeout(REPEATED_ERROR_BACKOFF, self.connections.connection_closed()).await;
         }
     }
 
-    /// Serves an accepted connection in a task of its own.
+    /// Serves an accepted connection in a separate task.
     fn serve_in_background(self: &Rc<Self>, stream: TcpStream) {
         // This fails only on a broken connection, which the first read reports.
         let _ = stream.set_nodelay(true);
--- a/crates/gateway/src/clients/stream.rs
+++ b/crates/gateway/src/clients/stream.rs
@@ -19,9 +19,9 @@
 
 pub mod transport;
 
-/// Limit of the input stored while a request is in progress; clients send one request at a time.
+/// Maximum amount of input that is stored while a request is in progress; clients send one request at a time.
 const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
-/// Bytes read per call while a request is in progress.
+/// Number of bytes read per call while a request is in progress.
 const READ_AHEAD_CHUNK_BYTES: usize = 1024;
 
 /// The input side of a connection.
@@ -50,19 +50,18 @@
 /// A client connection, whose holders share one socket.
 pub struct ClientStream {
     input: RefCell<Input>,
-    /// When the first byte of the request being read arrived.
+    /// Time at which the first byte of the request being read arrived.
     request_began_at: Cell<Option<Instant>>,
     is_responding: Cell<bool>,
-    /// Whether a request is in progress. Meanwhile only [`ClientStream::wait_for_disconnect`] reads the
-    /// socket.
+    /// Whether [`ClientStream::wait_for_disconnect`] is reading the socket. hyper must not read it meanwhile.
     waiting_for_disconnect: Cell<bool>,
-    /// Whether hyper's next read is postponed by one poll. The last read may have completed a request; the
-    /// request's service must run before hyper reads on, finds that the client closed its sending side and
-    /// drops the request.
+    /// Whether hyper's next read is postponed by one poll. The last read may have completed a request, which
+    /// must reach the service first: if hyper read on and found that the client had closed its sending side,
+    /// it would drop the request.
     defers_next_read: Cell<bool>,
-    /// When the client last accepted part of a response, or a response began.
+    /// Time at which part of a response was last written, or a response began.
     last_written_at: Cell<Instant>,
-    /// When bytes were last received, or the connection was accepted.
+    /// Time at which bytes were last received, or the connection was accepted.
     last_read_at: Cell<Instant>,
 }
 
@@ -87,7 +86,7 @@
         })
     }
 
-    /// Returns when the first byte of the request being read arrived.
+    /// Returns the time at which the first byte of the request being read arrived.
     pub fn request_began_at(&self) -> Option<Instant> {
         self.request_began_at.get()
     }
@@ -97,12 +96,12 @@
         self.is_responding.get()
     }
 
-    /// Returns when the client last accepted part of a response, or a response began.
+    /// Returns the time at which part of a response was last written, or a response began.
     pub fn last_written_at(&self) -> Instant {
         self.last_written_at.get()
     }
 
-    /// Returns when bytes were last received, or the connection was accepted.
+    /// Returns the time at which bytes were last received, or the connection was accepted.
     pub fn last_read_at(&self) -> Instant {
         self.last_read_at.get()
     }
@@ -113,7 +112,7 @@
         self.input.borrow().scanner.framing()
     }
 
-    /// Records that the response to a request with a body of `body_length` bytes begins. The input after that
+    /// Records that the response begins to a request whose body has `body_length` bytes. The input after that
     /// body is the next request.
     pub fn begin_response(&self, body_length: usize) {
         self.is_responding.set(true);
@@ -256,13 +255,13 @@
     }
 }
 
-/// Marks a request as in progress until the guard is dropped.
+/// Keeps hyper from reading the socket until the guard is dropped.
 struct DisconnectWaitGuard<'a> {
     waiting_for_disconnect: &'a Cell<bool>,
 }
 
 impl<'a> DisconnectWaitGuard<'a> {
-    /// Marks a request as in progress.
+    /// Sets the flag that keeps hyper from reading the socket.
     fn new(waiting_for_disconnect: &'a Cell<bool>) -> DisconnectWaitGuard<'a> {
         waiting_for_disconnect.set(true);
         DisconnectWaitGuard { waiting_for_disconnect }
--- a/crates/gateway/src/clients/stream/transport.rs
+++ b/crates/gateway/src/clients/stream/transport.rs
@@ -14,7 +14,7 @@
 impl AsyncRead for ClientStreamIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let stream = &self.0;
-        // No waker is needed: hyper polls again once the request has its response.
+        // No waker is registered: hyper polls again once the service has returned the response.
         if stream.waiting_for_disconnect.get() {
             return Poll::Pending;
         }
--- a/crates/gateway/src/config/document.rs
+++ b/crates/gateway/src/config/document.rs
@@ -29,8 +29,8 @@
 const MAX_MEMORY_MB: f64 = 65_536.0;
 /// Conversion factor for memory, which the file gives in megabytes.
 const BYTES_PER_MB: usize = 1_000_000;
-/// Limit on the units of one request if the file has none: the highest number that the decision core can
-/// count.
+/// Maximum number of quota units of a request if the file sets none: the highest number that the decision
+/// core can count.
 const DEFAULT_MAX_UNITS: f64 = 1e6;
 
 /// Configuration of a gateway, read at startup.
@@ -55,9 +55,9 @@
     pub max_descriptors: usize,
     /// Limit on memory, in bytes.
     pub max_memory_bytes: usize,
-    /// Endpoint list as the gateway last knew it.
+    /// Last known endpoint list, used until discovery responds.
     pub known_endpoints: EndpointList,
-    /// Limit on the units of one request.
+    /// Maximum number of quota units that a request can use.
     pub max_units: f64,
     /// Settings of the decision core.
     pub settings: Settings,
@@ -69,7 +69,8 @@
     pub server_idle_timeout: Duration,
 }
 
-/// Error of the settings that the decision core rejects; names the field by its path below `settings`.
+/// Error of settings that the decision core rejects. Its text contains the path of the field below
+/// `settings`.
 #[derive(Debug, thiserror::Error)]
 #[error("settings: {0}")]
 pub struct RejectedSettings(FieldError);
@@ -166,7 +167,7 @@
     configured_mb.unwrap_or(DEFAULT_MEMORY_MB).clamp(MIN_MEMORY_MB, MAX_MEMORY_MB) as usize * BYTES_PER_MB
 }
 
-/// Returns the configured limit on the units of one request, or the default if it is not finite and positive.
+/// Returns the configured maximum number of quota units, or the default if that is not finite and positive.
 fn max_units(configured: Option<f64>) -> f64 {
     configured.filter(|units| units.is_finite() && *units > 0.0).unwrap_or(DEFAULT_MAX_UNITS)
 }
--- a/crates/gateway/src/config/file.rs
+++ b/crates/gateway/src/config/file.rs
@@ -37,7 +37,7 @@
     pub seed: u64,
     /// Limits on the resources of the process.
     pub limits: Option<ProcessLimits>,
-    /// Endpoint list as the gateway last knew it.
+    /// Last known endpoint list, used until discovery responds.
     #[serde(rename = "known")]
     pub known_endpoints: EndpointListMessage,
     /// Settings of the decision core.
@@ -70,11 +70,11 @@
     pub classes: Vec<NamedItem>,
     /// Customers' plans, in index order.
     pub plans: Vec<NamedItem>,
-    /// Zones of gateways and servers, in index order.
+    /// Zones in which gateways and servers run, in index order.
     pub zones: Vec<NamedItem>,
     /// Limits of connections to servers.
     pub limits: ConnectionLimits,
-    /// Properties of the interface that customers use.
+    /// Parameters of quota accounting.
     #[serde(rename = "familyInfo", default, deserialize_with = "fields::lenient_object")]
     pub quota_accounting: QuotaAccounting,
 }
@@ -90,11 +90,11 @@
     pub server_idle_timeout: Duration,
 }
 
-/// Properties of the interface that customers use.
+/// Parameters of quota accounting that the gateway program uses itself.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct QuotaAccounting {
-    /// Limit on the units of one request.
+    /// Maximum number of quota units that a request can use.
     #[serde(deserialize_with = "fields::lenient")]
     pub max_units: Option<f64>,
 }
--- a/crates/gateway/src/config/names.rs
+++ b/crates/gateway/src/config/names.rs
@@ -7,6 +7,6 @@
     pub classes: Vec<String>,
     /// Names of the customers' plans.
     pub plans: Vec<String>,
-    /// Names of the zones of gateways and servers.
+    /// Names of the zones in which gateways and servers run.
     pub zones: Vec<String>,
 }
--- a/crates/gateway/src/control/discovery.rs
+++ b/crates/gateway/src/control/discovery.rs
@@ -49,7 +49,7 @@
 /// Timeouts of discovery calls.
 #[derive(Clone, Copy)]
 struct CallTimeouts {
-    /// Time for which a watch asks discovery to wait for a change.
+    /// Time for which discovery, at the request of a watch, waits for a change before it responds.
     long_poll: Duration,
     /// Time after the end of the long poll within which the response has to arrive.
     response_grace: Duration,
@@ -57,7 +57,7 @@
     snapshot: Duration,
 }
 
-/// Waits for the configuration to name another agent and returns its address.
+/// Waits until the configuration specifies another agent and returns its address.
 async fn next_agent_address(addresses: &mut watch::Receiver<SocketAddr>) -> SocketAddr {
     match addresses.changed().await {
         Ok(()) => *addresses.borrow_and_update(),
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Watches the list for as long as the process lives. Switches to another agent as soon as the
-    /// configuration names one.
+    /// Watches the list for the lifetime of the process. Switches to another agent as soon as the
+    /// configuration specifies one.
     pub async fn run(mut self, driver: Rc<DecisionDriver>) {
         let mut addresses = self.addresses.clone();
         loop {
@@ -142,8 +142,8 @@
     }
 
     /// Reports a failed call to the driver and returns the delay before the next call. The known list and its
-    /// version stay valid, since the next watch returns all newer changes. A snapshot costs discovery far
-    /// more and is requested only if the version itself is in doubt.
+    /// version stay valid, since the next watch returns all newer changes. A snapshot is far more expensive
+    /// for discovery, and is requested only if the version may have caused the failure.
     fn handle_failure(
         &mut self,
         error: &WatchError,
@@ -164,7 +164,7 @@
         delay.min(MAX_CALL_INTERVAL.saturating_sub(started_at.elapsed()))
     }
 
-    /// Waits for the delay, or switches to another agent as soon as the configuration names one.
+    /// Waits for the delay, or switches to another agent as soon as the configuration specifies one.
     async fn wait_for_retry(&mut self, delay: Duration, addresses: &mut watch::Receiver<SocketAddr>) {
         tokio::select! {
             () = sleep(delay) => {}
@@ -201,7 +201,7 @@
         Ok(list)
     }
 
-    /// Returns the time for which a watch asks discovery to wait for a change.
+    /// Returns the time for which discovery is to wait for a change before it responds.
     fn long_poll(&self, timeouts: CallTimeouts) -> Duration {
         // Discovery may be unavailable behind the agent and recover at any time, so the agent is polled
         // often.
--- a/crates/gateway/src/control/discovery/backoff.rs
+++ b/crates/gateway/src/control/discovery/backoff.rs
@@ -53,9 +53,9 @@
     /// Returns the delay before the call that follows a failed one, for an agent or a shared service.
     pub fn delay_after(&mut self, error: &WatchError, is_shared_service: bool) -> Duration {
         match error {
-            // The call waited long enough, and changes are missed until the next one.
+            // The call has already waited for its whole timeout, and changes are missed until the next one.
             WatchError::TimedOut => Duration::ZERO,
-            // A server that sheds load serves many gateways, even where the settings name an agent.
+            // A server that sheds load serves many gateways, even if the settings specify an agent.
             WatchError::Status(500..) => self.next_delay(),
             // The failure is local to this machine and says nothing about discovery.
             WatchError::Connect(source) if is_local_resource_error(source) => RETRY_INTERVAL,
--- a/crates/gateway/src/control/endpoint_list.rs
+++ b/crates/gateway/src/control/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! JSON form of the endpoint list, as discovery sends it and the configuration holds it. Only this module
+//! JSON form of the endpoint list, as discovery sends it and the configuration contains it. Only this module
 //! maps the protocol's field names to the decision core's terms.
 
 use crate::config::names::WireNames;
--- a/crates/gateway/src/driver/decision_driver.rs
+++ b/crates/gateway/src/driver/decision_driver.rs
@@ -27,7 +27,7 @@
 use tokio::sync::Notify;
 use tracing::warn;
 
-/// Time after which a health check without a response has failed.
+/// Time after which a health check without a response counts as failed.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Network services that carry out the actions of the decision core.
@@ -36,7 +36,7 @@
     pub upstream: Rc<Upstream>,
     /// Sends gossip; `None` if gossip is not configured.
     pub peers: Option<Rc<GossipSocket>>,
-    /// Client of the shared counter, if one is configured.
+    /// Client of the shared counter; `None` if no counter is configured.
     pub counter: Option<Rc<SharedCounter>>,
     /// Path that health checks request.
     pub health_check_path: &'static str,
@@ -53,7 +53,7 @@
     actions: Vec<Action>,
 }
 
-/// The owner of the decision core. It stays on one thread and is shared by `Rc`.
+/// Owner of the decision core, which it runs on the single thread of the async runtime.
 pub struct DecisionDriver {
     state: RefCell<DriverState>,
     /// Wakes the timer loop when a timer is armed that is due before the next scheduled wake-up.
@@ -66,7 +66,7 @@
 }
 
 impl DecisionDriver {
-    /// Creates a driver of a decision core that has not handled any event.
+    /// Creates a driver for a decision core that has not handled any event yet.
     pub fn new(
         decision_core: Gateway,
         clock: Clock,
@@ -104,7 +104,8 @@
         self.process_events(&mut state);
     }
 
-    /// Notifies the decision core of a shutdown: every request must have its final answer by the deadline.
+    /// Notifies the decision core of a graceful shutdown, in which every request must have its final answer
+    /// by the deadline.
     pub fn begin_shutdown(self: &Rc<Self>, deadline: Instant) {
         self.handle_event(Event::Shutdown { deadline: self.clock.micros_at(deadline) });
     }
@@ -114,12 +115,13 @@
         self.handle_event(Event::GossipReceived { from, message });
     }
 
-    /// Returns the state of the decision core for the successor process.
+    /// Returns the serialized state of the decision core, for hand-over to the successor process.
     pub fn handover_state(&self) -> String {
         self.state.borrow_mut().decision_core.hand_over(self.clock.now())
     }
 
-    /// Restores the state from the predecessor process. Continues without it if it is not valid.
+    /// Restores the state of the decision core from that of the predecessor process. An invalid state is
+    /// logged and ignored.
     pub fn restore_handover_state(&self, text: &str) {
         if let Err(error) = self.state.borrow_mut().decision_core.take_over(self.clock.now(), text) {
             warn!(%error, "cannot restore the predecessor's state; the decision core starts without it");
@@ -149,7 +151,7 @@
         self.process_events_at(state, self.clock.now());
     }
 
-    /// Processes all queued events, the first one with `now` as its time.
+    /// Processes all queued events: the first one at the time `now`, the others at the current time.
     fn process_events_at(self: &Rc<Self>, state: &mut DriverState, mut now: Micros) {
         while let Some(event) = state.events.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
@@ -199,7 +201,7 @@
         });
     }
 
-    /// Sends a gossip message, if gossip is configured.
+    /// Sends a gossip message to the gateway with index `to`, if gossip is configured.
     fn send_gossip(&self, to: usize, message: &[u8]) {
         if let Some(peers) = &self.transports.peers {
             peers.send(to, message);
--- a/crates/gateway/src/driver/decision_driver/attempts.rs
+++ b/crates/gateway/src/driver/decision_driver/attempts.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 impl DecisionDriver {
-    /// Starts an attempt that times out after `timeout`; with a timeout of 0, at the request's deadline.
+    /// Starts an attempt that times out after `timeout`, or at the request's deadline if `timeout` is 0.
     pub(super) fn start_attempt(
         self: &Rc<Self>,
         state: &mut DriverState,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Exchanges one attempt with a server, and counts the attempt once its request has been written
-    /// completely.
+    /// Sends an attempt to a server and reads its response. The attempt is counted once its request has been
+    /// written completely.
     async fn send_attempt(
         self: Rc<Self>,
         server: ServerId,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Aborts a request's attempt in flight. None of it is on the network when this function returns.
+    /// Aborts a request's attempt in flight. Its connection is closed when this function returns.
     pub(super) fn abort_attempt(&self, state: &mut DriverState, id: RequestId, status: AttemptStatus) {
         let Some(request) = state.requests.get_mut(id) else { return };
         let Some(in_flight) = request.in_flight.take() else { return };
--- a/crates/gateway/src/driver/decision_driver/requests.rs
+++ b/crates/gateway/src/driver/decision_driver/requests.rs
@@ -1,4 +1,4 @@
-//! Handles requests of clients: their arrival, the end of their bodies, disconnecting clients and deadlines.
+//! Handles clients' requests: their arrival, the end of their bodies, disconnecting clients, and deadlines.
 
 use super::{DecisionDriver, DriverState};
 use crate::driver::request::{Answer, RequestHead, SubmittedRequest};
@@ -11,9 +11,10 @@
 use std::time::Duration;
 
 impl DecisionDriver {
-    /// Submits a client's request to the decision core. The request's time counts from the arrival of its
-    /// last byte at this machine; `newest_byte_age` is called once that byte has been read. Returns `None`
-    /// while another request with the same `client_request_id` is pending.
+    /// Submits a client's request to the decision core. The client timeout runs from the arrival of the
+    /// request's last byte at this machine; `newest_byte_age`, which returns the time since the arrival of
+    /// the newest byte, is called once that byte has been read. Returns `None` while another request with the
+    /// same `client_request_id` is pending.
     pub fn submit(
         self: &Rc<Self>,
         client_request_id: HeaderValue,
@@ -33,9 +34,9 @@
         let body_incomplete =
             self.notify_when_body_forwarded(&state, id, head.client_timeout, newest_byte_age);
         state.events.push_back(Event::RequestArrived(head.arrival(id, age, body_incomplete)));
-        // The decision core must get the time that the deadline timer was computed from. On a busy machine, a
-        // second reading of the clock can be later by more than the core's margin, and the deadline would
-        // then fall due before the core's own timer.
+        // The decision core must receive the time from which the deadline timer was computed. On a busy
+        // machine, a second reading of the clock can be later by more than the core's margin, and the
+        // deadline would then fall due before the core's own timer.
         self.process_events_at(&mut state, now);
         Some(SubmittedRequest { id, answer, counter: self.request_counters.begin(head.class) })
     }
@@ -57,8 +58,8 @@
             .on_forwarded(move || driver.handle_body_forwarded(id, client_timeout, newest_byte_age()))
     }
 
-    /// Restarts the request's time after the last part of a long body has been forwarded. The time counts
-    /// from the arrival of that part at this machine, `age` ago.
+    /// Restarts the client timeout after the last part of a streamed body has been forwarded. The timeout
+    /// runs from the arrival of that part at this machine, which was `age` ago.
     fn handle_body_forwarded(self: &Rc<Self>, id: RequestId, client_timeout: Micros, age: Duration) {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
@@ -94,11 +95,12 @@
         answer
     }
 
-    /// Ends a request at its deadline. First reports the timeout of an attempt in flight to the decision
-    /// core, which may then answer the request; if it does not, the request ends without the core's answer.
+    /// Ends a request at its deadline. If an attempt is in flight, this first reports its timeout to the
+    /// decision core, which may then answer the request. If the core does not answer, the driver answers
+    /// [`Answer::TimedOut`].
     pub(super) fn expire_request(&self, state: &mut DriverState, id: RequestId) {
         let Some(request) = state.requests.get(id).filter(|request| request.answer.is_some()) else { return };
-        // The deadline is not known while the body is incomplete.
+        // The deadline is unknown while the body is incomplete.
         if request.outgoing.body.is_incomplete() || self.clock.now() < request.deadline {
             return;
         }
--- a/crates/gateway/src/driver/decision_driver/timer_loop.rs
+++ b/crates/gateway/src/driver/decision_driver/timer_loop.rs
@@ -7,8 +7,8 @@
 use std::time::Instant;
 use tokio::time::sleep_until;
 
-/// Interval between checks for idle connections that have expired, in microseconds. It is also the maximum
-/// sleep of the timer loop.
+/// Interval between checks for expired idle connections to servers, in microseconds. It is also the maximum
+/// time for which the timer loop sleeps.
 pub(super) const EXPIRY_CHECK_INTERVAL: Micros = 500_000;
 
 impl DecisionDriver {
--- a/crates/gateway/src/driver/mod.rs
+++ b/crates/gateway/src/driver/mod.rs
@@ -1,5 +1,5 @@
-//! Decision driver: passes events to the decision core and carries out its actions, with the clock, the
-//! timers and the table of pending requests that this takes.
+//! Decision driver: passes events to the decision core and carries out its actions. Contains the clock, the
+//! timers and the table of pending requests.
 
 pub mod clock;
 pub mod decision_driver;
--- a/crates/gateway/src/driver/request.rs
+++ b/crates/gateway/src/driver/request.rs
@@ -18,7 +18,7 @@
     TimedOut,
 }
 
-/// Attributes of a client's request, as determined from its head.
+/// Attributes of a client's request, parsed from its head.
 pub struct RequestHead {
     /// Index of the request's class.
     pub class: usize,
@@ -26,23 +26,24 @@
     pub plan: usize,
     /// Customer that sent the request.
     pub customer: CustomerId,
-    /// Time that the client waits for the answer.
+    /// Time for which the client waits for the answer, in microseconds.
     pub client_timeout: Micros,
-    /// Quota units that the request uses.
+    /// Number of quota units that the request uses.
     pub units: f64,
     /// Number of gateways that serve the customer.
     pub customer_gateway_count: usize,
-    /// First of the gateways that serve the customer.
+    /// Index of the first gateway that serves the customer.
     pub first_gateway: usize,
     /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// Time for which servers deduplicate retries of the request, if it has an idempotency key.
+    /// Time for which servers deduplicate retries of the request, in microseconds, if it has an idempotency
+    /// key.
     pub deduplication_window: Option<Micros>,
 }
 
 impl RequestHead {
     /// Builds the event that reports the arrival of the request to the decision core. `age` is the time since
-    /// the request reached this machine.
+    /// the request's last byte reached this machine.
     pub fn arrival(&self, id: RequestId, age: Micros, body_incomplete: bool) -> RequestArrival {
         RequestArrival {
             id,
--- a/crates/gateway/src/driver/request_table.rs
+++ b/crates/gateway/src/driver/request_table.rs
@@ -18,15 +18,15 @@
     pub server: ServerId,
     /// Time at which the attempt was sent.
     pub sent_at: Micros,
-    /// Shared access to the connection, for aborting the attempt.
+    /// Connection of the attempt, which is shared with `task` so that the driver can close it.
     pub connection: Rc<AttemptConnection>,
     /// Handle of the task that carries out the attempt.
     pub task: AbortHandle,
 }
 
 impl InFlightAttempt {
-    /// Aborts the attempt and returns its final status. None of it is on the network when this function
-    /// returns.
+    /// Aborts the attempt and returns its final status. The connection is closed when this function returns,
+    /// so nothing more of the attempt is written.
     pub fn abort(&self, status: AttemptStatus) -> AttemptStatus {
         let request_written = self.connection.request_written();
         self.connection.close();
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Returns whether a server may have run the request: the status of an ended attempt allows for it, or
-    /// the attempt in flight has been written completely.
+    /// Returns whether a server may have run the request: the status of a completed attempt does not rule it
+    /// out, or the attempt in flight has been written completely.
     fn may_have_run(&self) -> bool {
         let attempt_written =
             self.in_flight.as_ref().is_some_and(|attempt| attempt.connection.request_written());
@@ -106,17 +106,17 @@
         }
     }
 
-    /// Returns the latest time at which an attempt may be written. The decision core checks the deduplication
-    /// window when it decides on the attempt. An attempt whose connection is established after the end of the
-    /// window must not be sent, because the request could take effect twice.
+    /// Returns the latest time at which the first byte of an attempt may be written. The decision core checks
+    /// the deduplication window only when it decides on the attempt. A retry whose connection is established
+    /// after the end of the window must not be sent, because the request could take effect twice.
     pub fn send_deadline(&self, attempt_deadline: Micros) -> Micros {
         let first_run = self.first_run_sent_at.zip(self.deduplication_window);
         let window_end = first_run.map(|(sent_at, window)| sent_at + window);
         window_end.map_or(attempt_deadline, |end| attempt_deadline.min(end))
     }
 
-    /// Restarts the request's time once the last part of a long body has been forwarded. Returns the index of
-    /// the attempt in flight.
+    /// Restarts the timeouts of the request and of its attempt in flight, once the last part of a streamed
+    /// body has been forwarded. Returns the index of that attempt, if any.
     pub fn restart_timeouts(&mut self, now: Micros, deadline: Micros) -> Option<u32> {
         self.deadline = deadline;
         let attempt = self.in_flight.as_mut()?;
@@ -124,8 +124,8 @@
         Some(attempt.attempt)
     }
 
-    /// Records the end of an attempt. Returns whether the decision core has yet to be notified that the body
-    /// cannot be sent again.
+    /// Records the end of an attempt. Returns true, once per request, if the decision core has to be notified
+    /// that the body cannot be sent again.
     pub fn record_attempt_end(&mut self, ended: &InFlightAttempt, status: AttemptStatus) -> bool {
         if status.may_have_run() {
             self.first_run_sent_at.get_or_insert(ended.sent_at);
@@ -195,7 +195,7 @@
         self.requests.get_mut(&id)
     }
 
-    /// Returns whether the attempt of this index is the one in flight.
+    /// Returns whether the attempt with this index is the one in flight.
     pub fn is_in_flight(&self, id: RequestId, attempt: u32) -> bool {
         let in_flight = self.get(id).and_then(|request| request.in_flight.as_ref());
         in_flight.is_some_and(|in_flight| in_flight.attempt == attempt)
@@ -206,7 +206,7 @@
         self.get(id).is_some_and(|request| request.answer.is_some())
     }
 
-    /// Returns the requests whose attempt in flight satisfies a condition, ordered by id.
+    /// Returns the ids, in ascending order, of the requests whose attempt in flight satisfies a condition.
     pub fn ids_with_attempt(&self, condition: impl Fn(&InFlightAttempt) -> bool) -> Vec<RequestId> {
         let satisfies = |request: &PendingRequest| request.in_flight.as_ref().is_some_and(&condition);
         let selected = self.requests.iter().filter(|(_, request)| satisfies(request));
--- a/crates/gateway/src/driver/timers.rs
+++ b/crates/gateway/src/driver/timers.rs
@@ -18,7 +18,7 @@
     /// Timer of the decision core.
     Decision(TimerId),
     RequestDeadline(RequestId),
-    /// Periodic closing of connections that have been idle for too long.
+    /// Periodic closing of connections to servers that have been idle for too long.
     CloseExpiredServerConnections,
 }
 
@@ -52,7 +52,7 @@
     }
 
     /// Removes obsolete timers from the front of the queue. Otherwise nearly every request would wake the
-    /// process twice more after its end.
+    /// process twice after the request has ended.
     pub fn discard_obsolete(&mut self, is_obsolete: impl Fn(Timer) -> bool) {
         while self.earliest().is_some_and(|scheduled| is_obsolete(scheduled.timer)) {
             self.pending.pop();
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -13,8 +13,8 @@
 use tokio::time::{timeout, Instant};
 use tracing::{info, warn};
 
-/// Time for which an unusable file is read again, since it may be only partly written when the signal
-/// arrives. Changes at the new discovery agent have to reach the gateway within 4 s of the signal.
+/// Time for which reading of an unusable file is retried, since the file may be only partly written when the
+/// signal arrives. Changes at the new discovery agent have to reach the gateway within 4 s of the signal.
 const RETRY_PERIOD: Duration = Duration::from_millis(3_000);
 /// Delay before the file is read again.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -30,7 +30,7 @@
 }
 
 impl ConfigReloader {
-    /// Reloads the file at every signal, for as long as the process lives.
+    /// Reloads the file at every signal, for the lifetime of the process.
     pub async fn run(self, mut signal: Signal) {
         while signal.recv().await.is_some() {
             self.reload(&mut signal).await;
--- a/crates/gateway/src/lifecycle/resources.rs
+++ b/crates/gateway/src/lifecycle/resources.rs
@@ -6,9 +6,9 @@
 /// Descriptors reserved for everything but connections of clients and servers: standard streams, event
 /// queues, discovery, the counter, gossip and operators.
 const RESERVED_DESCRIPTORS: usize = 40 + operations::server::MAX_CONNECTIONS;
-/// Divisor of the memory limit that gives the memory for responses forwarded as they arrive.
+/// Divisor of the memory limit. The result is the memory for streamed responses.
 const RESPONSE_MEMORY_DIVISOR: usize = 4;
-/// Divisor of the memory limit that gives the memory for request bodies.
+/// Divisor of the memory limit. The result is the memory for request bodies.
 const REQUEST_MEMORY_DIVISOR: usize = 8;
 
 /// Limits on the resources of each part of the gateway.
@@ -17,7 +17,7 @@
     pub client_connections: usize,
     /// Limit on connections to servers.
     pub server_connections: usize,
-    /// Limit on the memory for responses that are forwarded as they arrive, in bytes.
+    /// Limit on the memory for streamed responses, in bytes.
     pub response_bytes: usize,
     /// Limit on the memory for request bodies, in bytes.
     pub request_bytes: usize,
--- a/crates/gateway/src/lifecycle/services.rs
+++ b/crates/gateway/src/lifecycle/services.rs
@@ -30,11 +30,11 @@
     pub driver: Rc<DecisionDriver>,
     /// Client of the shared counter, if the gateway uses one.
     pub counter: Option<Rc<SharedCounter>>,
-    /// Sends the address of another discovery agent to the endpoint watch.
+    /// Sends the address of the discovery agent to the endpoint watch when it changes.
     pub discovery_address: watch::Sender<SocketAddr>,
 }
 
-/// Starts the services. The known endpoint list is moved out of the configuration.
+/// Starts the services. Moves the known endpoint list out of the configuration.
 pub async fn start(config: &mut Config, resources: &ResourceBudget) -> Result<Services, RunError> {
     let clock = Clock::start();
     let gateway = Gateway::new(config.settings.clone(), config.seed, clock.now());
--- a/crates/gateway/src/lifecycle/serving.rs
+++ b/crates/gateway/src/lifecycle/serving.rs
@@ -14,7 +14,7 @@
 pub struct ServingEnd {
     /// Time at which the stop signal arrived.
     pub signalled_at: Instant,
-    /// Whether a successor process accepts clients at the same listener.
+    /// Whether a successor process has taken over the listener and accepts clients.
     pub is_handed_over: bool,
 }
 
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: accepts late clients, completes their requests and exits, all before SIGKILL may be
-//! sent.
+//! Graceful shutdown: accepts clients that still connect after the stop signal, completes all requests and
+//! exits, before SIGKILL may be sent.
 
 use crate::clients::server::ClientServer;
 use crate::driver::decision_driver::DecisionDriver;
@@ -11,7 +11,7 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use tracing::{info, warn};
 
-/// Upper bound of the longest deadline in the calculation of the kill time: SIGKILL is sent no sooner after
+/// Maximum deadline that the calculation of the kill time takes into account: SIGKILL is sent no sooner after
 /// the stop signal than the longest deadline, limited to this value, plus [`KILL_GRACE`].
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_millis(3_000);
 /// Time from the longest deadline, limited to [`MAX_COUNTED_DEADLINE`], to the earliest SIGKILL.
@@ -42,7 +42,8 @@
 }
 
 impl Shutdown {
-    /// Schedules the shutdown after a stop signal, for the longest deadline of any request.
+    /// Schedules the shutdown after a stop signal. `longest_deadline` is the longest deadline of any request
+    /// class.
     pub fn new(signalled_at: Instant, longest_deadline: Duration) -> Shutdown {
         Shutdown { signalled_at, time_to_kill: longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE }
     }
--- a/crates/gateway/src/lifecycle/shutdown/tests.rs
+++ b/crates/gateway/src/lifecycle/shutdown/tests.rs
@@ -6,8 +6,8 @@
 /// Time after the stop signal during which clients still connect.
 const NEW_CONNECTIONS_PERIOD: Duration = Duration::from_millis(400);
 
-/// Guards against schedules in which short deadlines cut off clients that connect in time, or in which idle
-/// connections close before the listener or after the process exits, or the exit comes after SIGKILL.
+/// Guards against a schedule that, with short deadlines, cuts off clients that connect in time, closes idle
+/// connections before the listener or after the exit, or lets SIGKILL precede the exit.
 #[test]
 fn shutdown_steps_are_in_order_however_short_the_deadlines() {
     for deadline in [1, 50, 100, 300, 500, 1_000, 3_000, 20_000].map(Duration::from_millis) {
--- a/crates/gateway/src/lifecycle/startup.rs
+++ b/crates/gateway/src/lifecycle/startup.rs
@@ -1,5 +1,5 @@
 //! Startup of the process: configuration, async runtime and listeners. Calls that fail with a transient error
-//! are retried, since a gateway that exits at startup serves nobody.
+//! are retried, since a gateway that exits at startup serves no clients.
 
 use crate::config::document::{Config, ConfigError};
 use crate::driver::decision_driver::DecisionDriver;
@@ -55,8 +55,8 @@
 /// Creates the single-threaded async runtime; retries transient errors.
 pub fn create_runtime() -> Result<Runtime, RunError> {
     let build = || {
-        // tokio panics if it cannot create the socket pair for signal notifications; this finds out first
-        // whether a socket pair can be created.
+        // tokio panics if it cannot create the socket pair for signal notifications. Creating one here first
+        // turns that failure into an error.
         drop(UnixStream::pair()?);
         Builder::new_current_thread().enable_all().build()
     };
@@ -114,8 +114,8 @@
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(true)?;
-    // A small send buffer leaves what a slow client has not read at the server, is written to often enough to
-    // show that the client makes progress, and takes little of the system's memory.
+    // With a small send buffer, data that a slow client has not read yet stays at the server, writes are
+    // frequent enough to show that the client makes progress, and little of the system's memory is used.
     socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
--- a/crates/gateway/src/lifecycle/takeover.rs
+++ b/crates/gateway/src/lifecycle/takeover.rs
@@ -45,7 +45,7 @@
 }
 
 /// Returns the path of the control socket of the gateway that listens at an address, or `None` if `$TMPDIR`
-/// is not set.
+/// is unset or empty.
 pub fn control_socket_path(listen: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     Some(PathBuf::from(folder).join(format!("takeover-{listen}")))
@@ -60,7 +60,7 @@
         Ok(predecessor) => Some(predecessor),
         Err(error) => {
             let socket = path.display();
-            warn!(%socket, %error, "hand-over failed; starting without the state of the previous process");
+            warn!(%socket, %error, "hand-over failed; starting without the predecessor's state");
             None
         }
     }
@@ -82,14 +82,14 @@
 }
 
 /// Binds the control socket of the gateway that listens at an address. Without one, a successor process
-/// cannot take over and can only bind a listener of its own at the same address.
+/// cannot take over and can only bind a separate listener at the same address.
 pub fn listen_for_successor(listen: SocketAddr) -> Option<UnixListener> {
     let path = control_socket_path(listen)?;
     match bind_control_socket(&path) {
         Ok(control_socket) => Some(control_socket),
         Err(error) => {
             let socket = path.display();
-            warn!(%socket, %error, "control socket cannot be bound; no successor process can take over the state");
+            warn!(%socket, %error, "control socket cannot be bound; no successor can take over the state");
             None
         }
     }
--- a/crates/gateway/src/network/handshake_filter.rs
+++ b/crates/gateway/src/network/handshake_filter.rs
@@ -3,8 +3,8 @@
 //! A connection whose handshake completes between the last `accept` and the close of the listener is reset
 //! after its client has sent a request. No order of `accept` and `close` prevents that, but a packet filter
 //! does: it drops the first segment of every new handshake, so that the accept queue can only shrink. A
-//! client whose segment was dropped has no connection yet; its operating system retransmits the segment and
-//! finds the address refused, or another listener there.
+//! client whose segment was dropped has no connection yet. Its operating system retransmits the segment,
+//! which is then refused, or answered by another listener at the address.
 
 use socket2::{SockFilter, SockRef};
 use std::io;
@@ -23,7 +23,7 @@
 const FLAGS_OFFSET: u32 = 13;
 /// Flag of the two segments that open a connection.
 const SYN: u32 = 0x02;
-/// Flag of every segment of a connection but the first.
+/// Flag of every segment of a connection except the first.
 const ACK: u32 = 0x10;
 
 /// Drops segments with `SYN` and without `ACK`, and keeps all others.
--- a/crates/gateway/src/network/handshake_filter/tests.rs
+++ b/crates/gateway/src/network/handshake_filter/tests.rs
@@ -16,7 +16,7 @@
     i32
 );
 
-/// Upper bound of the time that segments of a test take to arrive.
+/// Maximum time for which a test waits for segments to arrive.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 /// Duration after which a connection attempt counts as unanswered; the system retransmits its first segment
 /// after 1 s.
--- a/crates/gateway/src/network/headers.rs
+++ b/crates/gateway/src/network/headers.rs
@@ -7,15 +7,15 @@
 
 /// Request ID assigned by the client.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-call-id");
-/// Name of the class to which a request belongs.
+/// Name of the class that a request belongs to.
 pub const REQUEST_CLASS: HeaderName = HeaderName::from_static("x-call-class");
-/// Key by which servers recognize a repeated request.
+/// Key by which servers recognize a retried request.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Name of the customer's plan.
 pub const PLAN: HeaderName = HeaderName::from_static("api-plan");
 /// ID of the customer, in hexadecimal digits.
 pub const CUSTOMER: HeaderName = HeaderName::from_static("api-customer");
-/// Units that the request takes of the quota, and the gateways that share it: see [`QuotaParameters`].
+/// Quota units that the request uses, and the gateways that share the quota: see [`QuotaParameters`].
 pub const QUOTA_PARAMETERS: HeaderName = HeaderName::from_static("api-terms");
 /// Remaining time for which the sender waits for the response, in milliseconds.
 pub const TIMEOUT_MS: HeaderName = HeaderName::from_static("x-budget-ms");
@@ -27,7 +27,7 @@
 const REJECTED: HeaderName = HeaderName::from_static("x-rejected");
 /// The customer's usage of its quota, in percent.
 const REPORTED_USAGE: HeaderName = HeaderName::from_static("api-usage");
-/// Units that the request actually took.
+/// Quota units that the request actually used.
 const SETTLED_UNITS: HeaderName = HeaderName::from_static("api-charge");
 
 /// Hop-by-hop headers besides `Connection` and the two that define the length of the body.
@@ -42,9 +42,9 @@
 #[error("{0} is missing or malformed")]
 pub struct InvalidHeader(pub HeaderName);
 
-/// Units that a request takes of its customer's quota, and the gateways that share the quota.
+/// Quota units that a request uses, and the gateways that share its customer's quota.
 pub struct QuotaParameters {
-    /// Units that the request takes.
+    /// Number of quota units that the request uses.
     pub units: f64,
     /// Number of gateways that serve the customer.
     pub customer_gateway_count: usize,
@@ -52,8 +52,8 @@
     pub first_gateway: usize,
 }
 
-/// Returns the value of a header that must occur exactly once, since a server might use the other value of
-/// two.
+/// Returns the value of a header that must occur exactly once. If it were repeated, a server might use a
+/// different value than the gateway.
 pub fn single(headers: &HeaderMap, name: HeaderName) -> Result<&HeaderValue, InvalidHeader> {
     let mut values = headers.get_all(&name).iter();
     match (values.next(), values.next()) {
@@ -67,7 +67,7 @@
     single(headers, name.clone())?.to_str().map_err(|_| InvalidHeader(name))
 }
 
-/// Returns the customer of a request.
+/// Returns the id of the customer that sent a request.
 pub fn customer(headers: &HeaderMap) -> Result<CustomerId, InvalidHeader> {
     parse_customer(single_text(headers, CUSTOMER)?).ok_or(InvalidHeader(CUSTOMER))
 }
@@ -124,7 +124,8 @@
     Some(percent / 100.0).filter(|usage| usage.is_finite() && *usage >= 0.0)
 }
 
-/// Returns the units that a request actually took. Values that no request can take are ignored.
+/// Returns the quota units that a request actually used. Impossible values, not positive or above
+/// `max_units`, are ignored.
 pub fn settled_units(headers: &HeaderMap, max_units: f64) -> Option<f64> {
     let units: f64 = headers.get(SETTLED_UNITS)?.to_str().ok()?.trim().parse().ok()?;
     Some(units).filter(|units| *units > 0.0 && *units <= max_units)
--- a/crates/gateway/src/network/socket.rs
+++ b/crates/gateway/src/network/socket.rs
@@ -14,7 +14,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpStream, UnixStream};
 
-/// A non-blocking stream with notification of possible readiness. Its calls fail with
+/// A non-blocking stream that reports when it may be ready. Its reads and writes fail with
 /// [`io::ErrorKind::WouldBlock`] while it is not ready.
 pub trait ReadyStream: Unpin {
     /// Waits until the stream may be readable.
--- a/crates/gateway/src/network/system_error.rs
+++ b/crates/gateway/src/network/system_error.rs
@@ -1,4 +1,5 @@
-//! Classification of system call errors: errors of one connection, of the network, or of exhausted resources.
+//! Classification of system call errors: errors of a single connection, of the network, or of exhausted
+//! resources.
 
 use rustix::io::Errno;
 use std::io;
--- a/crates/gateway/src/network/tcp_info.rs
+++ b/crates/gateway/src/network/tcp_info.rs
@@ -9,8 +9,8 @@
 
 /// Index of the time since the last data among the words of [`TcpInfo`].
 const LAST_DATA_RECEIVED_INDEX: usize = offset_of!(libc::tcp_info, tcpi_last_data_recv) / size_of::<u32>();
-/// Largest amount by which the reported time since the last data may be too long, since the kernel counts it
-/// in ticks of at most 10 ms.
+/// Maximum amount by which the kernel overstates the time since the last data, which it counts in ticks of at
+/// most 10 ms.
 const MAX_KERNEL_TICK: Duration = Duration::from_millis(10);
 
 sockopt_impl!(
--- a/crates/gateway/src/network/tcp_info/tests.rs
+++ b/crates/gateway/src/network/tcp_info/tests.rs
@@ -6,7 +6,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Time for which the test data lies unread.
+/// Time for which the test data stays unread.
 const WAIT: Duration = Duration::from_millis(200);
 
 #[test]
--- a/crates/gateway/src/operations/server.rs
+++ b/crates/gateway/src/operations/server.rs
@@ -56,7 +56,7 @@
         Rc::new(OperationsServer { clients, driver })
     }
 
-    /// Accepts connections for as long as the process lives.
+    /// Accepts connections for the lifetime of the process.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let mut connections: VecDeque<OperatorConnection> = VecDeque::new();
         loop {
--- a/crates/gateway/src/servers/attempt.rs
+++ b/crates/gateway/src/servers/attempt.rs
@@ -23,12 +23,13 @@
     pub client_has_disconnected: Rc<dyn Fn() -> bool>,
 }
 
-/// Time limits of an attempt.
+/// Deadlines for sending an attempt and for receiving its response.
 #[derive(Clone, Copy)]
 pub struct AttemptDeadlines {
-    /// Latest time to write the first byte; if it is missed, nothing is written.
+    /// Latest time at which the first byte may be written; after it, nothing is written.
     pub send_deadline: Instant,
-    /// Time at which the attempt times out. The server receives the remaining time as the forwarded timeout.
+    /// Time at which the attempt times out. The time remaining until then is the forwarded timeout that the
+    /// server receives.
     pub response_deadline: Instant,
 }
 
@@ -81,8 +82,8 @@
     }
 }
 
-/// The connection of an attempt, shared with the attempt's owner; empty while the connection is being
-/// established.
+/// The connection of an attempt, shared between the attempt's task and the code that may abort the attempt;
+/// empty while the connection is being established.
 #[derive(Default)]
 pub struct AttemptConnection {
     connection: RefCell<Option<Rc<ServerConnection>>>,
--- a/crates/gateway/src/servers/connection.rs
+++ b/crates/gateway/src/servers/connection.rs
@@ -44,10 +44,10 @@
 }
 
 /// Conditions checked just before the first byte of a request is written, because the process may have waited
-/// for a CPU core since the attempt was decided on.
+/// for a CPU core since the decision to send the attempt.
 #[derive(Clone)]
 pub struct WriteCondition {
-    /// Latest time to write the first byte.
+    /// Latest time at which the first byte may be written.
     pub send_deadline: Instant,
     /// Time at which the forwarded timeout was computed.
     pub timeout_computed_at: Instant,
@@ -108,7 +108,7 @@
         self.write_condition.replace(Some(condition));
     }
 
-    /// Records that the request's body has been handed to hyper completely.
+    /// Records that the request's body has been passed to hyper completely.
     pub fn record_body_end(&self) {
         self.update_progress(RequestProgress::record_body_end);
     }
@@ -138,13 +138,13 @@
         self.socket.borrow().as_ref().is_some_and(|open_socket| open_socket.socket.has_no_unread_input())
     }
 
-    /// Closes the connection immediately, without waiting for a task to be polled: an abandoned attempt must
-    /// be off the network before the next attempt of its request is sent.
+    /// Closes the connection immediately, without waiting for a task to be polled: the connection of an
+    /// abandoned attempt must be closed before the next attempt of its request is sent.
     pub fn close(&self) {
         self.socket.borrow_mut().take();
     }
 
-    /// Returns whether the connection has carried a request before the current one.
+    /// Returns whether the current request is not the first one on the connection.
     fn is_reused(&self) -> bool {
         self.requests_begun.get() > 1
     }
--- a/crates/gateway/src/servers/connection/tests.rs
+++ b/crates/gateway/src/servers/connection/tests.rs
@@ -19,7 +19,8 @@
     io.write(b"GET / HTTP/1.1\r\n\r\n").await
 }
 
-/// Guards against a request on a connection with unsolicited input, which would be taken for its response.
+/// Guards against sending a request on a connection with unsolicited input, which would be taken for the
+/// response.
 /// The check before the write must find the input even if the runtime has not yet polled the readiness event
 /// for it.
 #[test]
--- a/crates/gateway/src/servers/dial.rs
+++ b/crates/gateway/src/servers/dial.rs
@@ -7,8 +7,8 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::sleep;
 
-/// Size of the kernel's receive buffer of a connection, which bounds the unread part of a response held by
-/// the kernel.
+/// Size of the kernel's receive buffer of a connection, which limits how much of an unread response the
+/// kernel holds.
 const RECEIVE_BUFFER_BYTES: u32 = 128 << 10;
 /// Maximum number of attempts to open a connection while this machine lacks the resources for it.
 const MAX_DIAL_ATTEMPTS: usize = 5;
--- a/crates/gateway/src/servers/exchange.rs
+++ b/crates/gateway/src/servers/exchange.rs
@@ -21,7 +21,7 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{sleep, timeout_at};
 
-/// Maximum length of a response body. It is above the limit for request bodies, because servers send longer
+/// Maximum length of a response body. It exceeds the limit for request bodies, because servers send longer
 /// bodies than they accept.
 const MAX_RESPONSE_BODY_BYTES: u64 = 64 << 20;
 
@@ -29,16 +29,16 @@
 pub struct Upstream {
     /// Listed servers and the connections to them.
     pub pool: ConnectionPool,
-    /// Memory for responses that are forwarded as they arrive; each takes one permit.
+    /// Memory for streamed responses, each of which takes one permit.
     body_memory: Arc<Semaphore>,
     /// Maximum number of quota units that a request can use.
     max_units: f64,
 }
 
-/// One attempt: the request, its destination and its time limits.
+/// One attempt: the request, its destination and its deadlines.
 struct Attempt<'a> {
     server: ServerId,
-    /// Gives the owner of the attempt access to its connection.
+    /// Gives the code that may abort the attempt access to its connection.
     connection: &'a AttemptConnection,
     request: &'a OutgoingRequest,
     deadlines: AttemptDeadlines,
@@ -46,27 +46,27 @@
     written_counter: Option<&'a Rc<Cell<u64>>>,
 }
 
-/// Error: the connection was closed before the first byte of the request was written to it.
+/// Error of a connection that was closed before the first byte of the request was written to it.
 struct ClosedBeforeWrite;
 
 /// The part of a response body that is read before the response is evaluated.
 enum ReceivedBody {
     /// Complete body.
     Complete(Bytes),
-    /// Beginning of a body that is too long to be buffered.
+    /// Prefix of a body that is too long to be buffered, with the rest of the body.
     Partial {
         /// Data already read.
         buffered: Bytes,
         /// Data that the server is still sending.
         remainder: Incoming,
-        /// Memory reserved for forwarding the body.
+        /// Memory reserved for streaming the body.
         body_memory: OwnedSemaphorePermit,
     },
 }
 
 impl Upstream {
-    /// Creates an upstream over a pool. `body_memory_bytes` is the memory for responses that are forwarded as
-    /// they arrive, and `max_units` the maximum number of quota units that a request can use.
+    /// Creates an upstream over a pool. `body_memory_bytes` is the memory for streamed responses, and
+    /// `max_units` the maximum number of quota units that a request can use.
     pub fn new(pool: ConnectionPool, body_memory_bytes: usize, max_units: f64) -> Upstream {
         let max_streamed = (body_memory_bytes / STREAMING_BUFFER_BYTES).max(1);
         Upstream { pool, body_memory: Arc::new(Semaphore::new(max_streamed)), max_units }
@@ -84,8 +84,8 @@
     ) -> AttemptOutcome {
         let attempt = Attempt { server, connection, request, deadlines, written_counter };
         while let Some(idle) = self.pool.take_idle(server) {
-            // After this delay, a surplus response to the previous request has arrived and closed the
-            // connection.
+            // If the server sends a surplus response to the previous request, it arrives within this delay
+            // and closes the connection.
             if let Some(delay) = idle.remaining_reuse_delay() {
                 sleep(delay).await;
             }
@@ -145,7 +145,7 @@
     }
 
     /// Reads the body of a response up to the buffer limit. For a longer body, waits until memory for
-    /// forwarding it is available; the server has to wait as well. Returns `None` if the response is not
+    /// streaming it is available; the server has to wait as well. Returns `None` if the response is not
     /// valid.
     async fn read_response_body(&self, head: &response::Parts, body: Incoming) -> Option<ReceivedBody> {
         let is_ok = head.status == StatusCode::OK;
--- a/crates/gateway/src/servers/exchange/tests.rs
+++ b/crates/gateway/src/servers/exchange/tests.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-/// Time limit that no test reaches.
+/// Timeout that no test reaches.
 const GENEROUS_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Makes one attempt at the server at `address`, over a pool of at most `max_connections` connections.
@@ -63,7 +63,7 @@
     }
 }
 
-/// Guards against a server reported as unreachable because the gateway has no capacity for another
+/// Guards against reporting a server as unreachable because the gateway has no capacity for another
 /// connection.
 #[test]
 fn attempt_fails_as_not_sent_when_the_pool_is_full() {
@@ -74,7 +74,7 @@
     });
 }
 
-/// Guards against a request sent for a client that disconnects between the last check and the write, while
+/// Guards against sending a request for a client that disconnects between the last check and the write, while
 /// the gateway waits for a CPU core.
 #[test]
 fn nothing_is_written_for_a_client_that_has_just_disconnected() {
@@ -90,8 +90,8 @@
     });
 }
 
-/// Guards against a forwarded timeout computed long before the write, with the gateway waiting for a CPU core
-/// in between.
+/// Guards against sending a forwarded timeout that was computed long before the write, because the gateway
+/// waited for a CPU core in between.
 #[test]
 fn nothing_is_written_with_an_outdated_forwarded_timeout() {
     run(async {
@@ -104,7 +104,7 @@
     });
 }
 
-/// Guards against an attempt written after the end of its deduplication window, because the gateway waited
+/// Guards against writing an attempt after the end of its deduplication window, because the gateway waited
 /// for a CPU core just before the write.
 #[test]
 fn nothing_is_written_after_the_send_deadline() {
--- a/crates/gateway/src/servers/health_check.rs
+++ b/crates/gateway/src/servers/health_check.rs
@@ -21,7 +21,7 @@
 }
 
 impl Upstream {
-    /// Checks a server's health by a GET request for `path`, which times out after `check_timeout`.
+    /// Checks a server's health with a GET request for `path`, which times out after `check_timeout`.
     pub async fn check_health(
         self: &Rc<Self>,
         server: ServerId,
--- a/crates/gateway/src/servers/pool.rs
+++ b/crates/gateway/src/servers/pool.rs
@@ -47,7 +47,7 @@
     pub connection: Rc<ServerConnection>,
     /// Server process that the connection was opened to.
     process: ServerProcess,
-    /// End of the last response, or the time of opening before the first one.
+    /// Time at which the last response ended, or the connection was opened.
     idle_since: Instant,
 }
 
@@ -75,12 +75,12 @@
         }
     }
 
-    /// Applies the server's entry in the list, and closes idle connections that do not lead to the listed
-    /// process.
+    /// Applies the server's entry in the list, and closes idle connections that were not opened to the listed
+    /// process, or all of them if the server is not ready.
     fn update(&mut self, listed: &ListedEndpoint) {
         self.process = ServerProcess::from_listed(listed);
         self.state = listed.endpoint.state;
-        // A machine that failed has not closed its connections, and a machine that restarted has lost them.
+        // A failed machine does not close its connections, and a restarted one no longer knows them.
         let process = self.process;
         let is_ready = self.is_ready();
         self.idle.retain(|idle| is_ready && idle.process == process);
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Applies a delta of the endpoint list, or a complete list. Closes idle connections that do not lead to
-    /// a listed process.
+    /// Applies a delta of the endpoint list, or a complete list. Closes idle connections that were not opened
+    /// to a listed process or whose server is not ready.
     pub fn update(&self, is_complete: bool, endpoints: &[ListedEndpoint]) {
         let mut servers = self.servers.borrow_mut();
         if is_complete {
@@ -179,7 +179,8 @@
     }
 
     /// Returns an unused connection to the pool. Its idle time continues, because its server has seen it idle
-    /// since the last response. Closes a connection that does not lead to a listed process.
+    /// since the last response. Closes a connection that was not opened to a listed process or whose server
+    /// is not ready.
     pub fn release_unused(&self, server: ServerId, connection: PooledConnection) {
         if let Some(server) = self.servers.borrow_mut().get_mut(&server) {
             if server.process == connection.process && server.is_ready() && !connection.sender.is_closed() {
--- a/crates/gateway/src/servers/request_progress.rs
+++ b/crates/gateway/src/servers/request_progress.rs
@@ -30,7 +30,7 @@
     Bytes(u64),
     /// Chunks of a body of unknown length.
     Chunks {
-        /// Whether all data has been handed to hyper, so that only the last chunk can be outstanding.
+        /// Whether all data has been passed to hyper, so that only the last chunk can be unwritten.
         ended: bool,
     },
 }
@@ -80,7 +80,7 @@
         self.bytes_read += bytes;
     }
 
-    /// Records that the body's data has been handed to hyper completely.
+    /// Records that the body's data has been passed to hyper completely.
     pub fn record_body_end(&mut self) {
         if let RemainingBody::Chunks { ended } = &mut self.remaining_body {
             *ended = true;
--- a/crates/gateway/src/servers/request_progress/tests.rs
+++ b/crates/gateway/src/servers/request_progress/tests.rs
@@ -19,8 +19,8 @@
     }
 }
 
-/// Guards against a body of unknown length taken for complete because its data contains the bytes that end
-/// the last chunk.
+/// Guards against taking a body of unknown length for complete because its data contains the byte sequence
+/// that ends the last chunk.
 #[test]
 fn chunked_request_is_complete_only_with_its_last_chunk() {
     let text = b"POST / HTTP/1.1\r\nA: b\r\n\r\n5\r\n\r\n\r\nx\r\n0\r\n\r\n";
