--- a/crates/scale-laboratory/src/memory.rs
+++ b/crates/scale-laboratory/src/memory.rs
@@ -86,6 +86,6 @@
     Ok(())
 }
 
-fn memory_bound_error(what: String, needed: u64, bound: u64) -> LaboratoryError {
-    LaboratoryError::MemoryBound { what, needed_mib: needed / MIB, bound_mib: bound / MIB }
+fn memory_bound_error(consumer: String, needed: u64, bound: u64) -> LaboratoryError {
+    LaboratoryError::MemoryLimitExceeded { consumer, needed_mib: needed / MIB, limit_mib: bound / MIB }
 }
--- a/crates/scale-laboratory/tests/core_cost.rs
+++ b/crates/scale-laboratory/tests/core_cost.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{parse, text, value};
+use common::{parse, toml, value};
 use grebehook_scale_laboratory::core_cost;
 use grebehook_scale_laboratory::metric::Metric;
 use grebehook_scale_laboratory::progress::Progress;
@@ -23,7 +23,7 @@
         ("tenants = 40", tenants.as_str()),
         ("requests_per_second = 0.0", "requests_per_second = 1000.0\ntimed_requests = 50"),
     ];
-    core_cost::measure(&parse(&text(&changes, "")).unwrap(), None, &Progress::default()).unwrap()
+    core_cost::measure(&parse(&toml(&changes, "")).unwrap(), None, &Progress::default()).unwrap()
 }
 
 /// A single test, because the measured heap is that of the whole process.
@@ -32,7 +32,7 @@
     let points = [61, 6_100, 30_500].map(|servers| measure(servers, 200));
     for point in &points {
         assert!(value(point, Metric::RequestEntries) <= MAX_REQUEST_ENTRIES, "{point:?}");
-        assert_eq!(value(point, Metric::RoundEntries), value(&points[0], Metric::RoundEntries));
+        assert_eq!(value(point, Metric::TickEntries), value(&points[0], Metric::TickEntries));
     }
     let per_server = value(&points[2], Metric::ListHeap) / 30_500.0;
     assert!((100.0..400.0).contains(&per_server), "{per_server} bytes a server");
