--- a/crates/gateway/src/bodies/download.rs
+++ b/crates/gateway/src/bodies/download.rs
@@ -9,15 +9,15 @@
 use std::task::{ready, Context, Poll};
 use tokio::sync::OwnedSemaphorePermit;
 
-/// Largest chunk of a buffered body passed to hyper, which would copy the whole of a longer one and keep the
-/// buffer.
+/// Maximum size of a chunk of a buffered body that is passed to hyper, which would copy all of a longer one
+/// and keep the buffer for it.
 const MAX_CHUNK_BYTES: usize = 16 << 10;
 
 /// The body of a response.
 pub enum ResponseContent {
     Buffered(Bytes),
     /// Forwarded as it arrives.
-    Forwarded(Box<Download>),
+    Streamed(Box<Download>),
 }
 
 impl ResponseContent {
@@ -26,7 +26,7 @@
         match self {
             ResponseContent::Buffered(data) if data.is_empty() => Poll::Ready(None),
             ResponseContent::Buffered(data) => Poll::Ready(Some(Ok(split_chunk(data)))),
-            ResponseContent::Forwarded(download) => download.poll_chunk(cx),
+            ResponseContent::Streamed(download) => download.poll_chunk(cx),
         }
     }
 
@@ -34,7 +34,7 @@
     pub fn is_complete(&self) -> bool {
         match self {
             ResponseContent::Buffered(data) => data.is_empty(),
-            ResponseContent::Forwarded(download) => download.on_complete.is_none(),
+            ResponseContent::Streamed(download) => download.on_complete.is_none(),
         }
     }
 
@@ -42,15 +42,14 @@
     pub fn size_hint(&self) -> SizeHint {
         match self {
             ResponseContent::Buffered(data) => SizeHint::with_exact(data.len() as u64),
-            ResponseContent::Forwarded(download) => download.size_hint(),
+            ResponseContent::Streamed(download) => download.size_hint(),
         }
     }
 }
 
-/// A response body that is forwarded while the server sends it. If it is dropped before its end, the
-/// connection to the server is closed.
+/// A streamed response body. If it is dropped before its end, the connection to the server is closed.
 pub struct Download {
-    /// The part read before forwarding began.
+    /// The unsent part of the prefix that was read before streaming began.
     buffered: Bytes,
     /// The part that the server is still sending.
     remainder: StallTimeoutBody,
@@ -58,13 +57,13 @@
     connection: Rc<ServerConnection>,
     /// Returns the connection to its pool once the body is complete; `None` from then on.
     on_complete: Option<Box<dyn FnOnce()>>,
-    /// Reserved memory for forwarding.
+    /// Reserved memory for streaming.
     _body_memory: OwnedSemaphorePermit,
 }
 
 impl Download {
-    /// Creates a body from its buffered beginning and the remainder on the connection. `on_complete` is
-    /// called once all of the body has arrived.
+    /// Creates a body from its buffered prefix and the remainder on the connection. `on_complete` is called
+    /// once all of the body has arrived.
     pub fn new(
         buffered: Bytes,
         remainder: Incoming,
--- a/crates/gateway/src/clients/request_handler.rs
+++ b/crates/gateway/src/clients/request_handler.rs
@@ -6,7 +6,7 @@
 use crate::clients::connection::ClientConnection;
 use crate::clients::disconnect::{wait_for_disconnect, DisconnectGuard};
 use crate::clients::request_error::RequestError;
-use crate::clients::request_head::RequestHeadReader;
+use crate::clients::request_head::RequestHeadParser;
 use crate::clients::response::{
     announce_close, answer_response, error_response, text_response, ResponseBody,
 };
@@ -26,28 +26,28 @@
 use tokio::sync::{oneshot, Semaphore};
 use tokio::time::timeout_at;
 
-/// Largest request body accepted.
+/// Maximum length of a request body.
 const MAX_REQUEST_BODY_BYTES: u64 = 32 << 20;
-/// Largest body that needs no reserved memory, since it fits into hyper's read buffer.
+/// Maximum length of a body that needs no reserved memory, since it fits into hyper's read buffer.
 const MAX_UNRESERVED_BODY_BYTES: u64 = 4 << 10;
-/// Bytes of body memory that one semaphore permit represents.
+/// Number of bytes of body memory that one semaphore permit represents.
 const BYTES_PER_PERMIT: usize = 1 << 10;
-/// Path of the platform's health check of the gateway.
+/// HTTP path of the platform's health check of the gateway.
 const HEALTH_PATH: &str = "/_health";
 
 /// Handles client requests.
 pub struct RequestHandler {
     driver: Rc<DecisionDriver>,
     /// Parses request heads.
-    head_reader: RequestHeadReader,
+    head_parser: RequestHeadParser,
     /// Memory for buffered parts of request bodies, in permits of [`BYTES_PER_PERMIT`].
     body_memory: Arc<Semaphore>,
 }
 
-/// A response and the effect on its connection.
+/// A response, and whether its connection may be reused.
 struct HandledRequest {
     response: Response<ResponseBody>,
-    /// Whether the connection must close, because the beginning of a next request could not be located.
+    /// Whether the connection must close, because the beginning of the next request could not be located.
     must_close: bool,
 }
 
@@ -63,11 +63,11 @@
     /// one body if that is more.
     pub fn new(
         driver: Rc<DecisionDriver>,
-        head_reader: RequestHeadReader,
+        head_parser: RequestHeadParser,
         body_memory_bytes: usize,
     ) -> RequestHandler {
         let permits = body_memory_bytes.max(MAX_BUFFERED_BODY_BYTES) / BYTES_PER_PERMIT;
-        RequestHandler { driver, head_reader, body_memory: Arc::new(Semaphore::new(permits)) }
+        RequestHandler { driver, head_parser, body_memory: Arc::new(Semaphore::new(permits)) }
     }
 
     /// Returns the response to a request.
@@ -93,7 +93,7 @@
             client.record_request();
             return HandledRequest { response: text_response(StatusCode::OK, ""), must_close: has_body };
         }
-        // Only hyper can tell where a chunked body ends in the bytes of the connection.
+        // Only hyper determines where a chunked body ends in the bytes of the connection.
         let is_chunked = request.body().size_hint().exact().is_none();
         match self.answer(client, request).await {
             Ok(AnsweredRequest { answer, counter, body }) => {
@@ -124,7 +124,7 @@
     ) -> Result<AnsweredRequest, RequestError> {
         let (head, body) = request.into_parts();
         check_body_length(&client.stream, &head.headers)?;
-        let request_head = self.head_reader.read(&head.method, &head.headers)?;
+        let request_head = self.head_parser.parse(&head.method, &head.headers)?;
         let body = Rc::new(self.read_body(client, body).await?);
         if head.method == Method::GET && body.length() != Some(0) {
             return Err(InvalidHeader(CONTENT_LENGTH).into());
@@ -161,7 +161,8 @@
         }
     }
 
-    /// Reads a short body, or the beginning of a longer one, by the deadline for receiving the request.
+    /// Reads a short body, or the beginning of a longer one. Fails if it does not arrive by the deadline for
+    /// receiving the request.
     async fn read_body(&self, client: &ClientConnection, body: Incoming) -> Result<Upload, RequestError> {
         if body.size_hint().exact().is_some_and(|length| length > MAX_REQUEST_BODY_BYTES) {
             return Err(RequestError::BodyTooLarge);
@@ -190,8 +191,8 @@
     }
 }
 
-/// Checks that the length of the body is defined only once. hyper drops one of the two headers, but the
-/// stream scans the raw bytes.
+/// Checks that only one header defines the length of the body. If both are present, hyper drops one of them,
+/// so the check relies on the stream, which scans the raw bytes.
 fn check_body_length(stream: &ClientStream, headers: &HeaderMap) -> Result<(), RequestError> {
     let is_ambiguous = match stream.framing() {
         Some(framing) => framing.is_ambiguous(),
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -13,8 +13,8 @@
 use tokio::time::{timeout, Instant};
 use tracing::{info, warn};
 
-/// Time for which an unusable file is read again, since it may be only partly written when the signal
-/// arrives. Changes at the new discovery agent have to reach the gateway within 4 s of the signal.
+/// Time for which reading of an unusable file is retried, since the file may be only partly written when the
+/// signal arrives. Changes at the new discovery agent have to reach the gateway within 4 s of the signal.
 const RETRY_PERIOD: Duration = Duration::from_millis(3_000);
 /// Delay before the file is read again.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -24,13 +24,13 @@
     /// Path of the configuration file.
     pub path: PathBuf,
     /// Sends the address of the discovery agent to the endpoint watch.
-    pub discovery_agent: watch::Sender<SocketAddr>,
+    pub discovery_address: watch::Sender<SocketAddr>,
     /// Client of the shared counter, if the gateway uses one.
     pub counter: Option<Rc<SharedCounter>>,
 }
 
 impl ConfigReloader {
-    /// Reloads the file at every signal, for as long as the process lives.
+    /// Reloads the file at every signal, for the lifetime of the process.
     pub async fn run(self, mut signal: Signal) {
         while signal.recv().await.is_some() {
             self.reload(&mut signal).await;
@@ -60,10 +60,11 @@
 
     /// Applies the addresses of a configuration.
     fn apply(&self, config: &Config) {
-        let replace =
-            |current: &mut SocketAddr| std::mem::replace(current, config.discovery) != config.discovery;
-        let discovery_agent_changed = self.discovery_agent.send_if_modified(replace);
-        let counter = self.counter.as_ref().zip(config.counter);
+        let replace = |current: &mut SocketAddr| {
+            std::mem::replace(current, config.discovery_address) != config.discovery_address
+        };
+        let discovery_agent_changed = self.discovery_address.send_if_modified(replace);
+        let counter = self.counter.as_ref().zip(config.counter_address);
         let counter_changed = counter.is_some_and(|(counter, address)| counter.set_address(address));
         let file = self.path.display();
         info!(%file, discovery_agent_changed, counter_changed, "configuration reloaded");
