--- a/crates/gateway/src/clients/request_head.rs
+++ b/crates/gateway/src/clients/request_head.rs
@@ -9,22 +9,22 @@
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::Method;
 
-/// Largest length of a request ID, in bytes.
+/// Maximum length of a request ID, in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 64;
 
 /// Parses request heads according to the settings and the configured names of classes and plans.
-pub struct RequestHeadReader {
+pub struct RequestHeadParser {
     /// Settings of the decision core.
     pub settings: Settings,
     /// Configured names of the classes and plans.
     pub names: WireNames,
-    /// Largest number of units that a request may take.
+    /// Maximum number of quota units that a request can use.
     pub max_units: f64,
 }
 
-impl RequestHeadReader {
+impl RequestHeadParser {
     /// Parses a request head, or returns the reason why the request is not accepted.
-    pub fn read(&self, method: &Method, headers: &HeaderMap) -> Result<RequestHead, RequestError> {
+    pub fn parse(&self, method: &Method, headers: &HeaderMap) -> Result<RequestHead, RequestError> {
         let id_length = headers::single_text(headers, headers::REQUEST_ID)?.len();
         if !(1..=MAX_REQUEST_ID_LENGTH).contains(&id_length) {
             return Err(InvalidHeader(headers::REQUEST_ID).into());
@@ -44,7 +44,7 @@
             customer: headers::customer(headers)?,
             client_timeout: parse_client_timeout(timeout_text, class_settings)?,
             units: quota.units,
-            customer_gateway_count: quota.gateway_count,
+            customer_gateway_count: quota.customer_gateway_count,
             first_gateway: quota.first_gateway,
             deduplication_window: match class_settings.idempotency {
                 Idempotency::IdempotencyKey { window, .. } => Some(window),
@@ -60,18 +60,18 @@
         let fleet_size = self.settings.gateway_count;
         let is_possible = quota.units > 0.0
             && quota.units <= self.max_units
-            && (1..=fleet_size).contains(&quota.gateway_count)
+            && (1..=fleet_size).contains(&quota.customer_gateway_count)
             && quota.first_gateway < fleet_size;
         if !is_possible {
             return false;
         }
         let position = (self.settings.gateway_index + fleet_size - quota.first_gateway) % fleet_size;
-        position < quota.gateway_count
+        position < quota.customer_gateway_count
     }
 }
 
-/// Checks that the method and the idempotency key match the class. Servers need the key to recognize a
-/// repeated request; a request that is never repeated has none.
+/// Checks that the method and the idempotency key match the class. Servers need the key to recognize a retry;
+/// a request that is never retried needs none.
 fn check_idempotency(class: &Class, method: &Method, headers: &HeaderMap) -> Result<(), RequestError> {
     let expected_method = match class.idempotency {
         Idempotency::Idempotent => Method::GET,
@@ -87,9 +87,9 @@
     Ok(())
 }
 
-/// Returns the client timeout, in microseconds. For one attempt it must not exceed the deadline that its
-/// class sets for all of them. A request with no time left is rejected by the decision core, like any request
-/// that arrives too late.
+/// Returns the client timeout, in microseconds. It must not exceed the deadline of the class, which covers
+/// the client's first request and all of its retries. A timeout of 0 is valid here: the decision core rejects
+/// such a request like any other that arrives too late.
 fn parse_client_timeout(timeout_text: &str, class: &Class) -> Result<Micros, InvalidHeader> {
     let max_timeout_ms = class.deadline.div_ceil(1_000);
     let timeout_ms = timeout_text.parse().ok().filter(|timeout_ms| *timeout_ms <= max_timeout_ms);
--- a/crates/gateway/src/clients/server.rs
+++ b/crates/gateway/src/clients/server.rs
@@ -4,7 +4,7 @@
 use crate::clients::connection::ClientConnection;
 use crate::clients::connection_table::ConnectionTable;
 use crate::clients::request_handler::RequestHandler;
-use crate::clients::request_head::RequestHeadReader;
+use crate::clients::request_head::RequestHeadParser;
 use crate::clients::response::{announce_close, ResponseBody};
 use crate::clients::stream::transport::ClientStreamIo;
 use crate::driver::decision_driver::DecisionDriver;
@@ -22,9 +22,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// Largest read buffer that hyper keeps for a connection.
+/// Maximum size of the read buffer that hyper keeps for a connection.
 const MAX_READ_BUFFER_BYTES: usize = 32 << 10;
-/// Interval between checks of the connections for expired time limits.
+/// Interval between checks for connections whose timeouts have expired.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Accepts and serves all client connections.
@@ -43,13 +43,13 @@
     /// `body_memory_bytes` of memory.
     pub fn new(
         driver: Rc<DecisionDriver>,
-        head_reader: RequestHeadReader,
+        head_parser: RequestHeadParser,
         max_connections: usize,
         body_memory_bytes: usize,
     ) -> Rc<ClientServer> {
         Rc::new(ClientServer {
             connections: ConnectionTable::new(max_connections),
-            handler: RequestHandler::new(driver, head_reader, body_memory_bytes),
+            handler: RequestHandler::new(driver, head_parser, body_memory_bytes),
             accept_error_handler: AcceptErrorHandler::default(),
             stopping: Cell::new(false),
             handed_over: Cell::new(false),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Closes connections whose time limits have expired, until the future is dropped.
+    /// Closes connections whose timeouts have expired, until the future is dropped.
     pub async fn close_expired_connections(self: Rc<Self>) {
         loop {
             sleep(EXPIRY_CHECK_INTERVAL).await;
@@ -118,7 +118,8 @@
         self.handed_over.set(handed_over);
     }
 
-    /// Makes connections close after their current request from now on, and idle ones close at once.
+    /// Closes all connections after their current request, and idle ones at once. Later connections close
+    /// after their first request.
     pub fn stop(&self) {
         self.stopping.set(true);
         self.connections.drain();
@@ -129,7 +130,7 @@
         self.connections.close_idle();
     }
 
-    /// Returns when the last connection was accepted.
+    /// Returns the time at which the last connection was accepted.
     pub fn last_accepted_at(&self) -> Instant {
         self.connections.last_accepted_at()
     }
@@ -155,12 +156,12 @@
             if !self.connections.has_closing() {
                 self.connections.evict_one();
             }
-            // The notification may stem from a connection that closed earlier.
+            // A connection that closed earlier may have triggered the notification.
             let _ = timeout(REPEATED_ERROR_BACKOFF, self.connections.connection_closed()).await;
         }
     }
 
-    /// Serves an accepted connection in a task of its own.
+    /// Serves an accepted connection in a separate task.
     fn serve_in_background(self: &Rc<Self>, stream: TcpStream) {
         // This fails only on a broken connection, which the first read reports.
         let _ = stream.set_nodelay(true);
@@ -189,10 +190,10 @@
                 // A broken connection affects no other client. hyper itself responds to requests that it
                 // cannot parse.
                 result = connection.as_mut() => break result.is_err() || client.must_discard_input(),
-                () = client.drain_requested() => if client.may_drain() {
+                () = client.drain_signalled() => if client.may_drain() {
                     connection.as_mut().graceful_shutdown();
                 },
-                () = client.close_requested() => {
+                () = client.close_signalled() => {
                     if client.may_close() {
                         return;
                     }
@@ -203,7 +204,7 @@
         if may_have_input {
             tokio::select! {
                 () = client.stream.lingering_close() => {}
-                () = client.close_requested() => {}
+                () = client.close_signalled() => {}
             }
         }
     }
--- a/crates/gateway/src/clients/stream/transport.rs
+++ b/crates/gateway/src/clients/stream/transport.rs
@@ -14,8 +14,8 @@
 impl AsyncRead for ClientStreamIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let stream = &self.0;
-        // No waker is needed: hyper polls again once the request has its response.
-        if stream.request_in_progress.get() {
+        // No waker is registered: hyper polls again once the service has returned the response.
+        if stream.waiting_for_disconnect.get() {
             return Poll::Pending;
         }
         if stream.defers_next_read.replace(false) {
