--- a/crates/core/src/balancing/selection.rs
+++ b/crates/core/src/balancing/selection.rs
@@ -20,8 +20,8 @@
 /// among the best twenty-fifth of all servers in 199 of 200 draws (1 - 0.96^128), and comparing them takes a
 /// few microseconds.
 const MAX_CANDIDATES: usize = 128;
-/// Maximum number of servers examined in place of unusable ones, so that no outage makes a request walk the
-/// whole table.
+/// Maximum number of servers compared in place of unusable ones, so that a request does not visit the whole
+/// table during an outage.
 const MAX_SUBSTITUTES: usize = 512;
 
 /// A server selected for an attempt.
@@ -53,10 +53,10 @@
     site: Option<Site>,
     /// The best candidate so far.
     best: Option<ScoredChoice>,
-    /// Number of candidates so far that are not a last resort.
-    usable_count: usize,
-    /// Number of such candidates after which no substitutes are examined.
-    usable_target: usize,
+    /// Number of preferred candidates so far: those that are not a last resort.
+    preferred_count: usize,
+    /// Number of preferred candidates after which no substitutes are compared.
+    preferred_target: usize,
 }
 
 impl Gateway {
@@ -81,16 +81,16 @@
             avoids_ejected: enforced_ejections(ejected, ready) > 0,
             site: self.required_site(request),
             best: None,
-            usable_count: 0,
-            usable_target: size.min(MAX_CANDIDATES),
+            preferred_count: 0,
+            preferred_target: size.min(MAX_CANDIDATES),
         };
         selection.select(sampled)
     }
 
-    /// Returns the site whose servers drop repeats of a request that may have run; `None` if no such limit
-    /// applies.
+    /// Returns the site whose servers drop duplicates of a request that may have run; `None` if attempts are
+    /// not limited to a site.
     fn required_site(&self, request: &Request) -> Option<Site> {
-        let first = request.first_that_may_take_effect()?;
+        let first = request.first_attempt_that_may_take_effect()?;
         let endpoint = &self.servers.get(first.server)?.endpoint;
         match self.settings.classes[request.class].idempotency {
             Idempotency::IdempotencyKey { scope, .. } => site_of(scope, endpoint),
@@ -116,8 +116,8 @@
     }
 }
 
-/// Returns the site of a server within which servers share idempotency keys; `None` if all servers share
-/// them.
+/// Returns the site of a server within which servers share idempotency keys; `None` if all servers of the
+/// back end share them.
 fn site_of(scope: DeduplicationScope, endpoint: &Endpoint) -> Option<Site> {
     match scope {
         DeduplicationScope::All => None,
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Compares servers after the end of the subset in place of unusable ones, so that there are as many
-    /// usable candidates.
+    /// Compares servers after the end of the subset in place of those that may not be used or are a last
+    /// resort, until there are as many preferred candidates as the comparison of the subset was to yield.
     fn compare_substitutes(&mut self) {
         let servers = &self.gateway.servers;
         let some_are_ejected = servers.count(Subset::Healthy) < self.range.ready;
@@ -159,7 +159,7 @@
         let subset = if uses_ejected { Subset::Ready } else { Subset::WarmedUp };
         let range = self.range.clone();
         for (position, server) in range.positions_after(servers, subset).take(MAX_SUBSTITUTES) {
-            if self.usable_count >= self.usable_target {
+            if self.preferred_count >= self.preferred_target {
                 return;
             }
             self.compare(server, position);
@@ -171,7 +171,7 @@
         let servers = &self.gateway.servers;
         let from = self.gateway.start_fraction();
         for server in servers.at_site(site, from).take(MAX_SUBSTITUTES) {
-            if self.usable_count >= self.usable_target {
+            if self.preferred_count >= self.preferred_target {
                 return;
             }
             self.compare(server, self.range.position(servers, server));
@@ -190,7 +190,7 @@
             let choice = ServerChoice { server: server.endpoint.server, expected_latency_us };
             self.best = Some(ScoredChoice { score, choice });
         }
-        self.usable_count += usize::from(!is_last_resort);
+        self.preferred_count += usize::from(!is_last_resort);
     }
 
     /// Returns whether the site, the enforced ejections and slow start allow this attempt at a server.
--- a/crates/core/src/gossip/mod.rs
+++ b/crates/core/src/gossip/mod.rs
@@ -12,10 +12,10 @@
 use message::{decode, encode, CustomerUsage, MAX_ENTRIES};
 
 impl Gateway {
-    /// Queues a customer's usage for the gateways that serve the customer, if the gossip budget allows it.
+    /// Queues a customer's usage for the gateways that serve the customer, if the send budget allows it.
     pub(crate) fn publish(&mut self, id: CustomerId) {
         let Some(customer) = self.customers.get(id) else { return };
-        if !self.settings.capabilities.gossip || !self.gossip.try_spend(customer.gateway_count) {
+        if !self.settings.capabilities.gossip || !self.gossip.try_withdraw_entries(customer.gateway_count) {
             return;
         }
         for offset in 0..customer.gateway_count {
@@ -32,7 +32,7 @@
                 continue;
             }
             self.gossip.record_send(now);
-            self.entries_examined += 1;
+            self.entries_visited_by_ticks += 1;
             let queued = self.gossip.take_queued(to, MAX_ENTRIES);
             let entries: Vec<CustomerUsage> = queued.into_iter().filter_map(|id| self.usage_of(id)).collect();
             let message = encode(self.gossip.incarnation(), &entries);
@@ -55,11 +55,11 @@
     /// Handles a message from another gateway; ignores malformed messages and unknown senders.
     pub(crate) fn receive_gossip(&mut self, now: Micros, from: usize, message: &[u8]) {
         let is_peer = from < self.settings.gateway_count && from != self.settings.gateway_index;
-        let phase = self.random_source.next_fraction();
+        let random_fraction = self.random_source.next_fraction();
         let Some(message) = decode(message).filter(|_| is_peer) else { return };
         self.gossip.record_received(now, from);
         for entry in message.entries {
-            self.apply_peer_usage(now, from, message.incarnation, &entry, phase);
+            self.apply_peer_usage(now, from, message.incarnation, &entry, random_fraction);
         }
     }
 
@@ -70,7 +70,7 @@
         from: usize,
         incarnation: u32,
         entry: &CustomerUsage,
-        phase: f64,
+        random_fraction: f64,
     ) {
         let first_gateway = self.customers.get(entry.customer).map_or(from, |known| known.first_gateway);
         self.ensure_customer(now, entry.customer, entry.plan, entry.gateway_count, first_gateway);
@@ -81,11 +81,11 @@
         }
         customer.refill(now, 0.0, UsageSource::Exact);
         if !is_full_mesh {
-            customer.record_demand(now, entry.demand.min(MAX_DEMAND), phase);
+            customer.record_demand(now, entry.demand.min(MAX_DEMAND), random_fraction);
             return;
         }
         let units = customer.peer_usage.record(from, incarnation, entry.total_eighths);
-        // A difference above the burst means that the total's beginning was missed.
+        // A difference above the burst shows that the start of the peer's running total was missed.
         let units = if units <= customer.plan.burst { units } else { 0.0 };
         customer.bucket.take_peer_usage(units, &customer.plan);
     }
--- a/crates/core/src/quota/counter_calls.rs
+++ b/crates/core/src/quota/counter_calls.rs
@@ -1,10 +1,11 @@
-//! The call budget of the shared counter, which adapts to the counter's latency, and the calls in flight.
+//! The budget for calls to the shared counter, which adapts to the counter's latency, and the calls in
+//! flight.
 
 use crate::api::{CounterId, CustomerId, Micros};
 use crate::customer::Customer;
 use std::collections::BTreeMap;
 
-/// Minimum calls per request: enough to notice that an unresponsive counter replies again.
+/// Minimum calls per request: enough to detect that an unresponsive counter replies again.
 const MIN_CALLS_PER_REQUEST: f64 = 0.05;
 /// Maximum calls per request: one to reserve units and half a call to settle them.
 const MAX_CALLS_PER_REQUEST: f64 = 1.5;
@@ -12,13 +13,13 @@
 const LARGE_FLEET_INITIAL_CALLS_PER_REQUEST: f64 = 0.3;
 /// Initial calls per request in a small fleet.
 const INITIAL_CALLS_PER_REQUEST: f64 = 1.0;
-/// Maximum number of calls that are saved while idle.
-const MAX_SAVED_CALLS: f64 = 10.0;
-/// Initially saved calls in a large fleet, whose gateways may all start at once.
-const LARGE_FLEET_INITIAL_SAVED_CALLS: f64 = 2.0;
-/// Saved calls that are kept for requests: usage that no request waits for is reported only with calls beyond
-/// these.
-const CALLS_RESERVED_FOR_REQUESTS: f64 = MAX_SAVED_CALLS / 2.0;
+/// Maximum balance of the call budget, in calls.
+const MAX_BALANCE: f64 = 10.0;
+/// Initial balance in a large fleet, whose gateways may all start at once.
+const LARGE_FLEET_INITIAL_BALANCE: f64 = 2.0;
+/// Balance that is reserved for requests: usage that no request waits for is reported only while the balance
+/// is at least this.
+const CALLS_RESERVED_FOR_REQUESTS: f64 = MAX_BALANCE / 2.0;
 /// Factor on the calls per request after a quick reply.
 const INCREASE_FACTOR: f64 = 1.05;
 /// Factor on the calls per request after a slow or missing reply.
@@ -34,9 +35,9 @@
 /// start of the window.
 const CUSTOMER_BITS: u32 = 33;
 
-/// A call of the shared counter in flight.
+/// A call to the shared counter for one customer.
 #[derive(Clone, Copy)]
-pub(crate) struct PendingCall {
+pub(crate) struct CounterCall {
     /// Customer whose usage the call reports.
     pub customer: CustomerId,
     /// Start of the window whose key is called.
@@ -46,7 +47,7 @@
     pub current_window_start: Micros,
 }
 
-impl PendingCall {
+impl CounterCall {
     /// Returns the counter's key, which is the same for a customer and window at all gateways.
     pub fn key(&self) -> CounterId {
         CounterId(self.customer.0 ^ (self.window_start / 1_000) << CUSTOMER_BITS)
@@ -58,35 +59,35 @@
     }
 }
 
-/// The call budget of the shared counter and the calls in flight.
+/// The budget for calls to the shared counter and the calls in flight.
 #[derive(Default)]
 pub(crate) struct CounterCalls {
-    /// Calls that may be made now.
-    saved_calls: f64,
-    /// Calls that each request adds to the budget.
+    /// Number of calls that may be made now.
+    balance: f64,
+    /// Number of calls that each request deposits in the budget.
     calls_per_request: f64,
     /// Time at which `calls_per_request` was last decreased.
     last_backoff_at: Micros,
     /// Divisor of a call's timeout that gives the time within which a reply is quick.
     quick_reply_divisor: Micros,
     /// Calls in flight, by counter key.
-    pending: BTreeMap<CounterId, PendingCall>,
+    in_flight: BTreeMap<CounterId, CounterCall>,
 }
 
 impl CounterCalls {
-    /// Creates the initial budget. `is_large_fleet` states that more gateways share the counter than can each
-    /// see a customer often.
+    /// Creates the initial budget. `is_large_fleet` states that the fleet has more than
+    /// [`MAX_FEW_GATEWAYS`](crate::customer::MAX_FEW_GATEWAYS) gateways, which all call the counter.
     pub fn new(is_large_fleet: bool) -> CounterCalls {
         if is_large_fleet {
             CounterCalls {
-                saved_calls: LARGE_FLEET_INITIAL_SAVED_CALLS,
+                balance: LARGE_FLEET_INITIAL_BALANCE,
                 calls_per_request: LARGE_FLEET_INITIAL_CALLS_PER_REQUEST,
                 quick_reply_divisor: LARGE_FLEET_QUICK_REPLY_DIVISOR,
                 ..CounterCalls::default()
             }
         } else {
             CounterCalls {
-                saved_calls: MAX_SAVED_CALLS / 2.0,
+                balance: MAX_BALANCE / 2.0,
                 calls_per_request: INITIAL_CALLS_PER_REQUEST,
                 quick_reply_divisor: QUICK_REPLY_DIVISOR,
                 ..CounterCalls::default()
@@ -94,34 +95,34 @@
         }
     }
 
-    /// Adds the calls that one request earns to the budget.
-    pub fn earn(&mut self) {
-        self.saved_calls = (self.saved_calls + self.calls_per_request).min(MAX_SAVED_CALLS);
+    /// Adds the calls that one request contributes to the budget.
+    pub fn deposit_calls(&mut self) {
+        self.balance = (self.balance + self.calls_per_request).min(MAX_BALANCE);
     }
 
     /// Returns whether the budget allows a call.
     pub fn allows_call(&self) -> bool {
-        self.saved_calls >= 1.0
+        self.balance >= 1.0
     }
 
     /// Ensures that the budget allows one call.
     pub fn allow_one_call(&mut self) {
-        self.saved_calls = self.saved_calls.max(1.0);
+        self.balance = self.balance.max(1.0);
     }
 
     /// Returns whether a call that no request waits for leaves enough of the budget for requests.
     pub fn has_surplus(&self) -> bool {
-        self.saved_calls >= CALLS_RESERVED_FOR_REQUESTS
+        self.balance >= CALLS_RESERVED_FOR_REQUESTS
     }
 
-    /// Returns whether a customer's overage costs enough to spend one of the saved calls on it. The fewer
-    /// calls are saved, the higher the cost must be. The cost is divided by the demand, since other gateways
-    /// call the counter for the customer as well.
+    /// Returns whether a customer's overage costs enough to justify a call. The lower the balance, the higher
+    /// the cost must be. The cost is divided by the demand, since other gateways call the counter for the
+    /// customer as well.
     pub fn allows_call_for(&self, now: Micros, customer: &Customer, highest_overage_cost: f64) -> bool {
-        let gain = customer.plan.weighted_overage_cost() / customer.demand.at(now).max(1.0);
-        // Fraction of the calls reserved for requests that is used up; negative where more are saved.
-        let scarcity = 1.0 - self.saved_calls / CALLS_RESERVED_FOR_REQUESTS;
-        customer.is_served_by_few_gateways() || gain >= highest_overage_cost * scarcity
+        let avoided_cost = customer.plan.weighted_overage_cost() / customer.demand.at(now).max(1.0);
+        // Used fraction of the balance reserved for requests; negative while the balance exceeds it.
+        let scarcity = 1.0 - self.balance / CALLS_RESERVED_FOR_REQUESTS;
+        customer.is_served_by_few_gateways() || avoided_cost >= highest_overage_cost * scarcity
     }
 
     /// Returns the calls per request, for the successor process.
@@ -135,14 +136,14 @@
     }
 
     /// Records a call that is being sent.
-    pub fn begin(&mut self, call: PendingCall) {
-        self.saved_calls -= 1.0;
-        self.pending.insert(call.key(), call);
+    pub fn begin(&mut self, call: CounterCall) {
+        self.balance -= 1.0;
+        self.in_flight.insert(call.key(), call);
     }
 
     /// Removes and returns the call in flight for a key, which has ended.
-    pub fn end(&mut self, key: CounterId) -> Option<PendingCall> {
-        self.pending.remove(&key)
+    pub fn end(&mut self, key: CounterId) -> Option<CounterCall> {
+        self.in_flight.remove(&key)
     }
 
     /// Returns whether a reply after the time `elapsed` is quick.
