--- a/crates/gateway/src/config/file.rs
+++ b/crates/gateway/src/config/file.rs
@@ -75,7 +75,7 @@
     /// Limits of connections to servers.
     pub limits: ConnectionLimits,
     /// Parameters of quota accounting.
-    #[serde(rename = "familyInfo", default, deserialize_with = "fields::lenient_object")]
+    #[serde(rename = "familyInfo", default, deserialize_with = "fields::object_or_default")]
     pub quota_accounting: QuotaAccounting,
 }
 
@@ -95,7 +95,7 @@
 #[serde(rename_all = "camelCase", default)]
 pub struct QuotaAccounting {
     /// Maximum number of quota units that a request can use.
-    #[serde(deserialize_with = "fields::lenient")]
+    #[serde(deserialize_with = "fields::value_or_default")]
     pub max_units: Option<f64>,
 }
 
--- a/crates/gateway/src/control/endpoint_list.rs
+++ b/crates/gateway/src/control/endpoint_list.rs
@@ -39,7 +39,7 @@
 pub struct EndpointListMessage {
     #[serde(rename = "index")]
     version: u64,
-    #[serde(rename = "snapshot", default, deserialize_with = "fields::lenient")]
+    #[serde(rename = "snapshot", default, deserialize_with = "fields::value_or_default")]
     is_snapshot: bool,
     endpoints: Vec<EndpointMessage>,
 }
@@ -52,16 +52,16 @@
     #[serde(rename = "status")]
     state: EndpointStateMessage,
     /// Name of the server's zone.
-    #[serde(default, deserialize_with = "fields::lenient")]
+    #[serde(default, deserialize_with = "fields::value_or_default")]
     zone: String,
     /// Time of the server's last start, in milliseconds of Unix time.
-    #[serde(rename = "since_ms", default, deserialize_with = "fields::lenient")]
+    #[serde(rename = "since_ms", default, deserialize_with = "fields::value_or_default")]
     started_at_ms: Option<f64>,
     /// Capacity of the server relative to the others.
-    #[serde(rename = "weight", default, deserialize_with = "fields::lenient")]
+    #[serde(rename = "weight", default, deserialize_with = "fields::value_or_default")]
     relative_size: Option<f64>,
     /// Number of the cell that the server belongs to.
-    #[serde(rename = "group", default, deserialize_with = "fields::lenient")]
+    #[serde(rename = "group", default, deserialize_with = "fields::value_or_default")]
     cell: Option<f64>,
 }
 
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -13,17 +13,17 @@
         Action::Send { id, server, timeout } => {
             let server = names.servers.get(server)?;
             let message = json!(["send", instance_id, request_name(*id)?, server, timeout]);
-            names.attempt_started(*id);
+            names.record_attempt_started(*id);
             message
         }
         Action::Reject { id, retry_after } => {
             let message = json!(["shed", instance_id, request_name(*id)?, retry_after.unwrap_or(0)]);
-            names.request_finished(*id);
+            names.record_request_finished(*id);
             message
         }
         Action::Fail { id } => {
             let message = json!(["reportFailure", instance_id, request_name(*id)?]);
-            names.request_finished(*id);
+            names.record_request_finished(*id);
             message
         }
         Action::Cancel { id, attempt } => json!(["cancel", instance_id, request_name(*id)?, attempt]),
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,5 +1,5 @@
-//! Decodes messages of the simulator's protocol into events of the decision core. Each message has a function
-//! and a list of column names; `-` marks a column that is not read.
+//! Decodes messages of the simulator's protocol into events of the decision core. Each message has a list of
+//! column names, in which `-` marks a column that is not read.
 
 use crate::instance::Instance;
 use crate::row::{ColumnError, Row};
@@ -15,25 +15,25 @@
 use std::net::SocketAddrV4;
 
 /// Columns of `targets`.
-const ENDPOINTS_CHANGED: &[&str] = &["mode", "-", "records"];
+const ENDPOINTS_CHANGED_COLUMNS: &[&str] = &["mode", "-", "records"];
 /// Columns of one record of `targets`.
-const ENDPOINT: &[&str] = &["pod", "readiness", "readyAtUs", "size", "-", "locality", "server"];
+const ENDPOINT_COLUMNS: &[&str] = &["pod", "readiness", "readyAtUs", "size", "-", "locality", "server"];
 /// Columns of `demand`.
-const REQUEST_ARRIVED: &[&str] =
+const REQUEST_ARRIVED_COLUMNS: &[&str] =
     &["call", "tierClass", "tier", "apiKey", "graceUs", "units", "setSize", "firstDoor", "flags"];
 /// Columns of `finished`.
-const ATTEMPT_COMPLETED: &[&str] =
+const ATTEMPT_COMPLETED_COLUMNS: &[&str] =
     &["call", "hop", "server", "verdict", "costTimeUs", "closed", "usage", "settled", "stats"];
 /// Columns of `established` and `gone`; later ones are not read.
-const REQUEST: &[&str] = &["call"];
+const REQUEST_COLUMNS: &[&str] = &["call"];
 /// Columns of `due`.
-const TIMER: &[&str] = &["name"];
+const TIMER_COLUMNS: &[&str] = &["name"];
 /// Columns of `checkResult`.
-const HEALTH_CHECK_COMPLETED: &[&str] = &["-", "server", "verdict", "stats"];
+const HEALTH_CHECK_COMPLETED_COLUMNS: &[&str] = &["-", "server", "verdict", "stats"];
 /// Columns of `peerData`.
-const GOSSIP_RECEIVED: &[&str] = &["who", "body"];
+const GOSSIP_RECEIVED_COLUMNS: &[&str] = &["who", "body"];
 /// Columns of `counterReply`.
-const COUNTER_REPLIED: &[&str] = &["entryName", "verdict", "total", "costTimeUs"];
+const COUNTER_REPLIED_COLUMNS: &[&str] = &["entryName", "verdict", "total", "costTimeUs"];
 
 /// Bit of the `flags` column that marks a retry.
 const RETRY_FLAG: u64 = 2;
@@ -52,21 +52,23 @@
 ) -> DecodeResult<Option<Event>> {
     let row = |columns| Row::new(columns, values);
     Ok(Some(match event_name {
-        "targets" => endpoints_changed(instance, row(ENDPOINTS_CHANGED))?,
-        "demand" => request_arrived(instance, row(REQUEST_ARRIVED))?,
-        "established" => response_started(instance, row(REQUEST))?,
-        "finished" => attempt_completed(instance, row(ATTEMPT_COMPLETED))?,
-        "gone" => Event::ClientDisconnected { id: instance.names.request_id(row(REQUEST).text("call")?) },
-        "due" => timer(row(TIMER))?,
-        "checkResult" => health_check_completed(instance, row(HEALTH_CHECK_COMPLETED))?,
-        "peerData" => gossip_received(row(GOSSIP_RECEIVED))?,
-        "counterReply" => counter_replied(row(COUNTER_REPLIED))?,
+        "targets" => decode_endpoints_changed(instance, row(ENDPOINTS_CHANGED_COLUMNS))?,
+        "demand" => decode_request_arrived(instance, row(REQUEST_ARRIVED_COLUMNS))?,
+        "established" => decode_response_started(instance, row(REQUEST_COLUMNS))?,
+        "finished" => decode_attempt_completed(instance, row(ATTEMPT_COMPLETED_COLUMNS))?,
+        "gone" => {
+            Event::ClientDisconnected { id: instance.names.request_id(row(REQUEST_COLUMNS).text("call")?) }
+        }
+        "due" => decode_timer(row(TIMER_COLUMNS))?,
+        "checkResult" => decode_health_check_completed(instance, row(HEALTH_CHECK_COMPLETED_COLUMNS))?,
+        "peerData" => decode_gossip_received(row(GOSSIP_RECEIVED_COLUMNS))?,
+        "counterReply" => decode_counter_replied(row(COUNTER_REPLIED_COLUMNS))?,
         _ => return Ok(None),
     }))
 }
 
 /// Decodes a change of the endpoint list or a failure of the watch.
-fn endpoints_changed(instance: &mut Instance, row: Row) -> DecodeResult<Event> {
+fn decode_endpoints_changed(instance: &mut Instance, row: Row) -> DecodeResult<Event> {
     let watch_event = match row.unsigned_or_zero("mode")? {
         0 => WatchEvent::Snapshot,
         2 => WatchEvent::Failed,
@@ -75,13 +77,14 @@
         _ => return Err(ColumnError { column: "mode" }),
     };
     let records = row.list("records")?;
-    let endpoints = records.iter().map(|record| endpoint(instance, record)).collect::<DecodeResult<_>>()?;
+    let endpoints =
+        records.iter().map(|record| decode_endpoint(instance, record)).collect::<DecodeResult<_>>()?;
     Ok(Event::EndpointsChanged { watch_event, endpoints })
 }
 
-fn endpoint(instance: &mut Instance, record: &Value) -> DecodeResult<Endpoint> {
+fn decode_endpoint(instance: &mut Instance, record: &Value) -> DecodeResult<Endpoint> {
     let record = record.as_array().ok_or(ColumnError { column: "records" })?;
-    let row = Row::new(ENDPOINT, record);
+    let row = Row::new(ENDPOINT_COLUMNS, record);
     Ok(Endpoint {
         cell: row.unsigned_or_zero("pod")? as u32,
         state: match row.unsigned_or_zero("readiness")? {
@@ -93,12 +96,12 @@
         started_at: row.nonzero_unsigned("readyAtUs")?.and_then(NonZeroMicros::new),
         relative_size: row.optional_number("size").unwrap_or(1.0),
         zone: row.unsigned_or_zero("locality")? as u32,
-        server: server(instance, row)?,
+        server: decode_server(instance, row)?,
     })
 }
 
 /// Decodes the arrival of a client's request. A customer key that is not a hexadecimal number is hashed.
-fn request_arrived(instance: &mut Instance, row: Row) -> DecodeResult<Event> {
+fn decode_request_arrived(instance: &mut Instance, row: Row) -> DecodeResult<Event> {
     let id = instance.names.request_id(row.text("call")?);
     let customer = row.text("apiKey")?;
     Ok(Event::RequestArrived(RequestArrival {
@@ -116,46 +119,46 @@
     }))
 }
 
-/// Decodes the start of a streamed response. A request that is not known is an error.
-fn response_started(instance: &Instance, row: Row) -> DecodeResult<Event> {
+/// Decodes the start of a streamed response. An unknown request is an error.
+fn decode_response_started(instance: &Instance, row: Row) -> DecodeResult<Event> {
     let id = instance.names.known_request_id(row.text("call")?);
     Ok(Event::ResponseStarted { id: id.ok_or(ColumnError { column: "call" })? })
 }
 
-fn attempt_completed(instance: &mut Instance, row: Row) -> DecodeResult<Event> {
+fn decode_attempt_completed(instance: &mut Instance, row: Row) -> DecodeResult<Event> {
     Ok(Event::AttemptCompleted(AttemptReport {
         id: instance.names.request_id(row.text("call")?),
         attempt: row.unsigned_or_zero("hop")? as u32,
-        server: server(instance, row)?,
-        status: status(row)?,
+        server: decode_server(instance, row)?,
+        status: decode_status(row)?,
         elapsed: row.unsigned_or_zero("costTimeUs")?,
         request_finished: row.flag("closed"),
         reported_usage: row.nonzero_unsigned("usage")?.map(usage_share),
         settled_units: row.optional_number("settled").filter(|units| *units > 0.0),
-        load_report: load_report(instance, row),
+        load_report: decode_load_report(instance, row),
     }))
 }
 
-fn timer(row: Row) -> DecodeResult<Event> {
+fn decode_timer(row: Row) -> DecodeResult<Event> {
     let timer = row.text("name")?.parse().map_err(|_| ColumnError { column: "name" })?;
     Ok(Event::Timer { timer: TimerId(timer) })
 }
 
-fn health_check_completed(instance: &mut Instance, row: Row) -> DecodeResult<Event> {
+fn decode_health_check_completed(instance: &mut Instance, row: Row) -> DecodeResult<Event> {
     Ok(Event::HealthCheckCompleted {
-        server: server(instance, row)?,
-        status: status(row)?,
-        load_report: load_report(instance, row),
+        server: decode_server(instance, row)?,
+        status: decode_status(row)?,
+        load_report: decode_load_report(instance, row),
     })
 }
 
-fn gossip_received(row: Row) -> DecodeResult<Event> {
+fn decode_gossip_received(row: Row) -> DecodeResult<Event> {
     let from = row.unsigned_or_zero("who")? as usize;
     let message = BASE64_STANDARD.decode(row.text("body")?);
     Ok(Event::GossipReceived { from, message: message.map_err(|_| ColumnError { column: "body" })? })
 }
 
-fn counter_replied(row: Row) -> DecodeResult<Event> {
+fn decode_counter_replied(row: Row) -> DecodeResult<Event> {
     let status = row.text("verdict")?;
     let counter = u64::from_str_radix(row.text("entryName")?, 16);
     let counter = counter.map_err(|_| ColumnError { column: "entryName" })?;
@@ -168,8 +171,8 @@
     Ok(Event::CounterReplied { counter: CounterId(counter), result, elapsed })
 }
 
-/// Returns the id of a message's server and records its name for the encoding of actions.
-fn server(instance: &mut Instance, row: Row) -> DecodeResult<ServerId> {
+/// Decodes the id of a message's server and records the server's name for the encoding of actions.
+fn decode_server(instance: &mut Instance, row: Row) -> DecodeResult<ServerId> {
     let name = row.text("server")?;
     let id = ServerId(match name.parse::<SocketAddrV4>() {
         Ok(address) => u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port()),
@@ -179,7 +182,7 @@
     Ok(id)
 }
 
-fn status(row: Row) -> DecodeResult<AttemptStatus> {
+fn decode_status(row: Row) -> DecodeResult<AttemptStatus> {
     Ok(match row.text("verdict")? {
         "OK" => AttemptStatus::Ok,
         "INTERNAL" => AttemptStatus::Error,
@@ -195,7 +198,7 @@
 
 /// Decodes the load report of a message, or returns `None` if it has none. Values that are not numbers are
 /// left out of the report.
-fn load_report(instance: &Instance, row: Row) -> Option<LoadReport> {
+fn decode_load_report(instance: &Instance, row: Row) -> Option<LoadReport> {
     let values = row.value("stats")?.as_array()?;
     let mut report = LoadReport::default();
     for (column, value) in instance.load_report_columns.iter().zip(values) {
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -53,36 +53,36 @@
         .map_err(|error| FieldError::from_serde(&error.path().to_string(), &error.inner().to_string()))
 }
 
-/// Deserializes a number; the error states that the value is not one.
+/// Deserializes a number. The error for any other value is worded to follow the path of the field.
 pub fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     f64::deserialize(deserializer).map_err(|_| D::Error::custom("is no number"))
 }
 
-/// Deserializes a time in whole microseconds. A fraction is truncated; a negative number is an error.
-pub fn micros<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
+/// Deserializes an unsigned integer. A fraction is truncated; a negative number is an error.
+pub fn unsigned<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     match number(deserializer)? {
         negative if negative < 0.0 => Err(D::Error::custom("is negative")),
-        micros => Ok(micros as u64),
+        number => Ok(number as u64),
     }
 }
 
 /// Deserializes a value, with the default in place of a value of the wrong type.
-pub fn lenient<'de, D: Deserializer<'de>, T: DeserializeOwned + Default>(
+pub fn value_or_default<'de, D: Deserializer<'de>, T: DeserializeOwned + Default>(
     deserializer: D,
 ) -> Result<T, D::Error> {
     let value = Value::deserialize(deserializer)?;
     Ok(T::deserialize(value).unwrap_or_default())
 }
 
-/// Deserializes a time in whole microseconds, with 0 in place of a negative number or of another type.
-pub fn lenient_micros<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
+/// Deserializes an unsigned integer, with 0 in place of a negative number or a value of the wrong type.
+pub fn unsigned_or_zero<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     let value = Value::deserialize(deserializer)?;
-    Ok(micros(value).unwrap_or(0))
+    Ok(unsigned(value).unwrap_or(0))
 }
 
-/// Deserializes a struct from an object, with the default in place of a value of the wrong type. An array
-/// counts as one, although serde would accept it for a struct.
-pub fn lenient_object<'de, D: Deserializer<'de>, T: DeserializeOwned + Default>(
+/// Deserializes a struct from an object, with the default in place of a value of the wrong type. That
+/// includes arrays, from which serde would also deserialize a struct.
+pub fn object_or_default<'de, D: Deserializer<'de>, T: DeserializeOwned + Default>(
     deserializer: D,
 ) -> Result<T, D::Error> {
     match Value::deserialize(deserializer)? {
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, HashSet};
 
 /// Columns of `launch`, which starts an instance.
-const START_INSTANCE: &[&str] = &["prng", "settings"];
+const START_INSTANCE_COLUMNS: &[&str] = &["prng", "settings"];
 
 /// The gateway instances of one adapter process.
 #[derive(Default)]
@@ -59,8 +59,8 @@
         item: &Item,
         replies: &mut Vec<Value>,
     ) -> Result<(), ColumnError> {
-        let row = Row::new(START_INSTANCE, item.values);
-        let seed = row.value("prng").and_then(seed).ok_or(ColumnError { column: "prng" })?;
+        let row = Row::new(START_INSTANCE_COLUMNS, item.values);
+        let seed = row.value("prng").and_then(parse_seed).ok_or(ColumnError { column: "prng" })?;
         let settings = row.value("settings").filter(|value| value.is_object());
         let settings = settings.ok_or(ColumnError { column: "settings" })?;
         self.instances.remove(&item.instance_id);
@@ -82,7 +82,7 @@
     }
 }
 
-/// Returns a seed, with a negative number reinterpreted as the unsigned number of the same bits.
-fn seed(value: &Value) -> Option<u64> {
+/// Parses a seed. A negative number is reinterpreted as the unsigned number with the same bits.
+fn parse_seed(value: &Value) -> Option<u64> {
     value.as_u64().or_else(|| value.as_i64().map(i64::cast_unsigned))
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -56,19 +56,19 @@
     /// Records what an event completed. Called after the event's actions are encoded, since recording can
     /// remove the name of the request that they refer to.
     fn record_completion(&mut self, completion: Completion) {
-        if completion.attempt_ended {
-            self.names.attempt_ended(completion.request_id);
+        if completion.attempt_completed {
+            self.names.record_attempt_completed(completion.request_id);
         }
         if completion.request_finished {
-            self.names.request_finished(completion.request_id);
+            self.names.record_request_finished(completion.request_id);
         }
     }
 }
 
-/// The end of an attempt, of a request, or of both, as reported by one event.
+/// The attempt, the request, or both, that one event completes.
 struct Completion {
     request_id: RequestId,
-    attempt_ended: bool,
+    attempt_completed: bool,
     request_finished: bool,
 }
 
@@ -76,11 +76,13 @@
     /// Returns what an event completes, or `None` if it completes nothing.
     fn of(event: &Event) -> Option<Completion> {
         match event {
-            Event::AttemptCompleted(AttemptReport { id, request_finished, .. }) => {
-                Some(Completion { request_id: *id, attempt_ended: true, request_finished: *request_finished })
-            }
+            Event::AttemptCompleted(AttemptReport { id, request_finished, .. }) => Some(Completion {
+                request_id: *id,
+                attempt_completed: true,
+                request_finished: *request_finished,
+            }),
             Event::ClientDisconnected { id } => {
-                Some(Completion { request_id: *id, attempt_ended: false, request_finished: true })
+                Some(Completion { request_id: *id, attempt_completed: false, request_finished: true })
             }
             _ => None,
         }
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -48,14 +48,14 @@
     }
 
     /// Records that an attempt of a request was sent.
-    pub(crate) fn attempt_started(&mut self, id: RequestId) {
+    pub(crate) fn record_attempt_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts_in_flight += 1;
         }
     }
 
-    /// Records that an attempt of a request ended.
-    pub(crate) fn attempt_ended(&mut self, id: RequestId) {
+    /// Records that an attempt of a request completed.
+    pub(crate) fn record_attempt_completed(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
             self.remove_if_unused(id);
@@ -63,14 +63,14 @@
     }
 
     /// Records that a request has its final answer or that its client disconnected.
-    pub(crate) fn request_finished(&mut self, id: RequestId) {
+    pub(crate) fn record_request_finished(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.finished = true;
             self.remove_if_unused(id);
         }
     }
 
-    /// Removes a request that no later event refers to: it is finished and has no attempt in flight.
+    /// Removes a request if it is finished and has no attempt in flight, so that no later event refers to it.
     fn remove_if_unused(&mut self, id: RequestId) {
         let unused = |request: &NamedRequest| request.finished && request.attempts_in_flight == 0;
         if self.requests.get(&id).is_some_and(unused) {
--- a/crates/simulator-adapter/src/settings/mod.rs
+++ b/crates/simulator-adapter/src/settings/mod.rs
@@ -151,7 +151,7 @@
 
     /// Returns how long servers remember an idempotency key.
     fn deduplication_window(&self) -> Result<Micros, FieldError> {
-        let window = fields::micros(&self.deduplication_window);
+        let window = fields::unsigned(&self.deduplication_window);
         window.map_err(|error| FieldError::new("windowUs", &error.to_string()))
     }
 }
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/simulator-adapter/tests/settings.rs
@@ -93,12 +93,14 @@
     let mut settings = settings();
     settings["prices"] = json!({"peer": 0.0, "probe": 0.0});
     settings["familyInfo"]["countFee"] = json!(0.0);
-    *settings.pointer_mut(pointer).expect(pointer) = value;
-    Gateway::new(parse(&settings).expect("settings parse").core, 1, 0).err().expect(pointer)
+    *settings.pointer_mut(pointer).unwrap_or_else(|| panic!("no setting at {pointer}")) = value;
+    let core_settings = parse(&settings).expect("the settings object is parsed").core;
+    let rejection = Gateway::new(core_settings, 1, 0).err();
+    rejection.unwrap_or_else(|| panic!("the core accepts the value at {pointer}"))
 }
 
-/// Maps every field checked by the decision core from the path in the core's error to the path in the
-/// settings object.
+/// Covers every field whose value the decision core checks: the path in the core's error is translated to the
+/// path in the settings object.
 #[test]
 fn field_rejected_by_the_core_is_reported_by_its_wire_path() {
     let cases = [
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -24,8 +24,8 @@
 /// Handles one batch and returns the messages of its reply.
 fn handle_batch(host: &mut InstanceHost, now: u64, items: Value) -> Vec<Value> {
     let line = json!({"atTimeUs": now, "serial": 7, "items": items}).to_string();
-    let reply: Value =
-        serde_json::from_str(&host.handle_batch(&line).expect("batch is handled")).expect("reply is JSON");
+    let reply: Value = serde_json::from_str(&host.handle_batch(&line).expect("the batch is handled"))
+        .expect("the reply is JSON");
     assert_eq!(reply["serial"], 7);
     reply["out"].as_array().expect("'out' is an array").clone()
 }
@@ -57,7 +57,7 @@
     assert!(handle_batch(&mut InstanceHost::default(), 5, json!([])).is_empty());
 }
 
-/// Handles a batch and replies to the resulting calls of the shared counter. Returns the messages of both
+/// Handles a batch and replies to the resulting calls to the shared counter. Returns the messages of both
 /// replies.
 fn handle_batch_and_counter_calls(host: &mut InstanceHost, now: u64, items: Value) -> Vec<Value> {
     let mut out = handle_batch(host, now, items);
@@ -72,7 +72,7 @@
     let (mut host, out) = start_instance(settings());
     assert!(find_action(&out, "probe").is_none() && find_action(&out, "wakeAt").is_some());
     let out = handle_batch_and_counter_calls(&mut host, 1_001_000, json!([request_arrived("r-a")]));
-    let send = find_action(&out, "send").expect("request is sent");
+    let send = find_action(&out, "send").expect("the request is sent");
     assert_eq!((&send[1], &send[2]), (&json!(3), &json!("r-a")));
     assert!(send[3] == "10.0.0.1:7000" || send[3] == "node-b");
     assert!(send[4].as_u64().is_some_and(|timeout| timeout > 0 && timeout <= 2_000_000));
@@ -92,7 +92,7 @@
     ] {
         let (mut host, _) = start_instance(settings());
         let out = handle_batch_and_counter_calls(&mut host, 1_001_000, json!([request_arrived("r-a")]));
-        let server = find_action(&out, "send").expect("request is sent")[3].clone();
+        let server = find_action(&out, "send").expect("the request is sent")[3].clone();
         let completed =
             json!(["finished", 3, "r-a", 0, server, verdict, 9000, verdict == "OK", 86, 3, [4, 12.5, 1]]);
         let out = handle_batch(&mut host, 1_010_000, json!([completed]));
@@ -104,7 +104,7 @@
 #[test]
 fn timer_starts_health_checks_and_gossip_and_all_replies_are_decoded() {
     let (mut host, out) = start_instance(settings());
-    let timer = find_action(&out, "wakeAt").expect("timer is set").clone();
+    let timer = find_action(&out, "wakeAt").expect("a timer is set").clone();
     let more_requests: Vec<_> = (0..30).map(|k| request_arrived(&format!("r-{k}"))).collect();
     let first_out = handle_batch_and_counter_calls(
         &mut host,
@@ -112,13 +112,16 @@
         json!([request_arrived("r-a"), request_arrived("r-b")]),
     );
     handle_batch_and_counter_calls(&mut host, 1_005_000, Value::Array(more_requests));
-    let out =
-        handle_batch(&mut host, timer[2].as_u64().expect("timer has a time"), json!([["due", 3, timer[3]]]));
-    let health_check = find_action(&out, "probe").expect("health check is sent");
+    let out = handle_batch(
+        &mut host,
+        timer[2].as_u64().expect("the timer has a time"),
+        json!([["due", 3, timer[3]]]),
+    );
+    let health_check = find_action(&out, "probe").expect("a health check is sent");
     assert!(health_check[2] == "10.0.0.1:7000" || health_check[2] == "node-b");
-    let gossip = find_action(&out, "publish").expect("gossip is sent");
+    let gossip = find_action(&out, "publish").expect("a gossip message is sent");
     assert_eq!(gossip[2], 1);
-    let counter_call = find_action(&first_out, "bump").expect("shared counter is called");
+    let counter_call = find_action(&first_out, "bump").expect("the shared counter is called");
     assert_eq!((counter_call[2].as_str(), counter_call[3].as_f64()), (Some("91f03b7c55d20a64"), Some(1.0)));
     assert!(counter_call[4].as_u64().is_some_and(|ttl| ttl <= 60_000_000));
     let replies = json!([
@@ -183,15 +186,15 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("program starts");
+        .expect("the program starts");
     child
         .stdin
         .take()
         .expect("standard input is piped")
         .write_all(input.as_bytes())
-        .expect("input is written");
-    let output = child.wait_with_output().expect("program exits");
-    let text = |bytes| String::from_utf8(bytes).expect("output is UTF-8");
+        .expect("the input is written");
+    let output = child.wait_with_output().expect("the program exits");
+    let text = |bytes| String::from_utf8(bytes).expect("the output is UTF-8");
     (output.status.code(), text(output.stdout), text(output.stderr))
 }
 
@@ -199,7 +202,10 @@
 fn program_succeeds_at_the_end_of_input_and_fails_on_a_malformed_batch() {
     let (code, out, err) = run_program("{\"atTimeUs\":5,\"serial\":1,\"items\":[]}\n");
     assert_eq!((code, err.as_str()), (Some(0), ""));
-    assert_eq!(serde_json::from_str::<Value>(&out).expect("reply is JSON"), json!({"serial": 1, "out": []}));
+    assert_eq!(
+        serde_json::from_str::<Value>(&out).expect("the reply is JSON"),
+        json!({"serial": 1, "out": []})
+    );
     let (code, out, err) = run_program("nonsense\n");
     assert_eq!((code, out.as_str()), (Some(1), ""));
     assert!(err.contains("not a batch"), "{err}");
