--- a/crates/core/tests/bounded_work.rs
+++ b/crates/core/tests/bounded_work.rs
@@ -137,8 +137,8 @@
     (1..=count as u64).map(server).collect()
 }
 
-/// A request compares up to 128 servers. A tick and an endpoint list change sum over
-/// all servers one by one only for up to 512 servers.
+/// A request compares up to 128 servers. A tick and an endpoint list change sum over all servers one by one
+/// only for up to 512 servers.
 #[test]
 fn work_does_not_grow_with_the_servers() {
     for server_count in SIZES {
@@ -225,7 +225,7 @@
         let warming: BTreeSet<ServerId> = restarted.iter().map(|endpoint| endpoint.server).collect();
         gateway.handle(endpoint_delta(restarted));
         let visited = gateway.request(0, 5);
-        assert!(!warming.contains(&gateway.forwarded_to()), "a server without a budget gets the request");
+        assert!(!warming.contains(&gateway.forwarded_to()), "a server that warms up gets the request");
         assert!(visited <= 2_600, "{server_count} servers: {visited} entries visited");
     }
 }
--- a/crates/core/tests/common/counter_fleet.rs
+++ b/crates/core/tests/common/counter_fleet.rs
@@ -8,7 +8,7 @@
 use grebehook_core::{Action, CounterId, Micros};
 use std::collections::BTreeMap;
 
-/// The customer whose requests tests count.
+/// Customer whose requests tests count.
 const CUSTOMER: u64 = 5;
 /// Time until the counter replies to a call.
 const REPLY_TIME: Micros = 2 * MILLISECOND;
@@ -25,7 +25,7 @@
 }
 
 impl CounterFleet {
-    /// Creates a fleet that has not called the counter yet.
+    /// Creates a fleet that has not called the counter yet, with the initial balances of its call budgets.
     pub fn new(gateway_count: usize) -> CounterFleet {
         let settings = with_shared_counter(settings_with_usage_reports());
         let start =
@@ -37,17 +37,17 @@
         }
     }
 
-    /// Creates a fleet whose gateways have saved enough counter calls to make one whenever a total is useful.
-    /// The totals start from 0.
-    pub fn with_saved_calls(gateway_count: usize) -> CounterFleet {
+    /// Creates a fleet whose call budgets have enough balance for a call whenever a total is useful. The
+    /// totals start from 0.
+    pub fn with_call_balance(gateway_count: usize) -> CounterFleet {
         let mut fleet = CounterFleet::new(gateway_count);
-        fleet.save_calls(990 * SECOND);
+        fleet.raise_call_balances(990 * SECOND);
         fleet.totals.clear();
         fleet
     }
 
     /// Applies a call to the counter and returns the key's new total.
-    pub fn add(&mut self, call: CounterCall) -> f64 {
+    pub fn apply_call(&mut self, call: CounterCall) -> f64 {
         let total = self.totals.entry(call.counter).or_default();
         *total += call.amount;
         *total
@@ -64,9 +64,9 @@
         forwarded
     }
 
-    /// Delivers requests of other customers to each gateway for four seconds. Some of them need no counter
-    /// call, so that the gateways save calls.
-    fn save_calls(&mut self, from: Micros) {
+    /// Delivers requests of other customers to each gateway for four seconds. Each request deposits calls in
+    /// the gateway's call budget, but some make no call, so that the balance grows.
+    fn raise_call_balances(&mut self, from: Micros) {
         for gateway in 0..self.gateways.len() {
             for k in 0..60 {
                 let now = from + k * 66 * MILLISECOND;
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Replies to counter calls until none is left. Returns whether a request was forwarded meanwhile.
+    /// Replies to counter calls until none is left. Returns whether the given actions, or those that follow the
+    /// replies, forward a request.
     fn complete_calls(&mut self, gateway: usize, mut now: Micros, mut actions: Vec<Action>) -> bool {
         let mut forwarded = false;
         while !actions.is_empty() {
@@ -90,7 +91,7 @@
             let mut next_actions = Vec::new();
             for call in counter_calls(&actions) {
                 now += REPLY_TIME;
-                let total = self.add(call);
+                let total = self.apply_call(call);
                 let reply = counter_total(call.counter, total, REPLY_TIME);
                 next_actions.extend(self.gateways[gateway].handle(now, reply));
             }
--- a/crates/core/tests/common/fleet_gateway.rs
+++ b/crates/core/tests/common/fleet_gateway.rs
@@ -63,7 +63,7 @@
         self.forward_request(now, request)
     }
 
-    /// Does what [`Self::forward`] does for a request that the caller supplies.
+    /// Delivers the given request, as [`Self::forward`] does a default one.
     pub fn forward_request(&mut self, now: Micros, request: RequestArrival) -> Option<ServerId> {
         let mut actions = self.handle(now, Event::RequestArrived(request));
         let queue_timer = actions.iter().find_map(|action| match action {
--- a/crates/core/tests/doc_comments.rs
+++ b/crates/core/tests/doc_comments.rs
@@ -15,7 +15,7 @@
     (output.status.success(), output_text)
 }
 
-/// Asserts that the script rejects a file with one report only, which names the given line and reason.
+/// Asserts that the script rejects a file with a single report, which states the given line and reason.
 fn assert_rejected(name: &str, text: &str, line: usize, reason: &str) {
     let (accepted, output_text) = run_script(name, text);
     assert!(!accepted, "{name}: the script accepted the file");
--- a/crates/core/tests/fleet_counter.rs
+++ b/crates/core/tests/fleet_counter.rs
@@ -21,7 +21,7 @@
 const WINDOW_START: Micros = 1_000 * SECOND;
 
 /// The customer is new to each gateway of a large fleet although peers have spent its bucket. Only the
-/// counter's total shows this, and a gateway must know when the total began to count.
+/// counter's total shows this, and a gateway must account for the time at which the counter's window began.
 #[test]
 fn customer_new_to_each_of_many_gateways_has_one_bucket_among_them() {
     let mut fleet = CounterFleet::new(60);
@@ -39,7 +39,7 @@
 /// it.
 #[test]
 fn burst_after_idle_time_is_limited_to_one_bucket_over_all_gateways() {
-    let mut fleet = CounterFleet::with_saved_calls(60);
+    let mut fleet = CounterFleet::with_call_balance(60);
     for (k, idle) in [3_500, 9_000, 30_000].into_iter().enumerate() {
         let from = WINDOW_START + idle * MILLISECOND + k as u64 * 20 * SECOND;
         // One request is followed by thirty within 0.3 s. The bucket holds four units, and about one is
@@ -55,7 +55,7 @@
 /// bucket.
 #[test]
 fn bucket_stays_empty_when_its_counter_gets_another_key() {
-    let mut fleet = CounterFleet::with_saved_calls(60);
+    let mut fleet = CounterFleet::with_call_balance(60);
     let forwarded =
         (0..700).filter(|k| fleet.request(*k % 60, WINDOW_START + *k as u64 * 100 * MILLISECOND)).count();
     assert!(fleet.totals.len() >= 2, "the counter key has not changed: {:?}", fleet.totals);
@@ -79,7 +79,7 @@
     let mut rounds = 0;
     while !pending.is_empty() {
         let calls = std::mem::take(&mut pending);
-        let totals: Vec<_> = calls.iter().map(|(_, call)| fleet.add(*call)).collect();
+        let totals: Vec<_> = calls.iter().map(|(_, call)| fleet.apply_call(*call)).collect();
         for ((index, call), total) in calls.into_iter().zip(totals) {
             let reply = counter_total(call.counter, total, 2 * MILLISECOND);
             let actions = fleet.gateways[index].handle(now + 2 * MILLISECOND, reply);
@@ -179,7 +179,7 @@
 
 /// A request that is forwarded although the counter refused its call is counted later.
 #[test]
-fn uncounted_usage_is_added_to_the_counter_once_calls_are_saved() {
+fn uncounted_usage_is_added_to_the_counter_once_the_call_budget_has_a_surplus() {
     let settings = in_fleet(&with_shared_counter(settings()), 0, GATEWAY_COUNT);
     let mut gateway = FleetGateway::start(settings, 3);
     let now = 2 * SECOND;
--- a/crates/core/tests/handover.rs
+++ b/crates/core/tests/handover.rs
@@ -47,9 +47,9 @@
     assert!(forwarded_to(&successor.request(6).1).is_some(), "the hand-over limits another customer");
 }
 
-/// The hand-over text is of another version, truncated or has a value out of range.
+/// The hand-over text is of another version, is truncated, or has a malformed or out-of-range value.
 #[test]
-fn invalid_text_is_refused_by_line_and_leaves_the_state_unchanged() {
+fn invalid_text_is_rejected_by_line_and_leaves_the_state_unchanged() {
     let mut predecessor = started_gateway(&[endpoint(1, 0)]);
     spend_burst(&mut predecessor);
     let text = predecessor.gateway.hand_over(SECOND);
--- a/crates/core/tests/known_red.rs
+++ b/crates/core/tests/known_red.rs
@@ -20,10 +20,10 @@
     child
         .stdin
         .take()
-        .expect("stdin is piped")
+        .expect("standard input is piped")
         .write_all(b"a::first\nsecond\n")
-        .expect("the script reads names");
-    child.wait_with_output().expect("the script ends")
+        .expect("the script reads the test names");
+    child.wait_with_output().expect("the script exits")
 }
 
 #[test]
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn list_with_a_fourth_entry_an_unknown_test_or_a_missing_cause_or_issue_is_refused() {
+fn list_with_a_fourth_entry_an_unknown_test_or_a_missing_cause_or_issue_is_rejected() {
     let line = "second, a race, issue 7\n";
     for (name, list) in [
         ("four-entries", line.repeat(4)),
@@ -49,7 +49,7 @@
         let output = run_script(name, &list);
         assert!(
             !output.status.success() && !output.stderr.is_empty(),
-            "{name}: the list was accepted, or refused without a message"
+            "{name}: the list was accepted, or rejected without a message"
         );
     }
     assert!(run_script("three-entries", &line.repeat(3)).status.success());
--- a/crates/core/tests/settings_validation.rs
+++ b/crates/core/tests/settings_validation.rs
@@ -1,12 +1,12 @@
-//! Refusal of invalid settings, with the path of the invalid field.
+//! Rejection of invalid settings, with the path of the invalid field.
 
 mod common;
 
 use common::settings::settings;
 use grebehook_core::{Gateway, Settings};
 
-/// Returns the path of the field that is refused after a change of the default settings; `None` if all are
-/// accepted.
+/// Returns the path of the field that is rejected after a change of the default settings, or `None` if the
+/// settings are accepted.
 fn invalid_field(change: fn(&mut Settings)) -> Option<String> {
     let mut settings = settings();
     change(&mut settings);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn invalid_classes_plans_and_rules_are_refused_by_field_name() {
+fn invalid_classes_plans_and_rules_are_rejected_by_field_name() {
     assert_eq!(invalid_field(|_| {}), None);
     assert_eq!(invalid_field(|settings| settings.classes.clear()).as_deref(), Some("classes"));
     assert_eq!(invalid_field(|settings| settings.plans.clear()).as_deref(), Some("plans"));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn invalid_gateway_numbers_and_costs_are_refused_by_field_name() {
+fn invalid_gateway_numbers_and_costs_are_rejected_by_field_name() {
     assert_eq!(invalid_field(|settings| settings.gateway_count = 65_536).as_deref(), Some("gateway_count"));
     assert_eq!(invalid_field(|settings| settings.gateway_count = 65_535), None);
     assert_eq!(invalid_field(|settings| settings.gateway_index = 2).as_deref(), Some("gateway_index"));
--- a/crates/core/tests/start_times.rs
+++ b/crates/core/tests/start_times.rs
@@ -1,5 +1,5 @@
-//! Start times of servers, which service discovery reports by the fleet's clock. The gateway's clock may be
-//! off by seconds or hours, since the wall clock may be stepped before the process starts.
+//! Start times of servers, which service discovery reports by the fleet's clock. The gateway's clock may
+//! differ by seconds or hours, since its wall clock may be stepped before the process starts.
 
 mod common;
 
