--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Records that an attempt of a request completed.
+    /// Records that an attempt of a request completed. Removes the request once no later event refers to it.
     pub(crate) fn record_attempt_completed(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Records that a request has its final answer or that its client disconnected.
+    /// Records that a request has its final answer or that its client disconnected. Removes the request once
+    /// no later event refers to it.
     pub(crate) fn record_request_finished(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.finished = true;
