--- a/crates/gateway/tests/command_line.rs
+++ b/crates/gateway/tests/command_line.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn check_names_every_required_field_of_the_wrong_type() {
+fn check_reports_every_required_field_of_the_wrong_type() {
     let example = serde_json::from_str(EXAMPLE).unwrap();
     for pointer in nested_pointers(&example, "") {
         let set_wrong_type = |config: &mut Value| *config.pointer_mut(&pointer).unwrap() = json!([[-1]]);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn start_reads_the_configuration_named_by_option_or_environment() {
+fn start_reads_the_configuration_given_by_option_or_environment() {
     let invalid = write_config(&changed_example(|config| config["listen"] = json!("nowhere")));
     let by_flag = run_gateway(&["--config", invalid.to_str().unwrap()]);
     let by_variable =
--- a/crates/gateway/tests/loopback/clients.rs
+++ b/crates/gateway/tests/loopback/clients.rs
@@ -15,7 +15,7 @@
 
 /// Starts a gateway in front of one server, with room for 20 client connections.
 fn gateway_with_low_socket_limit(server: &Server) -> GatewayProcess {
-    Deployment::with_server(server).configured_sockets(LOW_SOCKET_LIMIT).start()
+    Deployment::with_server(server).configured_socket_limit(LOW_SOCKET_LIMIT).start()
 }
 
 /// Opens connections, sends one request on each and leaves them open.
@@ -156,7 +156,7 @@
         assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
         unused.extend((0..12).map(|_| gateway.connect()));
     }
-    assert_eq!(slow.response().expect("a response on the connection of the slow client").status(), 200);
+    assert_eq!(slow.response().expect("the slowly written request is answered").status(), 200);
     assert!(unused[0].response().is_none(), "the first unused connection is still open");
 }
 
@@ -164,7 +164,7 @@
 #[test]
 fn idle_connections_are_evicted_when_accept_runs_out_of_descriptors() {
     let server = Server::healthy();
-    let gateway = Deployment::with_server(&server).descriptors(32).start();
+    let gateway = Deployment::with_server(&server).descriptor_limit(32).start();
     assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
     let mut idle = idle_connections(&gateway, 60, || HEALTH_CHECK.to_owned());
     assert!(idle[0].response().is_none(), "the first of 60 connections is still open");
--- a/crates/gateway/tests/loopback/counter.rs
+++ b/crates/gateway/tests/loopback/counter.rs
@@ -23,7 +23,7 @@
     Deployment::with_server(server).unlimited_deadline().shared_counter(counter, REPLY_TIMEOUT_US)
 }
 
-/// Units that other gateways have admitted for a customer count against its quota at this gateway, too.
+/// Units that other gateways have admitted for a customer also count against its quota at this gateway.
 #[test]
 fn request_is_rejected_when_the_shared_total_exceeds_the_quota() {
     let server = Server::healthy();
@@ -41,7 +41,7 @@
     // The new total arrives while further requests are served. The token bucket alone would admit far more.
     let mut responses = (0..100_000).map(|_| client.call(&request_with_long_timeout()));
     let rejection = responses.find(|response| response.status() != 200);
-    let rejection = rejection.expect("a rejection once the total exceeds the quota");
+    let rejection = rejection.expect("a request is rejected once the total exceeds the quota");
     assert_eq!(rejection.status(), 429);
     assert!(rejection.header("retry-after").parse::<f64>().unwrap() > 0.0);
 }
--- a/crates/gateway/tests/loopback/discovery.rs
+++ b/crates/gateway/tests/loopback/discovery.rs
@@ -226,7 +226,7 @@
         .set("/limits", json!({"cores": 1.0, "memory_mb": 32, "sockets": 256}))
         .gateway_count(gateways)
         .set("/settings/me", gateways - 1)
-        .descriptors(256);
+        .descriptor_limit(256);
     let gateway = deployment.start();
     let mut client = gateway.connect();
     let request_from = |first_gateway: usize| {
@@ -257,9 +257,9 @@
     let second = Server::responding_with("second");
     let counter = Server::start(|_| Reply::ok("1"));
     let deployment = Deployment::with_server(&first)
-        .configured_sockets(256)
+        .configured_socket_limit(256)
         .shared_counter(counter.address, 80_000)
-        .descriptors(256);
+        .descriptor_limit(256);
     let gateway = deployment.start();
     deployment.agent.inject(WatchFault::Down);
     let started_at = Instant::now();
@@ -321,7 +321,7 @@
     json!({"index": index, "snapshot": true, "endpoints": [Endpoint::ready(name, server.address)]})
 }
 
-/// Peers are identified by their address. Datagrams of other senders and malformed or oversized ones are
+/// Peers are identified by their addresses. Datagrams from other senders and malformed or oversized ones are
 /// ignored.
 #[test]
 fn peers_exchange_small_datagrams_and_ignore_malformed_ones() {
@@ -335,7 +335,7 @@
         .set("/peers", json!([gateway_address.to_string(), peer.local_addr().unwrap().to_string()]))
         .start();
     let mut data = [0; 2_000];
-    let (length, sender) = peer.recv_from(&mut data).expect("a gossip message from the gateway");
+    let (length, sender) = peer.recv_from(&mut data).expect("the gateway sends a gossip message");
     assert!(length > 0 && length <= 256, "{length} bytes");
     assert_eq!(sender, gateway_address);
     let unknown_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -344,5 +344,5 @@
         unknown_sender.send_to(datagram, gateway_address).unwrap();
     }
     assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
-    peer.recv_from(&mut data).expect("a gossip message after malformed datagrams");
+    peer.recv_from(&mut data).expect("the gateway sends a gossip message after malformed datagrams");
 }
--- a/crates/gateway/tests/loopback/faults.rs
+++ b/crates/gateway/tests/loopback/faults.rs
@@ -63,7 +63,7 @@
         }
         for client in &mut idle {
             client.write(&idempotent_request());
-            let response = client.response().expect("a response on a connection that was idle");
+            let response = client.response().expect("the request on an idle connection is answered");
             assert_eq!(response.status(), 200);
         }
     }
@@ -81,15 +81,15 @@
         gateway.terminate();
         gateway.resume();
         for client in &mut clients {
-            let response = client.response().expect("a response before the connection is closed");
-            // So many requests at once may exceed what one endpoint may be sent.
+            let response = client.response().expect("the client is answered before its connection is closed");
+            // 40 simultaneous requests may be more than the gateway admits for one endpoint.
             assert!(matches!(response.status(), 200 | 429), "{kind}, seed {seed}: {}", response.start_line);
         }
         assert!(gateway.wait().success());
     }
 }
 
-/// A temporary lack of resources on the gateway's own machine does not fail requests.
+/// A temporary lack of resources on the gateway's machine does not fail requests.
 #[test]
 fn failing_socket_or_connect_call_fails_no_request() {
     for faults in ["connect=60", "socket=60"] {
@@ -117,7 +117,7 @@
     }
 }
 
-/// The start times of endpoints come from their wall clocks. Whatever the gateway's wall clock says,
+/// The start times of endpoints are times of their wall clocks. Whatever time the gateway's wall clock shows,
 /// connections to an endpoint that has just started are reused, and those to its previous process are not.
 #[test]
 fn server_connections_are_reused_despite_wall_clock_steps() {
--- a/crates/gateway/tests/loopback/lifecycle.rs
+++ b/crates/gateway/tests/loopback/lifecycle.rs
@@ -22,7 +22,7 @@
 fn assert_all_answered(clients: &mut [Client]) {
     for client in clients {
         let response = client.expect_response();
-        // So many requests at once may exceed what the one endpoint may be sent.
+        // The simultaneous requests may be more than the gateway admits for one endpoint.
         assert!(matches!(response.status(), 200 | 429), "{}", response.start_line);
     }
 }
@@ -74,7 +74,7 @@
     let late = gateway.connect().call(&idempotent_request());
     assert_eq!((late.status(), late.header("connection")), (200, "close"));
     gate.release_one();
-    let response = busy.response().expect("a response to the request in flight");
+    let response = busy.response().expect("the request in flight is answered");
     assert_eq!((response.status(), response.header("connection")), (200, "close"));
     assert!(busy.response().is_none());
     assert!(gateway.wait().success());
@@ -183,8 +183,9 @@
     assert!(gateway.wait().success());
 }
 
-/// A reload moves the watch to the newly configured agent while a call to the previous one is open. The new
-/// agent is asked for a snapshot, even though its version is the same. An invalid file changes nothing.
+/// A reload moves the watch to the newly configured agent while a call to the previous one is open. A
+/// snapshot is requested from the new agent, even though its version is the same. An invalid file changes
+/// nothing.
 #[test]
 fn configuration_reload_moves_the_watch_and_ignores_an_invalid_file() {
     let first = Server::responding_with("first");
--- a/crates/gateway/tests/loopback/rig/client.rs
+++ b/crates/gateway/tests/loopback/rig/client.rs
@@ -55,7 +55,7 @@
 
     /// Reads the next response; panics if the gateway closes the connection first.
     pub fn expect_response(&mut self) -> Message {
-        self.response().expect("the gateway closed the connection without a response")
+        self.response().expect("the gateway responds before it closes the connection")
     }
 
     /// Waits until the gateway closes or resets the connection, and returns the data received before that.
@@ -78,8 +78,8 @@
     }
 }
 
-/// Sends one GET request to the operator interface on a connection of its own.
+/// Sends one GET request to the operator interface on a new connection and returns the response.
 pub fn operator_get(address: SocketAddr, path: &str) -> Message {
     let request = format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n");
-    Client::connect(address).expect("cannot connect to the operator interface").call(&request)
+    Client::connect(address).expect("the operator interface accepts a connection").call(&request)
 }
--- a/crates/gateway/tests/loopback/rig/deployment.rs
+++ b/crates/gateway/tests/loopback/rig/deployment.rs
@@ -10,11 +10,11 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The index of the class of idempotent requests in the configuration.
+/// Index of the class of idempotent requests in the configuration.
 pub const IDEMPOTENT: usize = 0;
-/// The index of the class of requests with an idempotency key in the configuration.
+/// Index of the class of requests with an idempotency key in the configuration.
 pub const KEYED: usize = 1;
-/// The index of the class of requests that must never run twice in the configuration.
+/// Index of the class of requests that must never run twice in the configuration.
 pub const NON_IDEMPOTENT: usize = 2;
 
 /// A deadline longer than any test, in microseconds.
@@ -25,9 +25,9 @@
 /// A builder of gateway processes with their configuration, discovery agent and process environment.
 #[derive(Clone)]
 pub struct Deployment {
-    /// The agent that serves the endpoint list.
+    /// Agent that serves the endpoint list.
     pub agent: DiscoveryAgent,
-    /// The gateway's configuration file as JSON.
+    /// Gateway's configuration file as JSON.
     config: Value,
     launch: Launch,
 }
@@ -44,17 +44,17 @@
         Deployment { agent, config, launch: Launch::default() }
     }
 
-    /// Creates a deployment with one endpoint, `s-1`, in the gateway's own zone.
+    /// Creates a deployment with one endpoint, `s-1`, in the gateway's zone.
     pub fn with_endpoint(address: SocketAddr) -> Deployment {
         Deployment::new(vec![Endpoint::ready("s-1", address)])
     }
 
-    /// Creates a deployment with one server, `s-1`, in the gateway's own zone.
+    /// Creates a deployment with one server, `s-1`, in the gateway's zone.
     pub fn with_server(server: &Server) -> Deployment {
         Deployment::with_endpoint(server.address)
     }
 
-    /// Creates a deployment with `s-1` in the gateway's own zone and `s-2` in the other zone.
+    /// Creates a deployment with `s-1` in the gateway's zone and `s-2` in the other zone.
     pub fn with_two_zones(local: SocketAddr, remote: SocketAddr) -> Deployment {
         let remote = Endpoint::ready("s-2", remote).in_zone(REMOTE_ZONE);
         Deployment::new(vec![Endpoint::ready("s-1", local), remote])
@@ -62,8 +62,8 @@
 
     /// Sets the configuration value at a JSON pointer.
     pub fn set(mut self, pointer: &str, value: impl Into<Value>) -> Deployment {
-        let (parent, key) = pointer.rsplit_once('/').expect("the JSON pointer has no '/'");
-        self.config.pointer_mut(parent).expect("the configuration has no parent of this setting")[key] =
+        let (parent, key) = pointer.rsplit_once('/').expect("the JSON pointer contains a '/'");
+        self.config.pointer_mut(parent).expect("the configuration contains the parent of the setting")[key] =
             value.into();
         self
     }
@@ -98,9 +98,9 @@
             .set("/settings/familyInfo/countLimitUs", reply_timeout_us)
     }
 
-    /// Sets the refill rate of each customer's token bucket in units per second, and its depth in units.
-    pub fn token_bucket(self, rate: f64, depth: f64) -> Deployment {
-        self.set("/settings/plans/0/rate", rate).set("/settings/plans/0/depth", depth)
+    /// Sets the refill rate of each customer's token bucket in units per second, and its burst in units.
+    pub fn token_bucket(self, rate: f64, burst: f64) -> Deployment {
+        self.set("/settings/plans/0/rate", rate).set("/settings/plans/0/depth", burst)
     }
 
     /// Sets the number of gateways in the fleet.
@@ -114,9 +114,9 @@
         self.set("/settings/discovery", "ask")
     }
 
-    /// Sets the descriptor limit in the configuration.
-    pub fn configured_sockets(self, sockets: u32) -> Deployment {
-        self.set("/limits/sockets", sockets)
+    /// Sets the socket limit in the configuration.
+    pub fn configured_socket_limit(self, limit: u32) -> Deployment {
+        self.set("/limits/sockets", limit)
     }
 
     /// Enables the operator interface on a port that the system picks.
@@ -131,8 +131,8 @@
 
     /// Sets the descriptor limit that the system enforces on the processes, whatever the configuration
     /// states.
-    pub fn descriptors(mut self, descriptors: u32) -> Deployment {
-        self.launch.descriptor_limit = descriptors;
+    pub fn descriptor_limit(mut self, limit: u32) -> Deployment {
+        self.launch.descriptor_limit = limit;
         self
     }
 
--- a/crates/gateway/tests/loopback/rig/discovery_agent.rs
+++ b/crates/gateway/tests/loopback/rig/discovery_agent.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// The increase of the list's version when [`DiscoveryAgent::recover`] replaces the whole list; greater than
+/// Increase of the list's version when [`DiscoveryAgent::recover`] replaces the whole list; greater than
 /// one, so that a watch from the previous version gets a snapshot.
 const SNAPSHOT_INDEX_STEP: u64 = 10;
 
@@ -32,21 +32,21 @@
 /// The endpoint list, the injected faults and the calls received.
 #[derive(Default)]
 struct AgentState {
-    /// The version of the list.
+    /// Version of the list.
     index: u64,
     endpoints: Vec<Endpoint>,
-    /// The endpoints that changed in the current version.
+    /// Endpoints that changed in the current version.
     last_change: Vec<Endpoint>,
     /// Whether all calls are answered with status 500.
     failing: bool,
-    /// The fault injected into the next call.
+    /// Fault injected into the next call.
     fault: Option<WatchFault>,
-    /// The paths of all calls received.
+    /// Paths of all calls received.
     calls: Vec<String>,
 }
 
-/// How the agent handles a call.
-enum Outcome {
+/// Reaction of the agent to a call.
+enum Reaction {
     /// Writes this text.
     Respond(String),
     /// Closes the connection after a delay without writing anything.
@@ -99,9 +99,9 @@
 /// A handle to a scripted discovery agent, whose threads serve until the test program exits.
 #[derive(Clone)]
 pub struct DiscoveryAgent {
-    /// The address on which the agent listens.
+    /// Address on which the agent listens.
     pub address: SocketAddr,
-    /// The state, and the condition variable that is notified of each change.
+    /// State, and the condition variable that is notified of each change.
     state: Arc<(Mutex<AgentState>, Condvar)>,
 }
 
@@ -128,12 +128,12 @@
         let mut reader = BufReader::new(stream);
         while let Some(call) = read_message(&mut reader) {
             let path = call.start_line.split(' ').nth(1).unwrap_or("").to_owned();
-            match self.outcome(path) {
-                Outcome::Respond(text) => {
+            match self.reaction(path) {
+                Reaction::Respond(text) => {
                     let _ = writer.write_all(text.as_bytes());
                 }
-                Outcome::CloseAfter(delay) => return thread::sleep(delay),
-                Outcome::Hang => {
+                Reaction::CloseAfter(delay) => return thread::sleep(delay),
+                Reaction::Hang => {
                     let _ = reader.read_to_end(&mut Vec::new());
                     return;
                 }
@@ -141,9 +141,9 @@
         }
     }
 
-    /// Records a call and returns how to handle it. A watch waits for a change of the list or an injected
-    /// fault.
-    fn outcome(&self, path: String) -> Outcome {
+    /// Records a call and returns the reaction to it. For a watch, waits for a change of the list or an
+    /// injected fault.
+    fn reaction(&self, path: String) -> Reaction {
         let known_index = known_index(&path);
         let (lock, changed) = &*self.state;
         let mut state = lock.lock().unwrap();
@@ -156,11 +156,11 @@
         let fault = state.take_fault();
         changed.notify_all();
         match fault {
-            None => Outcome::Respond(state.response(known_index)),
-            Some(WatchFault::Unanswered | WatchFault::Down) => Outcome::Hang,
-            Some(WatchFault::CloseConnection) => Outcome::CloseAfter(Duration::ZERO),
-            Some(WatchFault::CloseConnectionAfter(delay)) => Outcome::CloseAfter(delay),
-            Some(WatchFault::RawResponse(text)) => Outcome::Respond(text),
+            None => Reaction::Respond(state.response(known_index)),
+            Some(WatchFault::Unanswered | WatchFault::Down) => Reaction::Hang,
+            Some(WatchFault::CloseConnection) => Reaction::CloseAfter(Duration::ZERO),
+            Some(WatchFault::CloseConnectionAfter(delay)) => Reaction::CloseAfter(delay),
+            Some(WatchFault::RawResponse(text)) => Reaction::Respond(text),
         }
     }
 
--- a/crates/gateway/tests/loopback/rig/endpoint.rs
+++ b/crates/gateway/tests/loopback/rig/endpoint.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The zone of the gateway under test.
+/// Zone of the gateway under test.
 pub const LOCAL_ZONE: &str = "room-a";
-/// The other zone of the deployment.
+/// Other zone of the deployment.
 pub const REMOTE_ZONE: &str = "room-b";
 
 /// The availability of an endpoint.
@@ -25,27 +25,27 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, Serialize)]
 pub struct Endpoint {
-    /// The unique name by which a change replaces the previous entry.
+    /// Unique name by which a change replaces the previous entry.
     pub name: String,
-    /// The address on which the endpoint listens.
+    /// Address on which the endpoint listens.
     pub address: SocketAddr,
-    /// The zone in which the endpoint runs.
+    /// Zone in which the endpoint runs.
     pub zone: &'static str,
     #[serde(rename = "type")]
     kind: &'static str,
-    /// The service to which the endpoint belongs.
+    /// Service to which the endpoint belongs.
     group: u32,
-    /// The availability for new requests.
+    /// Availability for new requests.
     pub status: EndpointStatus,
-    /// The share of the load relative to other endpoints.
+    /// Share of the load relative to other endpoints.
     weight: f64,
-    /// The start time of the endpoint's process, in milliseconds since the epoch.
+    /// Start time of the endpoint's process, in milliseconds since the epoch.
     #[serde(rename = "since_ms")]
     started_at_ms: u64,
 }
 
 impl Endpoint {
-    /// Creates an endpoint in the gateway's own zone that takes requests.
+    /// Creates an endpoint in the gateway's zone that takes requests.
     pub fn ready(name: impl Into<String>, address: SocketAddr) -> Endpoint {
         Endpoint {
             name: name.into(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Creates an endpoint in the gateway's own zone that takes no new requests.
+    /// Creates an endpoint in the gateway's zone that takes no new requests.
     pub fn draining(name: impl Into<String>, address: SocketAddr) -> Endpoint {
         Endpoint::ready(name, address).with_status(EndpointStatus::Draining)
     }
--- a/crates/gateway/tests/loopback/rig/fault_library.rs
+++ b/crates/gateway/tests/loopback/rig/fault_library.rs
@@ -6,10 +6,10 @@
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// The environment variable of the test program with the faults of all tests that set none of their own, in
+/// Environment variable of the test program with the faults of all tests that set none of their own, in
 /// the format of [`FAULTS_VARIABLE`].
 pub const DEFAULT_FAULTS_VARIABLE: &str = "GREBEHOOK_TEST_FAULTS";
-/// The environment variable that the library reads: `key=number` pairs, described in `syscall_faults.c`.
+/// Environment variable that the library reads: `key=number` pairs, described in `syscall_faults.c`.
 pub const FAULTS_VARIABLE: &str = "SYSCALL_FAULTS";
 
 /// Returns the path of the library; the first call builds it.
@@ -25,7 +25,7 @@
             .args([&library, &source])
             .arg("-ldl")
             .status()
-            .expect("cannot run the C compiler");
+            .expect("the C compiler starts");
         assert!(built.success(), "the fault library does not compile");
         library
     })
--- a/crates/gateway/tests/loopback/rig/files.rs
+++ b/crates/gateway/tests/loopback/rig/files.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The number in the next unique name of a file or folder.
+/// Number in the next unique name of a file or folder.
 static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
 
 /// Returns a name that is unique among the files and folders of the running test programs.
--- a/crates/gateway/tests/loopback/rig/gateway_process.rs
+++ b/crates/gateway/tests/loopback/rig/gateway_process.rs
@@ -15,19 +15,19 @@
 use std::thread;
 use std::time::Instant;
 
-/// The code in Linux's `/proc/net/tcp` for a connection that the remote side has closed and the local side
+/// Code in Linux's `/proc/net/tcp` for a connection that the remote side has closed and the local side
 /// has not.
 const CLOSE_WAIT: &str = "08";
-/// The fields of `/proc/PID/stat` for user and system time, counted from the process state as field 0.
+/// Fields of `/proc/PID/stat` for user and system time, counted from the process state as field 0.
 const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
 
 /// A running gateway, killed when dropped.
 pub struct GatewayProcess {
     child: Child,
     config_file: PathBuf,
-    /// The log lines that no test has read yet.
+    /// Log lines that no test has read yet.
     log_lines: Receiver<String>,
-    /// The address on which the gateway accepts clients.
+    /// Address on which the gateway accepts clients.
     pub address: SocketAddr,
 }
 
@@ -91,7 +91,7 @@
 
     /// Opens a client connection.
     pub fn connect(&self) -> Client {
-        Client::connect(self.address).expect("cannot connect to the gateway")
+        Client::connect(self.address).expect("the gateway accepts a connection")
     }
 
     /// Waits until the gateway has read all data sent before this call, by which time it answers a request on
--- a/crates/gateway/tests/loopback/rig/launch.rs
+++ b/crates/gateway/tests/loopback/rig/launch.rs
@@ -7,11 +7,11 @@
 /// The launch options of a gateway process.
 #[derive(Clone)]
 pub struct Launch {
-    /// The maximum number of open descriptors, set with `ulimit`.
+    /// Maximum number of open descriptors, set with `ulimit`.
     pub descriptor_limit: u32,
-    /// The folder for the control socket; the system's default folder if `None`.
+    /// Folder for the control socket; the system's default folder if `None`.
     pub control_folder: Option<PathBuf>,
-    /// The system call faults; those of [`fault_library::DEFAULT_FAULTS_VARIABLE`] if `None`.
+    /// System call faults; those of [`fault_library::DEFAULT_FAULTS_VARIABLE`] if `None`.
     pub faults: Option<String>,
 }
 
--- a/crates/gateway/tests/loopback/rig/message.rs
+++ b/crates/gateway/tests/loopback/rig/message.rs
@@ -7,11 +7,11 @@
 /// An HTTP request or response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// The request line or status line.
+    /// Request line or status line.
     pub start_line: String,
-    /// The header values, keyed by the lower-case header name.
+    /// Header values, keyed by the lower-case header name.
     pub headers: HashMap<String, String>,
-    /// The received part of the body; empty if the body is chunked.
+    /// Received part of the body; empty if the body is chunked.
     pub body: Vec<u8>,
     /// Whether the body has the length stated in `Content-Length`.
     pub complete: bool,
--- a/crates/gateway/tests/loopback/rig/mod.rs
+++ b/crates/gateway/tests/loopback/rig/mod.rs
@@ -23,5 +23,5 @@
 
 use std::time::Duration;
 
-/// The time after which an expected event counts as missing; only a failing test waits this long.
+/// Time after which an expected event counts as missing; only a failing test waits this long.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/gateway/tests/loopback/rig/request.rs
+++ b/crates/gateway/tests/loopback/rig/request.rs
@@ -2,17 +2,17 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The health check of a load balancer, which the gateway answers itself.
+/// Health check of a load balancer, which the gateway answers itself.
 pub const HEALTH_CHECK: &str = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
 /// A request that the gateway answers itself with 400.
 pub const UNKNOWN_PATH: &str = "GET /other HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// The client timeout of requests, unless a test changes it.
+/// Client timeout of requests, unless a test changes it.
 const DEFAULT_TIMEOUT_HEADER: &str = "X-Budget-Ms: 1900";
-/// The customer of requests, unless a test changes it.
+/// Customer of requests, unless a test changes it.
 const DEFAULT_CUSTOMER: &str = "00000000b4d65521";
 
-/// The id of the next request of this test program.
+/// Id of the next request of this test program.
 static NEXT_REQUEST_ID: AtomicUsize = AtomicUsize::new(0);
 
 /// Returns the headers that all requests have, with a new request id.
@@ -49,12 +49,12 @@
     request.replace(DEFAULT_TIMEOUT_HEADER, &format!("X-Budget-Ms: {timeout_ms}"))
 }
 
-/// Changes the customer of a request.
+/// Returns the request with another customer.
 pub fn for_customer(request: &str, customer: u64) -> String {
     request.replace(DEFAULT_CUSTOMER, &format!("{customer:016x}"))
 }
 
-/// Returns a request without a body with another header line in place of `Content-Length: 0`.
+/// Returns a request that has no body, with another header line in place of `Content-Length: 0`.
 pub fn with_framing(request: &str, framing: &str) -> String {
     request.replace("Content-Length: 0", framing)
 }
--- a/crates/gateway/tests/loopback/rig/server.rs
+++ b/crates/gateway/tests/loopback/rig/server.rs
@@ -15,7 +15,7 @@
 pub enum Reply {
     /// Sends a response with a body.
     Response {
-        /// The status code, the reason phrase and any further header lines.
+        /// Status code, reason phrase and any further header lines.
         head: &'static str,
         body: Vec<u8>,
     },
@@ -24,7 +24,7 @@
     /// Writes this text twice, unless a busy machine stretches the delay to twice its length or more.
     RawTwice {
         text: String,
-        /// The time between the two writes.
+        /// Time between the two writes.
         delay: Duration,
     },
     /// Writes this text unchanged and closes the connection.
@@ -58,21 +58,21 @@
 
 /// A scripted server, whose threads serve until the test program exits.
 pub struct Server {
-    /// The address on which the server listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// The number of accepted connections.
+    /// Number of accepted connections.
     connections: Arc<AtomicUsize>,
-    /// The events that no test has read yet.
+    /// Events that no test has read yet.
     events: Receiver<ServerEvent>,
 }
 
 /// State shared by the connections of one server.
 struct SharedState<S> {
-    /// The channel to [`Server::events`].
+    /// Channel to [`Server::events`].
     events: Sender<ServerEvent>,
-    /// The number of requests received.
+    /// Number of requests received.
     requests: AtomicUsize,
-    /// The function that maps the number of a request, counted from 0, to the reply.
+    /// Function that maps the number of a request, counted from 0, to the reply.
     script: S,
 }
 
@@ -125,7 +125,7 @@
 
     /// Waits for the next event.
     pub fn next_event(&self) -> ServerEvent {
-        self.events.recv_timeout(EVENT_TIMEOUT).expect("the server observed no further event")
+        self.events.recv_timeout(EVENT_TIMEOUT).expect("the server observes a further event")
     }
 
     /// Waits for the next event and returns its request; panics if a connection was closed instead.
--- a/crates/gateway/tests/loopback/rig/timestamped_stream.rs
+++ b/crates/gateway/tests/loopback/rig/timestamped_stream.rs
@@ -12,7 +12,7 @@
 /// An accepted connection with kernel receive timestamps.
 pub struct TimestampedStream {
     stream: TcpStream,
-    /// The time at which the kernel received the data that was read last.
+    /// Time at which the kernel received the data that was read last.
     received_at: Instant,
 }
 
--- a/crates/gateway/tests/loopback/rig/unreachable.rs
+++ b/crates/gateway/tests/loopback/rig/unreachable.rs
@@ -3,13 +3,13 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// The duration of a connection attempt after which the backlog counts as full.
+/// Duration of a connection attempt after which the backlog counts as full.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A listener whose backlog is full, so that connections to it stay in progress.
 pub struct UnreachableListener {
     listener: TcpListener,
-    /// The connections that fill the backlog.
+    /// Connections that fill the backlog.
     backlog: Vec<TcpStream>,
 }
 
--- a/crates/gateway/tests/loopback/soak/checks.rs
+++ b/crates/gateway/tests/loopback/soak/checks.rs
@@ -6,19 +6,19 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// The time after the client timeout by which a response must have arrived.
+/// Time after the client timeout by which a response must have arrived.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
-/// The time by which the forwarded timeout may exceed the client's remaining time.
+/// Time by which the forwarded timeout may exceed the client's remaining time.
 const FORWARDED_TIMEOUT_GRACE: Duration = Duration::from_millis(150);
-/// The time after the publication of a drain during which an attempt may still start.
+/// Time after the publication of a drain during which an attempt may still start.
 const DRAIN_GRACE: Duration = Duration::from_millis(1_050);
-/// The time after the client's disconnection during which an attempt may still start.
+/// Time after the client's disconnection during which an attempt may still start.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
-/// The tolerance that is added to a time limit when it is measured on sockets.
+/// Tolerance that is added to a time limit when it is measured on sockets.
 const SOCKET_GRACE: Duration = Duration::from_millis(50);
-/// The time by which a delayed write may exceed [`WRITE_DELAY`], as the sleep behind the delay ends late.
+/// Time by which a delayed write may exceed [`WRITE_DELAY`], as the sleep behind the delay ends late.
 const WRITE_DELAY_OVERRUN: Duration = Duration::from_millis(50);
-/// The time that a busy machine may add to a duration that a client thread measures.
+/// Time that a busy machine may add to a duration that a client thread measures.
 const MEASUREMENT_GRACE: Duration = Duration::from_millis(150);
 
 /// The observations of a run and its random plan.
--- a/crates/gateway/tests/loopback/soak/client.rs
+++ b/crates/gateway/tests/loopback/soak/client.rs
@@ -13,31 +13,31 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The probability that a request is written in two parts, in percent.
+/// Probability that a request is written in two parts, in percent.
 const SPLIT_PERCENT: u8 = 10;
-/// The probability that a client disconnects before it reads the response, in percent.
+/// Probability that a client disconnects before it reads the response, in percent.
 const DISCONNECT_PERCENT: u8 = 8;
-/// The time beyond its timeout after which a client treats a response as missing.
+/// Time beyond its timeout after which a client treats a response as missing.
 const READ_GRACE: Duration = Duration::from_secs(5);
 
 /// A client that reuses its connection for as long as it is open.
 pub struct SoakClient {
-    /// The address on which the gateway listens.
+    /// Address on which the gateway listens.
     pub address: SocketAddr,
-    /// The record that receives the outcomes of requests.
+    /// Record that receives the outcomes of requests.
     pub record: Arc<Record>,
-    /// The random number generator of this client.
+    /// Random number generator of this client.
     pub rng: Rng,
-    /// The deadline of all classes.
+    /// Deadline of all classes.
     pub deadline: Duration,
-    /// The connection of the previous request, if it is still open.
+    /// Connection of the previous request, if it is still open.
     pub connection: Option<Connection>,
 }
 
 /// A connection to the gateway.
 pub struct Connection {
     stream: BufReader<TcpStream>,
-    /// The time at which the connection had been established.
+    /// Time at which the connection had been established.
     connected_at: Instant,
     /// Whether no request has been sent on the connection yet.
     is_new: bool,
@@ -46,9 +46,9 @@
 /// A randomly generated request that has not been sent yet.
 struct GeneratedRequest {
     id: String,
-    /// The index of the request's class.
+    /// Index of the request's class.
     class: usize,
-    /// The client timeout.
+    /// Client timeout.
     timeout: Duration,
     text: String,
 }
--- a/crates/gateway/tests/loopback/soak/mod.rs
+++ b/crates/gateway/tests/loopback/soak/mod.rs
@@ -1,7 +1,7 @@
-//! A soak test: two gateway processes, one after the other, serve misbehaving clients and use misbehaving
-//! servers under failing system calls, clock steps, pauses, drains and series of signals. Clients reuse open
-//! connections until SIGKILL, which is sent as early as the operators' requirements allow. The observations
-//! are checked against these requirements, not against the gateway's own decisions.
+//! A soak test: two gateway processes, one after the other, serve misbehaving clients and forward requests to
+//! misbehaving servers under failing system calls, clock steps, pauses, drains and series of signals. Clients
+//! reuse open connections until SIGKILL, which is sent as early as the operators' requirements allow. The
+//! observations are checked against these requirements, not against the gateway's own decisions.
 //!
 //! `SOAK_SEEDS=1-50` runs those seeds; without the variable a few default seeds are run.
 
@@ -18,7 +18,7 @@
 use checks::violations;
 use client::SoakClient;
 use fastrand::Rng;
-use plan::{zone, Plan, SERVERS};
+use plan::{zone, Plan, SERVER_COUNT};
 use record::{Pause, Record};
 use server::start_server;
 use std::net::{SocketAddr, TcpStream};
@@ -28,19 +28,19 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The seeds that are run if `SOAK_SEEDS` is not set.
+/// Seeds that are run if `SOAK_SEEDS` is not set.
 const DEFAULT_SEEDS: RangeInclusive<u64> = 1..=16;
-/// The number of seeds that are run in parallel.
+/// Number of seeds that are run in parallel.
 const PARALLEL_RUNS: usize = 4;
-/// The number of clients of a run.
-const CLIENTS: usize = 8;
-/// The number of gateway processes of a run, one after another.
-const PROCESSES: usize = 2;
-/// The time that a process serves before its first signal to stop.
+/// Number of clients of a run.
+const CLIENT_COUNT: usize = 8;
+/// Number of gateway processes of a run, one after another.
+const PROCESS_COUNT: usize = 2;
+/// Time that a process serves before its first signal to stop.
 const SERVICE_TIME: Duration = Duration::from_millis(2_500);
-/// The duration of each pause of a process.
-const PAUSE: Duration = Duration::from_millis(100);
-/// The time between SIGTERM and SIGKILL that is added to the longest deadline.
+/// Duration of each pause of a process.
+const PAUSE_DURATION: Duration = Duration::from_millis(100);
+/// Time between SIGTERM and SIGKILL that is added to the longest deadline.
 const KILL_GRACE: Duration = Duration::from_millis(700);
 
 /// The run of one seed.
@@ -48,9 +48,9 @@
     rng: Rng,
     plan: Plan,
     record: Arc<Record>,
-    /// The servers with the status ready.
+    /// Servers with the status ready.
     endpoints: Vec<Endpoint>,
-    /// The deployment of the current process.
+    /// Deployment of the current process.
     deployment: Deployment,
     /// Set when the clients are to stop.
     stop: Arc<AtomicBool>,
@@ -66,7 +66,7 @@
             let address = start_server(number, record.clone(), rng.u64(..));
             Endpoint::ready(format!("s-{number}"), address).in_zone(zone(number))
         };
-        let endpoints: Vec<Endpoint> = (0..SERVERS).map(&mut endpoint).collect();
+        let endpoints: Vec<Endpoint> = (0..SERVER_COUNT).map(&mut endpoint).collect();
         let deployment = plan.configure(Deployment::new(endpoints.clone()));
         SoakRun { rng, plan, record, endpoints, deployment, stop: Arc::default() }
     }
@@ -74,13 +74,13 @@
     /// Runs one process after another, and returns the violations of the requirements.
     fn run(mut self, seed: u64) -> Vec<String> {
         let mut clients: Vec<JoinHandle<()>> = Vec::new();
-        for _ in 0..PROCESSES {
+        for _ in 0..PROCESS_COUNT {
             self.record.process_started();
             let gateway = self.deployment.start();
             let _idle: Vec<TcpStream> = (0..self.plan.idle_connections)
                 .map_while(|_| TcpStream::connect(gateway.address).ok())
                 .collect();
-            while clients.len() < CLIENTS {
+            while clients.len() < CLIENT_COUNT {
                 clients.push(self.start_client(gateway.address));
             }
             let successor = self.deployment.clone().listen(gateway.address);
@@ -117,7 +117,7 @@
 
     /// Changes the endpoint list, fails the watch, reloads the configuration or pauses the process.
     fn inject_disruption(&mut self, gateway: &GatewayProcess) {
-        let number = self.rng.usize(1..SERVERS);
+        let number = self.rng.usize(1..SERVER_COUNT);
         let endpoint = self.endpoints[number].clone();
         let agent = &self.deployment.agent;
         match self.rng.u8(..7) {
@@ -138,7 +138,7 @@
             _ => {
                 let from = Instant::now();
                 gateway.pause();
-                thread::sleep(PAUSE);
+                thread::sleep(PAUSE_DURATION);
                 gateway.resume();
                 self.record.pauses.lock().unwrap().push(Pause { from, to: Instant::now() });
             }
@@ -183,8 +183,8 @@
 fn seeds() -> RangeInclusive<u64> {
     let Ok(text) = std::env::var("SOAK_SEEDS") else { return DEFAULT_SEEDS };
     let (from, to) = text.split_once('-').unwrap_or((&text, &text));
-    from.parse().expect("SOAK_SEEDS: the first seed is not a number")
-        ..=to.parse().expect("SOAK_SEEDS: the last seed is not a number")
+    from.parse().expect("the first seed in SOAK_SEEDS is a number")
+        ..=to.parse().expect("the last seed in SOAK_SEEDS is a number")
 }
 
 /// Guards against lost, duplicate or wrongly rejected requests, excessive forwarded timeouts and attempts at
--- a/crates/gateway/tests/loopback/soak/plan.rs
+++ b/crates/gateway/tests/loopback/soak/plan.rs
@@ -5,18 +5,18 @@
 use fastrand::Rng;
 use std::time::Duration;
 
-/// The number of servers; the first half is in the gateway's own zone.
-pub const SERVERS: usize = 4;
-/// The names of the request classes, in the order of their indices.
+/// Number of servers; the first half is in the gateway's zone.
+pub const SERVER_COUNT: usize = 4;
+/// Names of the request classes, in the order of their indices.
 pub const CLASSES: [&str; 3] = ["claim-status", "loss-notice", "payout"];
-/// The time for which servers remember an idempotency key.
+/// Time for which servers remember an idempotency key.
 pub const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// The probability with which a plan includes each fault, in percent.
+/// Probability with which a plan includes each fault, in percent.
 const FAULT_PERCENT: u8 = 30;
-/// The probability of idle connections that exhaust the descriptors, in percent.
+/// Probability of idle connections that exhaust the descriptors, in percent.
 const DESCRIPTOR_EXHAUSTION_PERCENT: u8 = 25;
-/// The faults, each of which a plan includes with a probability of [`FAULT_PERCENT`], in the format described
+/// Faults, each of which a plan includes with a probability of [`FAULT_PERCENT`], in the format described
 /// in `syscall_faults.c`.
 const FAULTS: [&str; 11] = [
     "read=10 write=10",
@@ -37,24 +37,24 @@
 const CALL_DELAY_FAULTS: [&str; 2] = ["preempt=10 preempt_ms=60", "preempt=20 preempt_ms=30"];
 /// A scheduling delay before the listener is closed.
 const LISTENER_CLOSE_DELAY_FAULT: &str = "preempt_listener_ms=20";
-/// The bit set in the seed of the scheduling delays, which separates their random choices from all others of
+/// Bit set in the seed of the scheduling delays, which separates their random choices from all others of
 /// a run.
 const PREEMPTION_SEED_BIT: u64 = 1 << 32;
-/// The environment variable with faults that all seeds run under in addition to those of their plans.
+/// Environment variable with faults that all seeds run under in addition to those of their plans.
 const COMMON_FAULTS_VARIABLE: &str = "SOAK_FAULTS";
 
-/// The delay of a write by the fault `hold`.
+/// Delay of a write by the fault `hold`.
 pub const WRITE_DELAY: Duration = Duration::from_millis(150);
 
 /// The randomly chosen parameters of a run.
 pub struct Plan {
-    /// The system call faults, in the format described in `syscall_faults.c`.
+    /// System call faults, in the format described in `syscall_faults.c`.
     pub faults: String,
-    /// The deadline of all classes.
+    /// Deadline of all classes.
     pub deadline: Duration,
-    /// The maximum number of open descriptors of the gateway.
+    /// Maximum number of open descriptors of the gateway.
     pub descriptor_limit: u32,
-    /// The number of idle connections in addition to those of the clients.
+    /// Number of idle connections in addition to those of the clients.
     pub idle_connections: usize,
 }
 
@@ -82,9 +82,7 @@
     /// Returns the maximum scheduling delay before a system call.
     pub fn max_call_delay(&self) -> Duration {
         let milliseconds = self.faults.split(' ').find_map(|fault| fault.strip_prefix("preempt_ms="));
-        Duration::from_millis(
-            milliseconds.map_or(0, |text| text.parse().expect("preempt_ms is not a number")),
-        )
+        Duration::from_millis(milliseconds.map_or(0, |text| text.parse().expect("preempt_ms is a number")))
     }
 
     /// Returns whether idle connections exhaust the descriptors.
@@ -92,11 +90,11 @@
         self.idle_connections > 0
     }
 
-    /// Configures a gateway for this plan.
+    /// Returns the deployment, configured for this plan.
     pub fn configure(&self, deployment: Deployment) -> Deployment {
         let deployment = deployment
-            .configured_sockets(self.descriptor_limit)
-            .descriptors(self.descriptor_limit)
+            .configured_socket_limit(self.descriptor_limit)
+            .descriptor_limit(self.descriptor_limit)
             .faults(&*self.faults)
             .set("/settings/limits/mayProbe", false);
         (0..CLASSES.len()).fold(deployment, |deployment, class| {
@@ -124,7 +122,7 @@
 
 /// Returns the zone of the server with this number.
 pub fn zone(server: usize) -> &'static str {
-    if server < SERVERS / 2 {
+    if server < SERVER_COUNT / 2 {
         LOCAL_ZONE
     } else {
         REMOTE_ZONE
--- a/crates/gateway/tests/loopback/soak/record.rs
+++ b/crates/gateway/tests/loopback/soak/record.rs
@@ -6,15 +6,15 @@
 /// An attempt that a server received completely.
 #[derive(Debug)]
 pub struct ReceivedAttempt {
-    /// The value of the request's `X-Call-Id` header.
+    /// Value of the request's `X-Call-Id` header.
     pub request_id: String,
-    /// The number of the server.
+    /// Number of the server.
     pub server: usize,
-    /// The time at which the server's kernel received the first byte.
+    /// Time at which the server's kernel received the first byte.
     pub first_byte_at: Instant,
-    /// The time at which the server's kernel had received the whole attempt.
+    /// Time at which the server's kernel had received the whole attempt.
     pub complete_at: Instant,
-    /// The remaining client timeout that the gateway forwarded.
+    /// Remaining client timeout that the gateway forwarded.
     pub forwarded_timeout: Duration,
     /// Whether the server's response proves that the request did not run.
     pub rejected: bool,
@@ -28,7 +28,7 @@
         status: u16,
         /// Whether the body had the length stated in `Content-Length`.
         complete: bool,
-        /// The time at which the response had been read.
+        /// Time at which the response had been read.
         at: Instant,
     },
     /// The gateway closed the connection without a response.
@@ -40,38 +40,38 @@
 /// A request as its client saw it.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// The value of the `X-Call-Id` header.
+    /// Value of the `X-Call-Id` header.
     pub id: String,
-    /// The index of the request's class.
+    /// Index of the request's class.
     pub class: usize,
-    /// The client timeout.
+    /// Client timeout.
     pub timeout: Duration,
-    /// The time at which the connection had been established.
+    /// Time at which the connection had been established.
     pub connected_at: Instant,
-    /// The time at which the last byte had been written.
+    /// Time at which the last byte had been written.
     pub written_at: Instant,
     /// Whether the request is the first on its connection.
     pub first_on_connection: bool,
-    /// The response, or the way in which the connection ended without one.
+    /// Response, or the way in which the connection ended without one.
     pub outcome: RequestOutcome,
 }
 
 /// A period during which the discovery agent published a server as draining.
 pub struct Drain {
-    /// The number of the server.
+    /// Number of the server.
     pub server: usize,
-    /// The time right before the server was published as draining.
+    /// Time right before the server was published as draining.
     pub published_at: Instant,
-    /// The time at which the server was published as ready again, if it was.
+    /// Time at which the server was published as ready again, if it was.
     pub ended_at: Option<Instant>,
 }
 
 /// A period during which the gateway process was paused.
 #[derive(Clone, Copy, Debug)]
 pub struct Pause {
-    /// The time right before the process was paused.
+    /// Time right before the process was paused.
     pub from: Instant,
-    /// The time right after the process was resumed.
+    /// Time right after the process was resumed.
     pub to: Instant,
 }
 
@@ -85,24 +85,24 @@
 /// The lifetime of one gateway process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessRun {
-    /// The time right before the process was started.
+    /// Time right before the process was started.
     pub started_at: Instant,
-    /// The time right before the first signal to stop was sent, if one was.
+    /// Time right before the first signal to stop was sent, if one was.
     pub signaled_at: Option<Instant>,
 }
 
 /// All observations of a run.
 #[derive(Default)]
 pub struct Record {
-    /// The attempts that servers received completely.
+    /// Attempts that servers received completely.
     pub attempts: Mutex<Vec<ReceivedAttempt>>,
-    /// The requests that clients wrote completely.
+    /// Requests that clients wrote completely.
     pub requests: Mutex<Vec<ClientRequest>>,
-    /// The published drains of servers.
+    /// Published drains of servers.
     pub drains: Mutex<Vec<Drain>>,
-    /// The pauses of gateway processes.
+    /// Pauses of gateway processes.
     pub pauses: Mutex<Vec<Pause>>,
-    /// The gateway processes in the order of their start.
+    /// Gateway processes in the order of their start.
     pub processes: Mutex<Vec<ProcessRun>>,
 }
 
--- a/crates/gateway/tests/loopback/soak/server.rs
+++ b/crates/gateway/tests/loopback/soak/server.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// The timeout recorded for an attempt without one: longer than any client timeout, so that the checks report
+/// Timeout recorded for an attempt without one: longer than any client timeout, so that the checks report
 /// it.
 const MISSING_TIMEOUT_MS: u64 = u64::MAX / 2;
 
--- a/crates/gateway/tests/loopback/syscall_faults.c
+++ b/crates/gateway/tests/loopback/syscall_faults.c
@@ -16,8 +16,8 @@
 //   broken       a connection that the gateway opened breaks at a read or write
 //   hold         a write is delayed by 150 ms, at most once a second
 // Scheduling delays, as if the process had to wait for a core:
-//   preempt              how many in a thousand calls of accept4, connect, close, shutdown, recv and send are
-//                        delayed
+//   preempt              the probability of a delay of accept4, connect, close, shutdown, recv and send, in
+//                        calls per thousand
 //   preempt_ms           the maximum delay, in milliseconds
 //   preempt_seed         the seed of the random choices of these delays
 //   preempt_listener_ms  the delay of every close of a listening socket, in milliseconds
@@ -40,21 +40,21 @@
 
 #define REAL(name) static __typeof__(name) *real; if (!real) real = dlsym(RTLD_NEXT, #name)
 
-/* The length of a clock step, the delay of a write and the minimum time between two such delays, and the
-   default maximum of scheduling delays. */
-enum { HOUR_S = 3600, HOLD_MS = 150, HOLD_EVERY_MS = 1000, PREEMPT_MS = 20 };
+/* The length of a clock step, the delay of a write, the minimum time between two such delays, and the default
+   maximum of scheduling delays. */
+enum { HOUR_S = 3600, WRITE_DELAY_MS = 150, MIN_WRITE_DELAY_INTERVAL_MS = 1000, DEFAULT_PREEMPT_MS = 20 };
 
 /* Whether this process is the gateway; -1 before the first check. */
-static int active = -1;
+static int is_gateway = -1;
 /* The state of the random number generator of faults. */
-static unsigned draw_state;
+static unsigned fault_random_state;
 /* The state of the random number generator of scheduling delays, which do not change the choice of faults. */
-static unsigned preempt_state;
+static unsigned preempt_random_state;
 /* The monotonic time of the first intercepted call, in milliseconds. */
 static long started_ms;
 
-/* Returns the number of a key in SYSCALL_FAULTS, or a default if the key is missing. */
-static long number(const char *key, long otherwise) {
+/* Returns the number of a key in SYSCALL_FAULTS, or default_value if the key is missing. */
+static long setting(const char *key, long default_value) {
   const char *at = getenv("SYSCALL_FAULTS");
   size_t length = strlen(key);
   while (at && *at) {
@@ -62,11 +62,14 @@
     at = strchr(at, ' ');
     if (at) at++;
   }
-  return otherwise;
+  return default_value;
 }
 
 /* Calls the real clock_gettime, which the library replaces. */
-static int real_clock(clockid_t clock, struct timespec *time) { REAL(clock_gettime); return real(clock, time); }
+static int real_clock(clockid_t clock, struct timespec *time) {
+  REAL(clock_gettime);
+  return real(clock, time);
+}
 
 /* Returns the monotonic time in milliseconds. */
 static long monotonic_ms(void) {
@@ -76,22 +79,22 @@
 }
 
 /* Returns whether this process is the gateway; the first call reads the process name and the seeds. */
-static int is_active(void) {
-  if (active < 0) {
+static int is_gateway_process(void) {
+  if (is_gateway < 0) {
     char name[32] = "";
     FILE *file = fopen("/proc/self/comm", "r");
     if (file) { if (!fgets(name, sizeof name, file)) name[0] = 0; fclose(file); }
-    active = getenv("SYSCALL_FAULTS") && !strcmp(name, "grebehook\n");
-    draw_state = (unsigned)number("seed", 1) * 2654435761u;
-    preempt_state = (unsigned)number("preempt_seed", 1) * 2654435761u;
+    is_gateway = getenv("SYSCALL_FAULTS") && !strcmp(name, "grebehook\n");
+    fault_random_state = (unsigned)setting("seed", 1) * 2654435761u;
+    preempt_random_state = (unsigned)setting("preempt_seed", 1) * 2654435761u;
     started_ms = monotonic_ms();
   }
-  return active;
+  return is_gateway;
 }
 
 /* Returns the next 16-bit pseudo-random number of a generator. */
-static unsigned next(unsigned *state) { *state = *state * 1103515245u + 12345u; return *state >> 16; }
-static unsigned draw(void) { return next(&draw_state); }
+static unsigned next_random(unsigned *state) { *state = *state * 1103515245u + 12345u; return *state >> 16; }
+static unsigned fault_random(void) { return next_random(&fault_random_state); }
 
 static void sleep_ms(long ms) {
   struct timespec time = {ms / 1000, ms % 1000 * 1000000L};
@@ -100,56 +103,62 @@
 
 /* Delays a call at random, as if the process had to wait for a core; preserves errno. */
 static void preempt(void) {
-  int kept = errno;
-  long per_mille = is_active() ? number("preempt", 0) : 0;
-  if (per_mille && (long)(next(&preempt_state) % 1000) < per_mille)
-    sleep_ms(1 + next(&preempt_state) % number("preempt_ms", PREEMPT_MS));
-  errno = kept;
+  int saved_errno = errno;
+  long per_mille = is_gateway_process() ? setting("preempt", 0) : 0;
+  if (per_mille && (long)(next_random(&preempt_random_state) % 1000) < per_mille)
+    sleep_ms(1 + next_random(&preempt_random_state) % setting("preempt_ms", DEFAULT_PREEMPT_MS));
+  errno = saved_errno;
 }
 
 /* Delays the close of a listening socket; preserves errno. */
 static void preempt_close(int fd) {
-  int kept = errno, listens = 0;
+  int saved_errno = errno, listens = 0;
   socklen_t length = sizeof listens;
-  long listener_ms = is_active() ? number("preempt_listener_ms", 0) : 0;
-  if (listener_ms && !getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &length) && listens) sleep_ms(listener_ms);
-  errno = kept;
+  long listener_ms = is_gateway_process() ? setting("preempt_listener_ms", 0) : 0;
+  if (listener_ms && !getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &length) && listens)
+    sleep_ms(listener_ms);
+  errno = saved_errno;
 }
 
 /* Decides at random whether a fault of a kind occurs; preserves errno. */
-static int fails(const char *kind) {
-  int kept = errno;
-  if (!is_active()) return 0;
-  long percent = number(kind, 0), for_ms = number("for_ms", 0);
-  int over = for_ms && monotonic_ms() - started_ms > for_ms;
-  errno = kept;
-  return percent && !over && (long)(draw() % 100) < percent;
+static int fault_occurs(const char *kind) {
+  int saved_errno = errno;
+  if (!is_gateway_process()) return 0;
+  long percent = setting(kind, 0), for_ms = setting("for_ms", 0);
+  int has_ended = for_ms && monotonic_ms() - started_ms > for_ms;
+  errno = saved_errno;
+  return percent && !has_ended && (long)(fault_random() % 100) < percent;
 }
 
 /* Sets errno to one of the errors at random, and returns -1. */
-static int fail_with(const int *errors, int count) { errno = errors[draw() % count]; return -1; }
-#define FAIL(...) do { static const int errors[] = {__VA_ARGS__}; return fail_with(errors, sizeof errors / sizeof *errors); } while (0)
+static int fail_with(const int *errors, int count) { errno = errors[fault_random() % count]; return -1; }
+#define FAIL(...) do { \
+  static const int errors[] = {__VA_ARGS__}; \
+  return fail_with(errors, sizeof errors / sizeof *errors); \
+} while (0)
 
 /* Whether the gateway itself opened the connection of each descriptor. */
 enum { MAX_DESCRIPTORS = 4096 };
 static char opened_here[MAX_DESCRIPTORS];
 
 /* Records whether the gateway opened the connection of a descriptor itself. */
-static void note_opened(int fd, int opened) { if (fd >= 0 && fd < MAX_DESCRIPTORS) opened_here[fd] = opened; }
+static void record_opened(int fd, int opened) {
+  if (fd >= 0 && fd < MAX_DESCRIPTORS) opened_here[fd] = opened;
+}
 
 /* Decides at random whether a connection that the gateway opened breaks, and if so shuts down both
    directions; data written before is still delivered. */
-static int breaks(int fd) {
-  if (fd < 0 || fd >= MAX_DESCRIPTORS || !opened_here[fd] || !fails("broken")) return 0;
+static int breaks_connection(int fd) {
+  if (fd < 0 || fd >= MAX_DESCRIPTORS || !opened_here[fd] || !fault_occurs("broken")) return 0;
   shutdown(fd, SHUT_RDWR);
   return 1;
 }
 
-/* Delays a write at random, unless the previous delay ended less than HOLD_EVERY_MS ago. */
-static void hold(void) {
+/* Delays a write at random, unless the previous delay ended less than MIN_WRITE_DELAY_INTERVAL_MS ago. */
+static void delay_write(void) {
   static long last_ms;
-  if (!fails("hold") || monotonic_ms() - last_ms < HOLD_EVERY_MS) return;
-  sleep_ms(HOLD_MS);
+  if (!fault_occurs("hold") || monotonic_ms() - last_ms < MIN_WRITE_DELAY_INTERVAL_MS) return;
+  sleep_ms(WRITE_DELAY_MS);
   last_ms = monotonic_ms();
 }
 
@@ -157,50 +166,55 @@
    only peek. */
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) { REAL(accept4);
   preempt();
-  if (fails("accept")) FAIL(ECONNABORTED, EPROTO, ENETUNREACH, EHOSTUNREACH, ENETDOWN, EINTR);
-  if (fails("accept_full")) FAIL(ENFILE, ENOBUFS, EMFILE, ENOMEM);
+  if (fault_occurs("accept")) FAIL(ECONNABORTED, EPROTO, ENETUNREACH, EHOSTUNREACH, ENETDOWN, EINTR);
+  if (fault_occurs("accept_full")) FAIL(ENFILE, ENOBUFS, EMFILE, ENOMEM);
   int accepted = real(fd, address, length, flags);
-  note_opened(accepted, 0);
+  record_opened(accepted, 0);
   return accepted; }
 int socket(int domain, int type, int protocol) { REAL(socket);
-  if (domain != AF_UNIX && fails("socket")) FAIL(ENFILE, ENOBUFS, ENOMEM, EMFILE);
+  if (domain != AF_UNIX && fault_occurs("socket")) FAIL(ENFILE, ENOBUFS, ENOMEM, EMFILE);
   return real(domain, type, protocol); }
 int bind(int fd, const struct sockaddr *address, socklen_t length) { REAL(bind);
-  if (address->sa_family != AF_UNIX && fails("bind")) FAIL(EADDRINUSE, EADDRNOTAVAIL, ENOBUFS, ENOMEM);
+  if (address->sa_family != AF_UNIX && fault_occurs("bind")) FAIL(EADDRINUSE, EADDRNOTAVAIL, ENOBUFS, ENOMEM);
   return real(fd, address, length); }
 int connect(int fd, const struct sockaddr *address, socklen_t length) { REAL(connect);
   preempt();
-  if (address->sa_family != AF_UNIX && fails("connect")) FAIL(EADDRNOTAVAIL, ENETUNREACH, ENOBUFS);
-  note_opened(fd, address->sa_family != AF_UNIX);
+  if (address->sa_family != AF_UNIX && fault_occurs("connect")) FAIL(EADDRNOTAVAIL, ENETUNREACH, ENOBUFS);
+  record_opened(fd, address->sa_family != AF_UNIX);
   return real(fd, address, length); }
 int setsockopt(int fd, int level, int option, const void *value, socklen_t length) { REAL(setsockopt);
-  if (level == SOL_SOCKET && option == SO_ATTACH_FILTER && fails("filter")) FAIL(ENOMEM);
+  if (level == SOL_SOCKET && option == SO_ATTACH_FILTER && fault_occurs("filter")) FAIL(ENOMEM);
   return real(fd, level, option, value, length); }
 int close(int fd) { REAL(close); preempt_close(fd); preempt(); return real(fd); }
 int shutdown(int fd, int how) { REAL(shutdown); preempt(); return real(fd, how); }
-int epoll_create1(int flags) { REAL(epoll_create1); if (fails("descriptor")) FAIL(ENFILE, EMFILE, ENOMEM); return real(flags); }
-int eventfd(unsigned value, int flags) { REAL(eventfd); if (fails("descriptor")) FAIL(ENFILE, EMFILE, ENOMEM); return real(value, flags); }
+int epoll_create1(int flags) { REAL(epoll_create1);
+  if (fault_occurs("descriptor")) FAIL(ENFILE, EMFILE, ENOMEM);
+  return real(flags); }
+int eventfd(unsigned value, int flags) { REAL(eventfd);
+  if (fault_occurs("descriptor")) FAIL(ENFILE, EMFILE, ENOMEM);
+  return real(value, flags); }
 int socketpair(int domain, int type, int protocol, int pair[2]) { REAL(socketpair);
-  if (fails("descriptor")) FAIL(ENFILE, EMFILE);
+  if (fault_occurs("descriptor")) FAIL(ENFILE, EMFILE);
   return real(domain, type, protocol, pair); }
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) { REAL(epoll_wait);
-  if (fails("wait")) FAIL(EINTR);
-  return real(fd, events, most, timeout); }
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) { REAL(epoll_wait);
+  if (fault_occurs("wait")) FAIL(EINTR);
+  return real(fd, events, max_events, timeout); }
 ssize_t recv(int fd, void *data, size_t length, int flags) { REAL(recv);
   preempt();
-  if (!(flags & MSG_PEEK) && breaks(fd)) FAIL(ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNRESET);
-  if (length > 1 && !(flags & MSG_PEEK) && fails("read")) length = 1 + draw() % (length < 7 ? length : 7);
+  if (!(flags & MSG_PEEK) && breaks_connection(fd)) FAIL(ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNRESET);
+  if (length > 1 && !(flags & MSG_PEEK) && fault_occurs("read"))
+    length = 1 + fault_random() % (length < 7 ? length : 7);
   return real(fd, data, length, flags); }
 ssize_t send(int fd, const void *data, size_t length, int flags) { REAL(send);
   preempt();
-  hold();
-  if (breaks(fd)) FAIL(ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNRESET, EPIPE);
-  if (length > 1 && fails("write")) length = 1 + length / 3;
+  delay_write();
+  if (breaks_connection(fd)) FAIL(ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNRESET, EPIPE);
+  if (length > 1 && fault_occurs("write")) length = 1 + length / 3;
   return real(fd, data, length, flags); }
 int clock_gettime(clockid_t clock, struct timespec *time) {
   int result = real_clock(clock, time);
-  if (result || clock != CLOCK_REALTIME || !is_active()) return result;
-  long step_ms = number("wall_step_ms", 0);
+  if (result || clock != CLOCK_REALTIME || !is_gateway_process()) return result;
+  long step_ms = setting("wall_step_ms", 0);
   long steps = step_ms ? (monotonic_ms() - started_ms) / step_ms % 3 - 1 : 0;
-  time->tv_sec += number("wall_s", 0) + steps * HOUR_S;
+  time->tv_sec += setting("wall_s", 0) + steps * HOUR_S;
   return result; }
--- a/crates/gateway/tests/loopback/takeover.rs
+++ b/crates/gateway/tests/loopback/takeover.rs
@@ -21,7 +21,7 @@
 /// A serving process, and the deployment of its successor.
 struct Predecessor {
     process: GatewayProcess,
-    /// The deployment of the process, with the address at which it listens.
+    /// Deployment of the process, with the address at which it listens.
     successor: Deployment,
 }
 
@@ -65,7 +65,7 @@
     let stats = String::from_utf8(operator_get(new_operator_address, "/admin/stats").body).unwrap();
     assert!(stats.contains("{kind=\"claim-status\",result=\"ok\"} 9\n"), "{stats}");
     old.terminate();
-    assert_eq!(busy.response().expect("a response to the request in flight").status(), 502);
+    assert_eq!(busy.response().expect("the request in flight is answered").status(), 502);
     assert!(idle.response().is_none(), "an idle connection was not closed");
     assert!(old.wait().success());
     // The successor hands over to a third process.
