--- a/crates/gateway/tests/loopback/discovery.rs
+++ b/crates/gateway/tests/loopback/discovery.rs
@@ -307,13 +307,7 @@
 
 /// Returns a successful response with a body.
 fn raw_response(body: &str) -> String {
-    format!(
-        "HTTP/1.1 200 OK
-Content-Length: {}
-
-{body}",
-        body.len()
-    )
+    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
 /// Returns a snapshot with one endpoint.
--- a/crates/gateway/tests/loopback/ops.rs
+++ b/crates/gateway/tests/loopback/ops.rs
@@ -11,12 +11,7 @@
 fn metric(stats: &Message, name: &str) -> u64 {
     let text = String::from_utf8_lossy(&stats.body);
     let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
-    value.unwrap_or_else(|| {
-        panic!(
-            "no metric '{name}' in:
-{text}"
-        )
-    })
+    value.unwrap_or_else(|| panic!("no metric '{name}' in:\n{text}"))
 }
 
 /// Starts a gateway in front of one server, with the operator interface enabled.
--- a/crates/gateway/tests/loopback/size.rs
+++ b/crates/gateway/tests/loopback/size.rs
@@ -14,10 +14,7 @@
 /// Number of bytes in a mebibyte.
 const MIB: usize = 1 << 20;
 /// Short successful response.
-const DONE: &[u8] = b"HTTP/1.1 200 OK
-Content-Length: 4
-
-done";
+const DONE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
 
 /// Returns bytes that reveal a gap or a repetition.
 fn pattern(length: usize) -> Vec<u8> {
