--- a/crates/core/tests/bounded_work.rs
+++ b/crates/core/tests/bounded_work.rs
@@ -23,7 +23,7 @@
 
 /// A gateway whose visited entries are counted. Its clock starts at two seconds.
 struct MeasuredGateway {
-    gateway: Gateway,
+    core: Gateway,
     /// Current time on the gateway's clock.
     now: Micros,
     /// Id of the most recent request.
@@ -42,19 +42,18 @@
         settings.capabilities.gossip = true;
         settings.classes.push(class(key));
         settings.plans[0] = Plan { rate: 200.0, burst: 400.0, ..plan() };
-        let gateway = Gateway::new(settings, 11, SECOND).expect("settings are valid");
-        let mut measured =
-            MeasuredGateway { gateway, now: 2 * SECOND, last_request_id: 0, actions: Vec::new() };
+        let core = Gateway::new(settings, 11, SECOND).expect("settings are valid");
+        let mut measured = MeasuredGateway { core, now: 2 * SECOND, last_request_id: 0, actions: Vec::new() };
         measured.handle(endpoint_snapshot(endpoints.to_vec()));
         measured
     }
 
     /// Delivers an event. Returns the number of entries visited for it.
     fn handle(&mut self, event: Event) -> u64 {
-        let before = self.gateway.entries_visited();
+        let before = self.core.entries_visited();
         self.actions.clear();
-        self.gateway.handle(self.now, event, &mut self.actions);
-        self.gateway.entries_visited() - before
+        self.core.handle(self.now, event, &mut self.actions);
+        self.core.entries_visited() - before
     }
 
     /// Delivers a request 600 µs after the previous event. Returns the number of entries visited.
@@ -192,9 +191,9 @@
             }
         }
         for k in 1..4 {
-            let before = gateway.gateway.entries_visited();
+            let before = gateway.core.entries_visited();
             gateway.tick(now + k * 100 * MILLISECOND);
-            let visited = gateway.gateway.entries_visited() - before;
+            let visited = gateway.core.entries_visited() - before;
             assert!(visited <= 1_200, "{customer_count} customers: {visited} entries visited for a tick");
         }
     }
--- a/crates/core/tests/common/fleet_gateway.rs
+++ b/crates/core/tests/common/fleet_gateway.rs
@@ -13,7 +13,7 @@
 /// customers.
 pub struct FleetGateway {
     /// Decision core under test.
-    pub gateway: Gateway,
+    pub core: Gateway,
     /// Number of gateways in the fleet.
     gateway_count: usize,
 }
@@ -27,8 +27,8 @@
     /// Creates a gateway that starts at `now` and has received the given endpoint list.
     pub fn start_at(now: Micros, settings: Settings, seed: u64, endpoints: Vec<Endpoint>) -> FleetGateway {
         let gateway_count = settings.gateway_count;
-        let gateway = Gateway::new(settings, seed, now).expect("settings are valid");
-        let mut gateway = FleetGateway { gateway, gateway_count };
+        let core = Gateway::new(settings, seed, now).expect("settings are valid");
+        let mut gateway = FleetGateway { core, gateway_count };
         gateway.handle(now, endpoint_snapshot(endpoints));
         gateway
     }
@@ -36,7 +36,7 @@
     /// Delivers an event and returns all actions, timers included.
     pub fn handle(&mut self, now: Micros, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.gateway.handle(now, event, &mut actions);
+        self.core.handle(now, event, &mut actions);
         actions
     }
 
@@ -71,7 +71,7 @@
             _ => None,
         });
         if let Some((at, timer)) = queue_timer.filter(|_| forwarded_to(&actions).is_none()) {
-            self.gateway.handle(at, Event::Timer { timer }, &mut actions);
+            self.core.handle(at, Event::Timer { timer }, &mut actions);
         }
         forwarded_to(&actions)
     }
--- a/crates/core/tests/common/test_gateway.rs
+++ b/crates/core/tests/common/test_gateway.rs
@@ -23,7 +23,7 @@
 /// A gateway with its simulated clock and its pending timers.
 pub struct TestGateway {
     /// Decision core under test.
-    pub gateway: Gateway,
+    pub core: Gateway,
     /// Current time on the gateway's clock.
     pub now: Micros,
     /// Timers that have not expired, with their expiry times.
@@ -35,8 +35,8 @@
 impl TestGateway {
     /// Creates a gateway that starts at one second and has received the given endpoint list.
     pub fn new(settings: Settings, endpoints: &[Endpoint]) -> TestGateway {
-        let gateway = Gateway::new(settings, SEED, SECOND).expect("settings are valid");
-        let mut gateway = TestGateway { gateway, now: SECOND, timers: Vec::new(), last_request_id: 0 };
+        let core = Gateway::new(settings, SEED, SECOND).expect("settings are valid");
+        let mut gateway = TestGateway { core, now: SECOND, timers: Vec::new(), last_request_id: 0 };
         gateway.handle(endpoint_snapshot(endpoints.to_vec()));
         gateway
     }
@@ -45,7 +45,7 @@
     /// actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.gateway.handle(self.now, event, &mut actions);
+        self.core.handle(self.now, event, &mut actions);
         for action in &actions {
             if let Action::Timer { at, timer } = action {
                 self.timers.push((*at, *timer));
--- a/crates/core/tests/event_sequences.rs
+++ b/crates/core/tests/event_sequences.rs
@@ -21,18 +21,18 @@
 /// Time for which servers remember an idempotency key.
 const DEDUPLICATION_WINDOW: Micros = 500 * MILLISECOND;
 
-/// One step of an event sequence.
+/// One step of an event sequence. A `selector` selects one of the requests to which the step applies.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The given number of milliseconds passes.
+    /// Advances the clock by the given number of milliseconds.
     Wait(u64),
-    /// A request arrives with a client timeout of `timeout_ms`.
-    Arrive { class: usize, customer: u64, timeout_ms: u64 },
-    /// An attempt in flight ends.
+    /// Delivers a request with a client timeout of `timeout_ms`.
+    Request { class: usize, customer: u64, timeout_ms: u64 },
+    /// Ends an attempt in flight.
     Complete { selector: usize, status: AttemptStatus },
     /// Disconnects the client of an open request.
     Disconnect { selector: usize },
-    /// An entry of the endpoint list changes.
+    /// Changes an entry of the endpoint list.
     ChangeEndpoint { server: u64, state: EndpointState },
 }
 
@@ -57,7 +57,7 @@
     prop_oneof![
         3 => (1u64..120).prop_map(Step::Wait),
         6 => (0usize..4, 0u64..5, 20u64..2000)
-            .prop_map(|(class, customer, timeout_ms)| Step::Arrive { class, customer, timeout_ms }),
+            .prop_map(|(class, customer, timeout_ms)| Step::Request { class, customer, timeout_ms }),
         5 => (selector(), status).prop_map(|(selector, status)| Step::Complete { selector, status }),
         1 => selector().prop_map(|selector| Step::Disconnect { selector }),
         1 => (1u64..7, state).prop_map(|(server, state)| Step::ChangeEndpoint { server, state }),
@@ -239,8 +239,8 @@
     fn apply(&mut self, step: Step) {
         match step {
             Step::Wait(duration_ms) => self.run_for(duration_ms * MILLISECOND),
-            Step::Arrive { class, customer, timeout_ms } => {
-                self.arrive(class, customer, timeout_ms * MILLISECOND);
+            Step::Request { class, customer, timeout_ms } => {
+                self.request(class, customer, timeout_ms * MILLISECOND);
             }
             Step::Complete { selector, status } => self.complete(selector, status),
             Step::Disconnect { selector } => self.disconnect(selector),
@@ -253,7 +253,7 @@
     }
 
     /// Delivers a request and records it.
-    fn arrive(&mut self, class: usize, customer: u64, client_timeout: Micros) {
+    fn request(&mut self, class: usize, customer: u64, client_timeout: Micros) {
         let id = self.requests.len() as u64 + 1;
         let request = RequestArrival { class, client_timeout, ..arrival(id, customer) };
         let tracked = TrackedRequest {
--- a/crates/core/tests/handover.rs
+++ b/crates/core/tests/handover.rs
@@ -35,14 +35,14 @@
         predecessor.run_request(100 + k, only_server_1_fails);
     }
     spend_burst(&mut predecessor);
-    let text = predecessor.gateway.hand_over(SECOND);
+    let text = predecessor.core.hand_over(SECOND);
     let mut successor = started_gateway(&servers);
     assert!(
         forwarded_to(&started_gateway(&servers).request(CUSTOMER).1).is_some(),
         "without the hand-over the customer is not treated as new"
     );
-    successor.gateway.take_over(SECOND, &text).expect("the predecessor's text is accepted");
-    assert_eq!(successor.gateway.endpoint_counts(SECOND), EndpointCounts { listed: 3, ejected: 1 });
+    successor.core.take_over(SECOND, &text).expect("the predecessor's text is accepted");
+    assert_eq!(successor.core.endpoint_counts(SECOND), EndpointCounts { listed: 3, ejected: 1 });
     assert_eq!(forwarded_to(&successor.request(CUSTOMER).1), None);
     assert!(forwarded_to(&successor.request(6).1).is_some(), "the hand-over limits another customer");
 }
@@ -52,7 +52,7 @@
 fn invalid_text_is_rejected_by_line_and_leaves_the_state_unchanged() {
     let mut predecessor = started_gateway(&[endpoint(1, 0)]);
     spend_burst(&mut predecessor);
-    let text = predecessor.gateway.hand_over(SECOND);
+    let text = predecessor.core.hand_over(SECOND);
     let last_line = text.lines().count();
     let invalid = [
         (String::new(), 1),
@@ -66,7 +66,7 @@
     ];
     for (text, line) in invalid {
         let mut successor = started_gateway(&[endpoint(1, 0)]);
-        let result = successor.gateway.take_over(SECOND, &text).map_err(|error| error.line);
+        let result = successor.core.take_over(SECOND, &text).map_err(|error| error.line);
         assert_eq!(result, Err(line), "{text}");
         assert!(forwarded_to(&successor.request(CUSTOMER).1).is_some());
     }
@@ -95,7 +95,7 @@
 /// byte for byte as the version that wrote it does.
 #[test]
 fn text_of_the_previous_version_is_read_in_full() {
-    let mut gateway = gateway_of_222f98f().gateway;
+    let mut gateway = gateway_of_222f98f().core;
     gateway
         .take_over(9 * SECOND, include_str!("data/handover_222f98f.txt"))
         .expect("the text of the previous version is accepted");
--- a/crates/core/tests/outlier_ejection.rs
+++ b/crates/core/tests/outlier_ejection.rs
@@ -39,9 +39,9 @@
     for k in 0..10 {
         gateway.run_request(100 + k, only_server_1(AttemptStatus::ConnectFailed));
     }
-    assert_eq!(gateway.gateway.endpoint_counts(gateway.now), EndpointCounts { listed: 3, ejected: 1 });
+    assert_eq!(gateway.core.endpoint_counts(gateway.now), EndpointCounts { listed: 3, ejected: 1 });
     gateway.run_until(gateway.now + 20 * SECOND);
-    assert_eq!(gateway.gateway.endpoint_counts(gateway.now), EndpointCounts { listed: 3, ejected: 0 });
+    assert_eq!(gateway.core.endpoint_counts(gateway.now), EndpointCounts { listed: 3, ejected: 0 });
 }
 
 #[test]
@@ -50,7 +50,7 @@
     for k in 0..40 {
         gateway.run_request(100 + k, |_| AttemptStatus::ConnectionReset);
     }
-    let counts = gateway.gateway.endpoint_counts(gateway.now);
+    let counts = gateway.core.endpoint_counts(gateway.now);
     assert_eq!(
         counts,
         EndpointCounts { listed: 2, ejected: 0 },
--- a/crates/gateway/tests/loopback/soak/client.rs
+++ b/crates/gateway/tests/loopback/soak/client.rs
@@ -37,7 +37,7 @@
 /// A connection to the gateway.
 pub struct Connection {
     stream: BufReader<TcpStream>,
-    /// Time at which the connection had been established.
+    /// Time at which the connection was established.
     connected_at: Instant,
     /// Whether no request has been sent on the connection yet.
     is_new: bool,
--- a/crates/gateway/tests/loopback/soak/record.rs
+++ b/crates/gateway/tests/loopback/soak/record.rs
@@ -12,7 +12,7 @@
     pub server: usize,
     /// Time at which the server's kernel received the first byte.
     pub first_byte_at: Instant,
-    /// Time at which the server's kernel had received the whole attempt.
+    /// Time at which the server's kernel received the last byte.
     pub complete_at: Instant,
     /// Remaining client timeout that the gateway forwarded.
     pub forwarded_timeout: Duration,
@@ -28,7 +28,7 @@
         status: u16,
         /// Whether the body had the length stated in `Content-Length`.
         complete: bool,
-        /// Time at which the response had been read.
+        /// Time at which the client finished reading the response.
         at: Instant,
     },
     /// The gateway closed the connection without a response.
@@ -46,9 +46,9 @@
     pub class: usize,
     /// Client timeout.
     pub timeout: Duration,
-    /// Time at which the connection had been established.
+    /// Time at which the connection was established.
     pub connected_at: Instant,
-    /// Time at which the last byte had been written.
+    /// Time at which the client finished writing the request.
     pub written_at: Instant,
     /// Whether the request is the first on its connection.
     pub first_on_connection: bool,
