--- a/crates/gateway/tests/loopback/clients.rs
+++ b/crates/gateway/tests/loopback/clients.rs
@@ -34,7 +34,7 @@
     let body: Vec<u8> = (0..60_000u32).map(|position| position as u8).collect();
     let sent = body.clone();
     let server = Server::start(move |_| {
-        let head = "200 OK\r\nX-LoadReport-Report: latency_ms=12.5,queue=1\r\nApi-Usage: 40";
+        let head = "200 OK\r\nX-Load-Report: latency_ms=12.5,queue=1\r\nApi-Usage: 40";
         Reply::Response { head, body: sent.clone() }
     });
     let gateway = GatewayProcess::in_front_of(&server);
