--- a/crates/scale-laboratory/src/hollow/faults.rs
+++ b/crates/scale-laboratory/src/hollow/faults.rs
@@ -58,7 +58,7 @@
         match fault {
             Fault::KillGateways { count, .. } => (0..count).for_each(|gateway| self.kill_gateway(gateway)),
             Fault::StopDomain { domain, index, include_gateways, .. } => {
-                self.stop_domain(domain, index, include_gateways)
+                self.stop_domain(domain, index, include_gateways);
             }
             Fault::StallCounter { .. } => self.counter.set_unresponsive(true),
             Fault::StallDiscovery { .. } => self.discovery_unresponsive = true,
