--- a/crates/core/tests/fleet_quota.rs
+++ b/crates/core/tests/fleet_quota.rs
@@ -104,7 +104,10 @@
 #[test]
 fn malformed_gossip_is_ignored_and_grants_no_units() {
     let mut gateway = FleetGateway::start(in_fleet(&gossip_settings(), 0, 160), 1);
+    // Version 1 and incarnation 1; then customer 7, plan 0, 160 gateways, and the highest total and demand.
     let valid = [&[1, 0, 0, 1][..], &7u64.to_be_bytes(), &[0, 0, 160, 255, 255, 255, 255]].concat();
+    // The sender is this gateway or none of the fleet, the message is truncated or of another version, the
+    // plan is unknown, or the customer has no gateways.
     let malformed: [(usize, Vec<u8>); 8] = [
         (0, valid.clone()),
         (160, valid.clone()),
--- a/crates/core/tests/shared_counter.rs
+++ b/crates/core/tests/shared_counter.rs
@@ -1,4 +1,5 @@
-//! Quota of a customer that few gateways serve, corrected by the totals of the shared counter.
+//! Quota of a customer that few gateways serve, corrected by the totals of the shared counter. A total that
+//! is written as a sum consists of the units counted before, those of this gateway and those of its peers.
 
 mod common;
 
--- a/crates/gateway/tests/loopback/discovery.rs
+++ b/crates/gateway/tests/loopback/discovery.rs
@@ -146,8 +146,8 @@
     std::thread::scope(|scope| {
         for polled in [false, true] {
             for gateways in [2, 350] {
-                for refused in [true, false] {
-                    scope.spawn(move || assert_recovers_in_time(polled, gateways, refused));
+                for calls_fail in [true, false] {
+                    scope.spawn(move || assert_recovers_in_time(polled, gateways, calls_fail));
                 }
             }
         }
@@ -155,7 +155,8 @@
 }
 
 /// Makes discovery fail and recover with a new list, and asserts that the gateway uses the new list in time.
-fn assert_recovers_in_time(polled: bool, gateways: usize, refused: bool) {
+/// During the outage, calls fail with an error if `calls_fail` is set, and are not answered otherwise.
+fn assert_recovers_in_time(polled: bool, gateways: usize, calls_fail: bool) {
     let first = Server::responding_with("first");
     let second = Server::responding_with("second");
     let mut deployment = fleet_deployment(gateways, &first);
@@ -164,7 +165,7 @@
     }
     let gateway = deployment.start();
     deployment.agent.wait_for_calls(1);
-    if refused {
+    if calls_fail {
         deployment.agent.fail();
     } else {
         // The call in flight has just started and is never answered.
@@ -175,7 +176,7 @@
     let started_at = Instant::now();
     deployment.agent.recover(vec![Endpoint::ready("s-2", second.address)]);
     let elapsed = started_at.elapsed();
-    let case = format!("polled {polled}, {gateways} gateways, refused {refused}");
+    let case = format!("polled {polled}, {gateways} gateways, calls fail {calls_fail}");
     assert!(elapsed < NOTIFICATION_DEADLINE, "{case}: {elapsed:?}");
     assert_eq!(response_body(&mut gateway.connect()), b"second");
 }
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/simulator-adapter/tests/settings.rs
@@ -8,7 +8,7 @@
 /// Returns a settings object that parses.
 fn settings() -> Value {
     json!({
-        "az": 1, "me": 0, "siblings": 2, "tickUs": 2000.7, "unheard_of": [1],
+        "az": 1, "me": 0, "siblings": 2, "tickUs": 2000.7, "unknown_key": [1],
         "classes": [{"aimUs": 600000, "deadlineUs": 2000000, "group": "cell", "lateWorth": 0.2,
                      "semantics": "dedup", "value": 2, "windowUs": 1000000}],
         "plans": [{"ceilingRate": 0, "concurrency": 3, "depth": 12.0, "excessCost": 1.0, "excessWorth": 0.0,
@@ -77,7 +77,8 @@
 #[test]
 fn load_report_columns_are_identified_by_their_wire_names() {
     let mut with_columns = settings();
-    with_columns["stats"]["columns"] = json!(["recent_ms", "backlog", "utilization", "novel", "outstanding"]);
+    with_columns["stats"]["columns"] =
+        json!(["recent_ms", "backlog", "utilization", "unknown_column", "outstanding"]);
     let columns = [
         LoadReportColumn::LatencyMs,
         LoadReportColumn::Queued,
@@ -140,5 +141,5 @@
     assert_eq!(wire_path("classes[12].latency_objective"), "classes[12].aimUs");
     assert_eq!(wire_path("plans[3].rate"), "plans[3].rate");
     assert_eq!(wire_path("plans[3]"), "plans[3]");
-    assert_eq!(wire_path("unheard_of"), "unheard_of");
+    assert_eq!(wire_path("unknown_key"), "unknown_key");
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -6,7 +6,7 @@
 /// Returns a settings object that the decision core accepts.
 fn settings() -> Value {
     json!({
-        "az": 0, "me": 0, "siblings": 2, "tickUs": 2000, "discovery": "push", "unheard_of": [1],
+        "az": 0, "me": 0, "siblings": 2, "tickUs": 2000, "discovery": "push", "unknown_key": [1],
         "classes": [{"aimUs": 600000, "deadlineUs": 2000000, "group": "all", "lateWorth": 0.2, "name": "c",
                      "semantics": "retryable", "stream": true, "value": 2.0, "windowUs": 1000000}],
         "plans": [{"ceilingRate": 0.0, "concurrency": 0, "depth": 12.0, "excessCost": 1.0, "excessWorth": 0.0,
@@ -17,7 +17,7 @@
                    "peers": true, "retryAfter": true, "secondCopies": false},
         "rules": {"coldFrom": 0.15, "fallMultiple": 3.0, "graceToAnswerUs": 8000, "tipAfterUs": 1500000,
                   "warmAfterUs": 17000000, "askEveryUs": 10000000, "drainGraceUs": 500000},
-        "stats": {"columns": ["outstanding", "recent_ms", "novel"], "how": "probe"},
+        "stats": {"columns": ["outstanding", "recent_ms", "unknown_column"], "how": "probe"},
     })
 }
 
@@ -142,7 +142,7 @@
     let out = handle_batch_and_counter_calls(
         &mut host,
         1_001_000,
-        json!([["novelty", 3, {}], request_arrived("r-a"), request_arrived("r-b")]),
+        json!([["unknown_event", 3, {}], request_arrived("r-a"), request_arrived("r-b")]),
     );
     assert_eq!(out.iter().filter(|action| action[0] == "send").count(), 2);
 }
