--- a/crates/scale-laboratory/src/capacity/fault_table.rs
+++ b/crates/scale-laboratory/src/capacity/fault_table.rs
@@ -54,8 +54,8 @@
             let cells = [
                 (*experiment).to_owned(),
                 fault.fault.clone(),
-                cells(before),
-                cells(after),
+                cost_cells(before),
+                cost_cells(after),
                 or_missing(lost_at_target.map(|lost| format_number(lost.round()))),
             ];
             let _ = writeln!(text, "| {} |", cells.join(" | "));
@@ -86,7 +86,7 @@
 
     /// Returns the cell of the recovery times: the shortest and the longest in seconds, and the number of
     /// sizes at which no recovery was observed.
-    fn recovery_range(&self) -> String {
+    fn recovery_cell(&self) -> String {
         let recoveries = self.costs.iter().filter_map(|cost| cost.recovery_milliseconds);
         let seconds: Vec<f64> = recoveries.map(|milliseconds| milliseconds / 1e3).collect();
         let shortest = seconds.iter().copied().reduce(f64::min);
@@ -106,12 +106,12 @@
 }
 
 /// Returns three cells: requests lost, requests rejected or failed, and recovery times.
-fn cells(costs: Option<FaultCosts>) -> String {
+fn cost_cells(costs: Option<FaultCosts>) -> String {
     let Some(costs) = costs else { return [MISSING; 3].join(" | ") };
     let milliseconds = |seconds: f64| format!("{:.1}", seconds * 1e3);
     let lost = milliseconds(costs.lost_seconds());
     let rejected_or_failed = milliseconds(costs.traffic_seconds(|cost| cost.rejected_or_failed));
-    [lost, rejected_or_failed, costs.recovery_range()].join(" | ")
+    [lost, rejected_or_failed, costs.recovery_cell()].join(" | ")
 }
 
 /// Returns the table of usage beyond quotas as Markdown.
@@ -128,8 +128,8 @@
             (*name).to_owned(),
             (*fault).to_owned(),
             sizes.join(", "),
-            over_quota(before),
-            or_missing(after.map(over_quota)),
+            over_quota_cell(before),
+            or_missing(after.map(over_quota_cell)),
         ];
         let _ = writeln!(text, "| {} |", cells.join(" | "));
     }
@@ -137,7 +137,7 @@
 }
 
 /// Returns the cell of the usage beyond quotas at each size.
-fn over_quota(run: &Run) -> String {
+fn over_quota_cell(run: &Run) -> String {
     let shares = run.series(Metric::OverQuota);
     shares.iter().map(|point| format!("{:.0}%", point.y * 100.0)).collect::<Vec<_>>().join(", ")
 }
--- a/crates/scale-laboratory/src/capacity/need.rs
+++ b/crates/scale-laboratory/src/capacity/need.rs
@@ -45,7 +45,7 @@
     fn value(&self, runs: &RunSet) -> Option<f64> {
         let line = runs.line(self.slope)?;
         Some(match self.evaluation {
-            Evaluation::Value => line.at(self.size) * self.factor,
+            Evaluation::Value => line.value_at(self.size) * self.factor,
             Evaluation::Growth => line.slope * self.size * self.factor,
         })
     }
--- a/crates/scale-laboratory/src/capacity/need_table.rs
+++ b/crates/scale-laboratory/src/capacity/need_table.rs
@@ -33,23 +33,23 @@
         need.quantity.to_owned(),
         need.unit.to_owned(),
         or_missing(need.budget.map(format_number)),
-        value_and_ratio(need, Some(&sets.before)),
-        value_and_ratio(need, sets.after.as_ref()),
-        or_missing(extrapolation.map(extrapolation_text)),
+        value_and_ratio_cells(need, Some(&sets.before)),
+        value_and_ratio_cells(need, sets.after.as_ref()),
+        or_missing(extrapolation.map(extrapolation_cell)),
         slopes.join(", "),
     ];
     format!("| {} |", cells.join(" | "))
 }
 
 /// Returns two cells: the amount needed, and its ratio to the budget.
-fn value_and_ratio(need: &Need, runs: Option<&RunSet>) -> String {
+fn value_and_ratio_cells(need: &Need, runs: Option<&RunSet>) -> String {
     let Some(value) = runs.and_then(|runs| need.value(runs)) else { return format!("{MISSING} | {MISSING}") };
     let ratio = need.budget.map(|budget| format!("**{}**", format_number(value / budget)));
     format!("{} | {}", format_number(value), or_missing(ratio))
 }
 
 /// Returns the cell of an extrapolation, the ratio of a size to the largest measured size.
-fn extrapolation_text(extrapolation: f64) -> String {
+fn extrapolation_cell(extrapolation: f64) -> String {
     if extrapolation <= 1.0 {
         "within".to_owned()
     } else {
--- a/crates/scale-laboratory/src/capacity/page.rs
+++ b/crates/scale-laboratory/src/capacity/page.rs
@@ -13,8 +13,9 @@
 /// Replaces the text between the markers of a page with tables.
 pub fn replace_tables(page: &Path, tables: &str) -> Result<()> {
     let failed = |error| LaboratoryError::io(page.display().to_string(), error);
-    let missing_marker =
-        |marker| LaboratoryError::results(page, format!("has no {marker} marker of the capacity tables"));
+    let missing_marker = |marker| {
+        LaboratoryError::invalid_results(page, format!("has no {marker} marker of the capacity tables"))
+    };
     let text = fs::read_to_string(page).map_err(failed)?;
     let (head, rest) = text.split_once(BEGIN_MARKER).ok_or_else(|| missing_marker("begin"))?;
     let (_, tail) = rest.split_once(END_MARKER).ok_or_else(|| missing_marker("end"))?;
--- a/crates/scale-laboratory/src/capacity/run_set.rs
+++ b/crates/scale-laboratory/src/capacity/run_set.rs
@@ -65,7 +65,7 @@
         }
         let reason =
             format!("no run has enough points to fit a line to {}; run the experiment", slope.name());
-        Err(LaboratoryError::results(Path::new(BEFORE), reason))
+        Err(LaboratoryError::invalid_results(Path::new(BEFORE), reason))
     }
 }
 
@@ -85,7 +85,7 @@
 
     /// Returns the line fitted to a slope's points, or `None` if the run or enough points are missing.
     pub fn line(&self, slope: Slope) -> Option<Line> {
-        Line::through(&self.run(slope.experiment)?.series(slope.metric))
+        Line::fit(&self.run(slope.experiment)?.series(slope.metric))
     }
 
     /// Returns the largest size at which a slope was measured.
--- a/crates/scale-laboratory/src/capacity/slope_table.rs
+++ b/crates/scale-laboratory/src/capacity/slope_table.rs
@@ -86,14 +86,14 @@
         format!("{} ({})", slope.name(), slope.metric.unit()),
         sweep.parameter.to_string(),
         format!("{} from {} to {}", sweep.values.len(), sweep.values.first()?, sweep.values.last()?),
-        or_missing(before.map(cell)),
-        or_missing(after.map(cell)),
+        or_missing(before.map(line_cell)),
+        or_missing(after.map(line_cell)),
     ];
     Some(format!("| {} |", cells.join(" | ")))
 }
 
 /// Returns the cell of a fitted line.
-fn cell(line: Line) -> String {
+fn line_cell(line: Line) -> String {
     let figures = [line.slope, line.intercept, line.residual].map(format_number);
     format!("{}, {:.3}", figures.join(", "), line.r_squared)
 }
--- a/crates/scale-laboratory/src/core_cost.rs
+++ b/crates/scale-laboratory/src/core_cost.rs
@@ -39,7 +39,7 @@
 const BATCHES: usize = 5;
 /// Number of endpoint changes timed per batch.
 const CHANGES_PER_BATCH: usize = 20;
-/// Number of tenants between two progress reports.
+/// Number of tenants between two progress steps.
 const TENANTS_PER_PROGRESS_STEP: usize = 1_000;
 
 /// A decision core under test, driven on simulated time with simulated servers and a simulated shared
--- a/crates/scale-laboratory/src/error.rs
+++ b/crates/scale-laboratory/src/error.rs
@@ -49,7 +49,7 @@
     },
     /// A results folder or capacity page that is missing, incomplete or unreadable.
     #[error("{path}: {reason}")]
-    Results {
+    InvalidResults {
         /// Path of the folder or file.
         path: PathBuf,
         /// Defect of the folder or file.
@@ -114,13 +114,13 @@
     }
 
     /// Creates an [`InvalidField`](Self::InvalidField) error.
-    pub fn field(field: &'static str, reason: impl Into<String>) -> Self {
+    pub fn invalid_field(field: &'static str, reason: impl Into<String>) -> Self {
         Self::InvalidField { field, reason: reason.into() }
     }
 
-    /// Creates a [`Results`](Self::Results) error.
-    pub fn results(path: &Path, reason: impl ToString) -> Self {
-        Self::Results { path: path.to_owned(), reason: reason.to_string() }
+    /// Creates a [`InvalidResults`](Self::InvalidResults) error.
+    pub fn invalid_results(path: &Path, reason: impl ToString) -> Self {
+        Self::InvalidResults { path: path.to_owned(), reason: reason.to_string() }
     }
 
     /// Creates an [`Io`](Self::Io) error.
--- a/crates/scale-laboratory/src/experiment/fault.rs
+++ b/crates/scale-laboratory/src/experiment/fault.rs
@@ -5,7 +5,7 @@
 /// A set of machines that fail together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Domain {
+pub enum FailureDomain {
     /// One rack.
     Rack,
     /// All racks of a zone.
@@ -23,7 +23,8 @@
         /// Start of the fault, in seconds of the measured time.
         at_seconds: f64,
         /// Duration of the fault, in seconds.
-        lasts_seconds: f64,
+        #[serde(rename = "lasts_seconds")]
+        duration_seconds: f64,
         /// Number of gateways killed.
         count: usize,
     },
@@ -33,9 +34,10 @@
         /// Start of the fault, in seconds of the measured time.
         at_seconds: f64,
         /// Duration of the fault, in seconds.
-        lasts_seconds: f64,
+        #[serde(rename = "lasts_seconds")]
+        duration_seconds: f64,
         /// Kind of the domain.
-        domain: Domain,
+        domain: FailureDomain,
         /// Index of the domain among those of its kind, from 0.
         index: usize,
         /// Whether the gateways of the domain stop as well.
@@ -48,7 +50,8 @@
         /// Start of the fault, in seconds of the measured time.
         at_seconds: f64,
         /// Duration of the fault, in seconds.
-        lasts_seconds: f64,
+        #[serde(rename = "lasts_seconds")]
+        duration_seconds: f64,
     },
     /// Makes discovery leave calls unanswered.
     #[serde(rename = "silence-discovery")]
@@ -56,7 +59,8 @@
         /// Start of the fault, in seconds of the measured time.
         at_seconds: f64,
         /// Duration of the fault, in seconds.
-        lasts_seconds: f64,
+        #[serde(rename = "lasts_seconds")]
+        duration_seconds: f64,
     },
     /// Changes the endpoint-list entries of the first `count` servers at once.
     #[serde(rename = "change-members")]
@@ -77,7 +81,8 @@
         /// Start of the fault, in seconds of the measured time.
         at_seconds: f64,
         /// Duration of the fault, in seconds.
-        lasts_seconds: f64,
+        #[serde(rename = "lasts_seconds")]
+        duration_seconds: f64,
         /// Index of the first region.
         first: usize,
         /// Index of the second region.
@@ -109,13 +114,13 @@
     }
 
     /// Returns the duration of the fault in seconds, 0 for a fault that has no end.
-    pub fn lasts_seconds(&self) -> f64 {
+    pub fn duration_seconds(&self) -> f64 {
         match self {
-            Fault::KillGateways { lasts_seconds, .. }
-            | Fault::StopDomain { lasts_seconds, .. }
-            | Fault::StallCounter { lasts_seconds, .. }
-            | Fault::StallDiscovery { lasts_seconds, .. }
-            | Fault::PartitionRegions { lasts_seconds, .. } => *lasts_seconds,
+            Fault::KillGateways { duration_seconds, .. }
+            | Fault::StopDomain { duration_seconds, .. }
+            | Fault::StallCounter { duration_seconds, .. }
+            | Fault::StallDiscovery { duration_seconds, .. }
+            | Fault::PartitionRegions { duration_seconds, .. } => *duration_seconds,
             Fault::ChangeEndpoints { .. }
             | Fault::ChangeConfiguration { .. }
             | Fault::StallGateway { .. } => 0.0,
--- a/crates/scale-laboratory/src/experiment/mod.rs
+++ b/crates/scale-laboratory/src/experiment/mod.rs
@@ -4,7 +4,7 @@
 mod sweep;
 mod validate;
 
-pub use fault::{Domain, Fault};
+pub use fault::{FailureDomain, Fault};
 pub use sweep::{Parameter, Sweep};
 
 use crate::error::{LaboratoryError, Result};
@@ -176,7 +176,8 @@
     /// Longest delay of a change between relay and agent, in milliseconds; delays are uniform from 0.
     pub relay_milliseconds: f64,
     /// Time until discovery detects that a server has stopped, in milliseconds.
-    pub notice_milliseconds: f64,
+    #[serde(rename = "notice_milliseconds")]
+    pub detection_milliseconds: f64,
     /// Number of changes that a relay retains; an agent further behind receives a snapshot.
     pub history: usize,
 }
@@ -186,7 +187,7 @@
         Discovery {
             region_milliseconds: 80.0,
             relay_milliseconds: 200.0,
-            notice_milliseconds: 2_000.0,
+            detection_milliseconds: 2_000.0,
             history: 10_000,
         }
     }
@@ -203,7 +204,8 @@
     /// Latency of a call without queueing, in milliseconds.
     pub latency_milliseconds: f64,
     /// Timeout of a gateway's call, in milliseconds.
-    pub limit_milliseconds: f64,
+    #[serde(rename = "limit_milliseconds")]
+    pub timeout_milliseconds: f64,
 }
 
 impl Default for CounterService {
@@ -212,7 +214,7 @@
             enabled: true,
             capacity_per_second: 100_000.0,
             latency_milliseconds: 1.0,
-            limit_milliseconds: 200.0,
+            timeout_milliseconds: 200.0,
         }
     }
 }
--- a/crates/scale-laboratory/src/experiment/validate.rs
+++ b/crates/scale-laboratory/src/experiment/validate.rs
@@ -1,6 +1,6 @@
 //! Validation of an experiment's values; each error names the invalid field.
 
-use super::{Domain, Experiment, Fault, Fleet, Load, Mode};
+use super::{Experiment, FailureDomain, Fault, Fleet, Load, Mode};
 use crate::error::{LaboratoryError, Result};
 
 /// Most gateway processes of a real run; the laboratory itself is one more process.
@@ -16,7 +16,7 @@
 pub fn check(experiment: &Experiment) -> Result<()> {
     let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || letter == '-';
     if experiment.name.is_empty() || !experiment.name.chars().all(is_allowed) {
-        return Err(LaboratoryError::field("name", "must consist of ASCII letters, digits and '-'"));
+        return Err(LaboratoryError::invalid_field("name", "must consist of ASCII letters, digits and '-'"));
     }
     check_fleet(&experiment.fleet)?;
     check_load(&experiment.load)?;
@@ -34,10 +34,10 @@
 pub fn check_sweep(experiment: &Experiment) -> Result<()> {
     let Some(sweep) = &experiment.sweep else { return Ok(()) };
     if sweep.values.is_empty() {
-        return Err(LaboratoryError::field("sweep.values", "must contain at least one size"));
+        return Err(LaboratoryError::invalid_field("sweep.values", "must contain at least one size"));
     }
     if sweep.values.windows(2).any(|pair| pair[0] >= pair[1]) {
-        return Err(LaboratoryError::field("sweep.values", "must be in strictly ascending order"));
+        return Err(LaboratoryError::invalid_field("sweep.values", "must be in strictly ascending order"));
     }
     Ok(())
 }
@@ -55,7 +55,7 @@
         ("fleet.racks_per_zone", fleet.racks_per_zone),
     ];
     match at_least_one.iter().find(|(_, value)| *value == 0) {
-        Some((field, _)) => Err(LaboratoryError::field(field, "must be at least 1")),
+        Some((field, _)) => Err(LaboratoryError::invalid_field(field, "must be at least 1")),
         None => Ok(()),
     }
 }
@@ -66,7 +66,7 @@
         if value.is_finite() && value >= 0.0 && value <= max {
             return Ok(());
         }
-        Err(LaboratoryError::field(field, format!("must be between 0 and {max}")))
+        Err(LaboratoryError::invalid_field(field, format!("must be between 0 and {max}")))
     };
     within("load.requests_per_second", load.requests_per_second, 1e7)?;
     within("load.duration_seconds", load.duration_seconds, MAX_PHASE_SECONDS)?;
@@ -75,13 +75,13 @@
     within("load.quota_burst", load.quota_burst, 1e9)?;
     within("load.hot_share", load.hot_share, 1.0)?;
     if load.duration_seconds == 0.0 {
-        return Err(LaboratoryError::field("load.duration_seconds", "must be more than 0"));
+        return Err(LaboratoryError::invalid_field("load.duration_seconds", "must be more than 0"));
     }
     if load.timed_requests == 0 {
-        return Err(LaboratoryError::field("load.timed_requests", "must be at least 1"));
+        return Err(LaboratoryError::invalid_field("load.timed_requests", "must be at least 1"));
     }
     if load.hot_share > 0.0 && load.hot_tenants == 0 {
-        return Err(LaboratoryError::field(
+        return Err(LaboratoryError::invalid_field(
             "load.hot_tenants",
             "must be at least 1 if load.hot_share is above 0",
         ));
@@ -95,19 +95,19 @@
         ("backend.service_milliseconds", experiment.backend.service_milliseconds),
         ("backend.concurrency", experiment.backend.concurrency as f64),
         ("counter.capacity_per_second", experiment.counter.capacity_per_second),
-        ("counter.limit_milliseconds", experiment.counter.limit_milliseconds),
+        ("counter.limit_milliseconds", experiment.counter.timeout_milliseconds),
     ];
     let non_negative: [(&'static str, f64); 4] = [
         ("counter.latency_milliseconds", experiment.counter.latency_milliseconds),
         ("discovery.region_milliseconds", experiment.discovery.region_milliseconds),
         ("discovery.relay_milliseconds", experiment.discovery.relay_milliseconds),
-        ("discovery.notice_milliseconds", experiment.discovery.notice_milliseconds),
+        ("discovery.notice_milliseconds", experiment.discovery.detection_milliseconds),
     ];
     if let Some((field, _)) = positive.iter().find(|(_, value)| !value.is_finite() || *value <= 0.0) {
-        return Err(LaboratoryError::field(field, "must be more than 0"));
+        return Err(LaboratoryError::invalid_field(field, "must be more than 0"));
     }
     if let Some((field, _)) = non_negative.iter().find(|(_, value)| !value.is_finite() || *value < 0.0) {
-        return Err(LaboratoryError::field(field, "must not be negative"));
+        return Err(LaboratoryError::invalid_field(field, "must not be negative"));
     }
     Ok(())
 }
@@ -115,26 +115,26 @@
 /// Validates a fault against the fleet and the measured time.
 fn check_fault(fault: &Fault, experiment: &Experiment) -> Result<()> {
     let start = fault.at_seconds();
-    let duration = fault.lasts_seconds();
+    let duration = fault.duration_seconds();
     if !start.is_finite() || start < 0.0 || start >= experiment.load.duration_seconds {
-        return Err(LaboratoryError::field(
+        return Err(LaboratoryError::invalid_field(
             "fault.at_seconds",
             "must be at least 0 and less than load.duration_seconds",
         ));
     }
     if !duration.is_finite() || duration < 0.0 {
-        return Err(LaboratoryError::field("fault.lasts_seconds", "must not be negative"));
+        return Err(LaboratoryError::invalid_field("fault.lasts_seconds", "must not be negative"));
     }
     let fleet = &experiment.fleet;
     match fault {
         Fault::KillGateways { count, .. } if *count == 0 || *count > fleet.gateways => {
-            Err(LaboratoryError::field("fault.count", "must be between 1 and the number of gateways"))
+            Err(LaboratoryError::invalid_field("fault.count", "must be between 1 and the number of gateways"))
         }
         Fault::ChangeEndpoints { count, .. } if *count == 0 || *count > fleet.servers() => {
-            Err(LaboratoryError::field("fault.count", "must be between 1 and the number of servers"))
+            Err(LaboratoryError::invalid_field("fault.count", "must be between 1 and the number of servers"))
         }
         Fault::StopDomain { domain, index, .. } if *index >= domain_count(*domain, fleet) => {
-            Err(LaboratoryError::field(
+            Err(LaboratoryError::invalid_field(
                 "fault.index",
                 "must be less than the fleet's number of domains of this kind",
             ))
@@ -142,24 +142,24 @@
         Fault::PartitionRegions { first, second, .. }
             if first == second || *first.max(second) >= fleet.regions =>
         {
-            Err(LaboratoryError::field(
+            Err(LaboratoryError::invalid_field(
                 "fault.second",
                 "must differ from fault.first, and both must be regions of the fleet",
             ))
         }
         Fault::StallGateway { gateway, .. } if *gateway >= fleet.gateways => {
-            Err(LaboratoryError::field("fault.gateway", "must be less than fleet.gateways"))
+            Err(LaboratoryError::invalid_field("fault.gateway", "must be less than fleet.gateways"))
         }
         _ => Ok(()),
     }
 }
 
 /// Returns the number of domains of a kind in a fleet.
-fn domain_count(domain: Domain, fleet: &Fleet) -> usize {
+fn domain_count(domain: FailureDomain, fleet: &Fleet) -> usize {
     match domain {
-        Domain::Rack => fleet.racks(),
-        Domain::Zone => fleet.regions * fleet.zones_per_region,
-        Domain::Region => fleet.regions,
+        FailureDomain::Rack => fleet.racks(),
+        FailureDomain::Zone => fleet.regions * fleet.zones_per_region,
+        FailureDomain::Region => fleet.regions,
     }
 }
 
@@ -169,20 +169,20 @@
     let load = &experiment.load;
     if fleet.gateways > MAX_GATEWAY_PROCESSES {
         let reason = format!("must be at most {MAX_GATEWAY_PROCESSES} in real mode");
-        return Err(LaboratoryError::field("fleet.gateways", reason));
+        return Err(LaboratoryError::invalid_field("fleet.gateways", reason));
     }
     if fleet.servers() > MAX_REAL_SERVERS {
         let reason = format!("must give at most {MAX_REAL_SERVERS} servers of all services in real mode");
-        return Err(LaboratoryError::field("fleet.servers_per_service", reason));
+        return Err(LaboratoryError::invalid_field("fleet.servers_per_service", reason));
     }
     if load.connections == 0 || load.connections > MAX_CONNECTIONS {
         let reason = format!("must be between 1 and {MAX_CONNECTIONS} in real mode");
-        return Err(LaboratoryError::field("load.connections", reason));
+        return Err(LaboratoryError::invalid_field("load.connections", reason));
     }
     let hollow_only =
         |fault: &Fault| matches!(fault, Fault::PartitionRegions { .. } | Fault::StallGateway { .. });
     if experiment.faults.iter().any(hollow_only) {
-        return Err(LaboratoryError::field("fault.kind", "is supported in hollow mode only"));
+        return Err(LaboratoryError::invalid_field("fault.kind", "is supported in hollow mode only"));
     }
     Ok(())
 }
--- a/crates/scale-laboratory/src/fit.rs
+++ b/crates/scale-laboratory/src/fit.rs
@@ -32,7 +32,7 @@
 
 impl Line {
     /// Returns the line through the points, or `None` if they are fewer than five or all have the same `x`.
-    pub fn through(points: &[Sample]) -> Option<Line> {
+    pub fn fit(points: &[Sample]) -> Option<Line> {
         if points.len() < MIN_POINTS {
             return None;
         }
@@ -57,7 +57,7 @@
     }
 
     /// Returns the line's value at a size.
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn value_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
--- a/crates/scale-laboratory/src/hollow/attempts.rs
+++ b/crates/scale-laboratory/src/hollow/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::event_queue::{Incarnation, SimulationEvent};
 use super::gateway::Attempt;
-use super::servers::ServerResponse;
+use super::servers::AttemptEnd;
 use super::simulation::Simulation;
 use crate::settings::CONNECT_TIMEOUT;
 use crate::timeline::Outcome;
@@ -19,57 +19,57 @@
         timeout: Micros,
     ) {
         let server = server.0 as usize;
-        let response = self.compute_response(incarnation.gateway, server, timeout);
+        let end = self.compute_attempt_end(incarnation.gateway, server, timeout);
         let Some(request) = self.gateways[incarnation.gateway].requests.get_mut(&id) else { return };
         request.attempts.push(Attempt {
             server,
             server_incarnation: self.servers.get(server).incarnation,
             sent_at: self.now,
             timeout,
-            status: response.status,
+            status: end.status,
             in_flight: true,
         });
         let attempt = request.attempts.len() as u32 - 1;
         self.measurements.record_attempt(server, incarnation.gateway);
-        self.queue.push(response.at, SimulationEvent::AttemptEnded { incarnation, request: id, attempt });
+        self.queue.push(end.at, SimulationEvent::AttemptEnded { incarnation, request: id, attempt });
         if let Some(pending) = self.pending.get_mut(&id).filter(|pending| !pending.attempted) {
             pending.attempted = true;
-            self.measurements.record_queueing_time(self.now - pending.sent_at);
+            self.measurements.record_first_attempt_delay(self.now - pending.sent_at);
         }
     }
 
     /// Returns when and how an attempt sent now ends for the gateway.
-    fn compute_response(&mut self, gateway: usize, server: usize, timeout: Micros) -> ServerResponse {
+    fn compute_attempt_end(&mut self, gateway: usize, server: usize, timeout: Micros) -> AttemptEnd {
         let delay = self.network.delay_to_server(gateway, server);
         let reachable = self.servers.get(server).running && self.network.reaches_server(gateway, server);
-        let response = if reachable {
-            let response = self.servers.serve(self.now + delay, server, &mut self.rng);
-            ServerResponse { at: response.at + delay, ..response }
+        let end = if reachable {
+            let end = self.servers.serve(self.now + delay, server, &mut self.rng);
+            AttemptEnd { at: end.at + delay, ..end }
         } else {
-            ServerResponse { at: self.now + CONNECT_TIMEOUT, status: AttemptStatus::ConnectFailed }
+            AttemptEnd { at: self.now + CONNECT_TIMEOUT, status: AttemptStatus::ConnectFailed }
         };
-        if response.at > self.now.saturating_add(timeout) {
-            return ServerResponse { at: self.now + timeout, status: AttemptStatus::Timeout };
+        if end.at > self.now.saturating_add(timeout) {
+            return AttemptEnd { at: self.now + timeout, status: AttemptStatus::Timeout };
         }
-        response
+        end
     }
 
     /// Ends an attempt. A successful attempt whose server has stopped or become unreachable since it was sent
     /// ends at its timeout instead.
-    pub(super) fn handle_attempt_end(&mut self, incarnation: Incarnation, id: RequestId, number: u32) {
+    pub(super) fn handle_attempt_end(&mut self, incarnation: Incarnation, id: RequestId, attempt_index: u32) {
         let gateway = &mut self.gateways[incarnation.gateway];
         if !gateway.is_running(incarnation) {
             return;
         }
         let Some(request) = gateway.requests.get_mut(&id) else { return };
         let finished = request.finished;
-        let Some(attempt) = request.attempt_in_flight(number) else { return };
+        let Some(attempt) = request.attempt_in_flight(attempt_index) else { return };
         let server_stopped = self.servers.get(attempt.server).incarnation != attempt.server_incarnation;
         let unreachable = !self.network.reaches_server(incarnation.gateway, attempt.server);
         if attempt.status == AttemptStatus::Ok && (server_stopped || unreachable) {
             attempt.status = AttemptStatus::Timeout;
             let at = attempt.sent_at.saturating_add(attempt.timeout).max(self.now);
-            let event = SimulationEvent::AttemptEnded { incarnation, request: id, attempt: number };
+            let event = SimulationEvent::AttemptEnded { incarnation, request: id, attempt: attempt_index };
             return self.queue.push(at, event);
         }
         attempt.in_flight = false;
@@ -81,7 +81,7 @@
         }
         let report = AttemptReport {
             id,
-            attempt: number,
+            attempt: attempt_index,
             server: ServerId(attempt.server as u64),
             status: attempt.status,
             elapsed: self.now - attempt.sent_at,
@@ -106,11 +106,11 @@
     }
 
     /// Cancels an attempt that is in flight.
-    pub(super) fn cancel_attempt(&mut self, incarnation: Incarnation, id: RequestId, number: u32) {
+    pub(super) fn cancel_attempt(&mut self, incarnation: Incarnation, id: RequestId, attempt_index: u32) {
         let Some(request) = self.gateways[incarnation.gateway].requests.get_mut(&id) else { return };
-        let Some(attempt) = request.attempt_in_flight(number) else { return };
+        let Some(attempt) = request.attempt_in_flight(attempt_index) else { return };
         attempt.status = AttemptStatus::Cancelled;
-        let event = SimulationEvent::AttemptEnded { incarnation, request: id, attempt: number };
+        let event = SimulationEvent::AttemptEnded { incarnation, request: id, attempt: attempt_index };
         self.queue.push(self.now, event);
     }
 }
--- a/crates/scale-laboratory/src/hollow/discovery.rs
+++ b/crates/scale-laboratory/src/hollow/discovery.rs
@@ -58,14 +58,14 @@
         if !self.receives_from_origin(gateway) {
             return;
         }
-        let known_version = self.gateways[gateway].list_version;
+        let known_version = self.gateways[gateway].endpoint_list_version;
         let Some(update) = self.endpoints.update(known_version, version) else { return };
         let counts = &mut self.measurements.counts;
         counts.relay_bytes += update.body_bytes;
         counts.discovery_calls += 1;
         counts.discovery_bytes += watch_bytes(known_version, update.body_bytes);
         let slowest = update.published_at.iter().map(|published| self.now - published).max().unwrap_or(0);
-        self.measurements.record_change_propagation(slowest);
+        self.measurements.record_endpoint_propagation(slowest);
         let watch_event = if update.is_snapshot { WatchEvent::Snapshot } else { WatchEvent::Delta };
         self.deliver_endpoints(gateway, watch_event, update);
     }
@@ -77,7 +77,7 @@
         watch_event: WatchEvent,
         update: EndpointUpdate,
     ) {
-        self.gateways[gateway].list_version = update.version;
+        self.gateways[gateway].endpoint_list_version = update.version;
         let incarnation = self.gateways[gateway].incarnation();
         self.deliver(incarnation, Event::EndpointsChanged { watch_event, endpoints: update.endpoints });
         self.open_watch(incarnation, WATCH_TIMEOUT);
@@ -97,7 +97,7 @@
         if !gateway.is_running(incarnation) || gateway.last_watch != watch {
             return;
         }
-        let version = gateway.list_version;
+        let version = gateway.endpoint_list_version;
         self.measurements.counts.discovery_calls += 1;
         if self.discovery_unresponsive {
             self.measurements.counts.discovery_bytes += watch_call_bytes(version);
--- a/crates/scale-laboratory/src/hollow/endpoint_history.rs
+++ b/crates/scale-laboratory/src/hollow/endpoint_history.rs
@@ -101,7 +101,7 @@
         let servers: BTreeSet<usize> =
             missed.iter().flat_map(|missed| missed.servers.iter().copied()).collect();
         let messages = servers.iter().map(|server| self.message(*server)).collect();
-        let delta = EndpointListMessage { index: version, snapshot: false, endpoints: messages };
+        let delta = EndpointListMessage { version, snapshot: false, endpoints: messages };
         let body_bytes = wire::json_length(&delta);
         let endpoints = servers.iter().map(|server| self.endpoint(*server)).collect();
         Some(EndpointUpdate { version, endpoints, is_snapshot: false, body_bytes, published_at })
@@ -115,7 +115,7 @@
         let version = self.version();
         let body_bytes = self.snapshot_bytes.unwrap_or_else(|| {
             let messages = listed.iter().map(|server| self.message(*server)).collect();
-            wire::json_length(&EndpointListMessage { index: version, snapshot: true, endpoints: messages })
+            wire::json_length(&EndpointListMessage { version, snapshot: true, endpoints: messages })
         });
         self.snapshot_bytes = Some(body_bytes);
         EndpointUpdate { version, endpoints, is_snapshot: true, body_bytes, published_at: Vec::new() }
@@ -168,5 +168,5 @@
 
 /// Returns the length of a list without changes, in bytes.
 pub fn empty_body_bytes(version: u64) -> u64 {
-    wire::json_length(&EndpointListMessage { index: version, snapshot: false, endpoints: Vec::new() })
+    wire::json_length(&EndpointListMessage { version, snapshot: false, endpoints: Vec::new() })
 }
--- a/crates/scale-laboratory/src/hollow/event_queue.rs
+++ b/crates/scale-laboratory/src/hollow/event_queue.rs
@@ -125,7 +125,7 @@
 }
 
 /// A scheduled event, ordered by time and then by sequence number.
-struct Scheduled {
+struct ScheduledEvent {
     /// Time of the event, in microseconds.
     at: Micros,
     /// Number of events scheduled before this one.
@@ -133,21 +133,21 @@
     event: SimulationEvent,
 }
 
-impl PartialEq for Scheduled {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Scheduled {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Scheduled {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Scheduled {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
         (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
@@ -157,7 +157,7 @@
 #[derive(Default)]
 pub struct EventQueue {
     /// Scheduled events, the earliest on top.
-    heap: BinaryHeap<Reverse<Scheduled>>,
+    heap: BinaryHeap<Reverse<ScheduledEvent>>,
     /// Sequence number of the next event that is scheduled.
     next_sequence: u64,
 }
@@ -167,7 +167,7 @@
     pub fn push(&mut self, at: Micros, event: SimulationEvent) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.heap.push(Reverse(Scheduled { at, sequence, event }));
+        self.heap.push(Reverse(ScheduledEvent { at, sequence, event }));
     }
 
     /// Removes the earliest event and returns it with its time in microseconds.
--- a/crates/scale-laboratory/src/hollow/faults.rs
+++ b/crates/scale-laboratory/src/hollow/faults.rs
@@ -2,7 +2,7 @@
 
 use super::event_queue::SimulationEvent;
 use super::simulation::Simulation;
-use crate::experiment::{Domain, Fault};
+use crate::experiment::{FailureDomain, Fault};
 use crate::settings::{micros_from_milliseconds, micros_from_seconds};
 use grebehook_core::Micros;
 use rand::RngExt;
@@ -16,8 +16,8 @@
         for (index, fault) in self.experiment.faults.iter().enumerate() {
             let begins_at = self.measurement_start + micros_from_seconds(fault.at_seconds());
             self.queue.push(begins_at, SimulationEvent::BeginFault { fault: index });
-            if fault.lasts_seconds() > 0.0 {
-                let ends_at = begins_at + micros_from_seconds(fault.lasts_seconds());
+            if fault.duration_seconds() > 0.0 {
+                let ends_at = begins_at + micros_from_seconds(fault.duration_seconds());
                 self.queue.push(ends_at, SimulationEvent::EndFault { fault: index });
             }
         }
@@ -58,7 +58,7 @@
         match fault {
             Fault::KillGateways { count, .. } => (0..count).for_each(|gateway| self.kill_gateway(gateway)),
             Fault::StopDomain { domain, index, include_gateways, .. } => {
-                self.stop_domain(domain, index, include_gateways)
+                self.stop_domain(domain, index, include_gateways);
             }
             Fault::StallCounter { .. } => self.counter.set_unresponsive(true),
             Fault::StallDiscovery { .. } => self.discovery_unresponsive = true,
@@ -102,37 +102,36 @@
         }
     }
 
-    /// Returns the servers of a failure domain.
-    fn servers_in(&self, domain: Domain, index: usize) -> Vec<usize> {
+    fn servers_in(&self, domain: FailureDomain, index: usize) -> Vec<usize> {
         (0..self.servers.len()).filter(|server| self.topology.is_in_domain(*server, domain, index)).collect()
     }
 
-    /// Returns the gateways of a failure domain.
-    fn gateways_in(&self, domain: Domain, index: usize) -> Vec<usize> {
+    fn gateways_in(&self, domain: FailureDomain, index: usize) -> Vec<usize> {
         (0..self.gateways.len())
             .filter(|gateway| self.topology.is_in_domain(*gateway, domain, index))
             .collect()
     }
 
     /// Stops the machines of a failure domain; discovery detects it later.
-    fn stop_domain(&mut self, domain: Domain, index: usize, gateways_too: bool) {
+    fn stop_domain(&mut self, domain: FailureDomain, index: usize, include_gateways: bool) {
         let servers = self.servers_in(domain, index);
         for server in &servers {
             self.servers.stop(*server);
         }
-        if gateways_too {
+        if include_gateways {
             for gateway in self.gateways_in(domain, index) {
                 self.kill_gateway(gateway);
             }
         }
-        let detected_at = self.now + micros_from_milliseconds(self.experiment.discovery.notice_milliseconds);
+        let detected_at =
+            self.now + micros_from_milliseconds(self.experiment.discovery.detection_milliseconds);
         self.queue.push(detected_at, SimulationEvent::PublishServers { servers });
     }
 
     /// Starts the machines of a failure domain again.
-    fn restart_domain(&mut self, domain: Domain, index: usize, gateways_too: bool) {
+    fn restart_domain(&mut self, domain: FailureDomain, index: usize, include_gateways: bool) {
         let servers = self.servers_in(domain, index);
-        if gateways_too {
+        if include_gateways {
             self.schedule_starts(self.gateways_in(domain, index));
         }
         self.restart_servers(&servers);
--- a/crates/scale-laboratory/src/hollow/gateway.rs
+++ b/crates/scale-laboratory/src/hollow/gateway.rs
@@ -36,8 +36,8 @@
 
 impl HostedRequest {
     /// Returns the attempt with this index, if it has not ended.
-    pub fn attempt_in_flight(&mut self, number: u32) -> Option<&mut Attempt> {
-        self.attempts.get_mut(number as usize).filter(|attempt| attempt.in_flight)
+    pub fn attempt_in_flight(&mut self, index: u32) -> Option<&mut Attempt> {
+        self.attempts.get_mut(index as usize).filter(|attempt| attempt.in_flight)
     }
 
     /// Returns whether the client has its response and no attempt is in flight.
@@ -57,7 +57,7 @@
     /// Requests that the host keeps.
     pub requests: BTreeMap<RequestId, HostedRequest>,
     /// Version of the endpoint list that the gateway has.
-    pub list_version: u64,
+    pub endpoint_list_version: u64,
     /// Number of the last watch; the timeout of an earlier watch, which was answered, is ignored.
     pub last_watch: u64,
     /// Number of counter calls in flight.
@@ -78,7 +78,7 @@
             starts: 0,
             core: None,
             requests: BTreeMap::new(),
-            list_version: 0,
+            endpoint_list_version: 0,
             last_watch: 0,
             counter_calls_in_flight: 0,
             configuration_version: 0,
--- a/crates/scale-laboratory/src/hollow/lifecycle.rs
+++ b/crates/scale-laboratory/src/hollow/lifecycle.rs
@@ -8,7 +8,7 @@
 use grebehook_core::{Micros, WatchEvent};
 
 /// Time after which the load balancer detects that a gateway is down, in microseconds.
-const LOAD_BALANCER_DELAY: Micros = 1_000_000;
+const LOAD_BALANCER_DETECTION_DELAY: Micros = 1_000_000;
 
 impl Simulation {
     /// Starts a gateway that is down. Its first endpoint list comes with its configuration.
@@ -31,7 +31,7 @@
         for id in self.gateways[gateway].kill() {
             self.finish_pending(id, Outcome::Lost);
         }
-        let detected_at = self.now + LOAD_BALANCER_DELAY;
+        let detected_at = self.now + LOAD_BALANCER_DETECTION_DELAY;
         self.queue.push(detected_at, SimulationEvent::UpdateLoadBalancer { gateway });
     }
 
--- a/crates/scale-laboratory/src/hollow/measurements.rs
+++ b/crates/scale-laboratory/src/hollow/measurements.rs
@@ -42,11 +42,11 @@
     /// Counts at the end of the measurement.
     counts_at_end: Option<Counts>,
     /// Longest time from a change of the endpoint list until a gateway applied it, in microseconds.
-    longest_change_propagation: Micros,
+    max_endpoint_propagation: Micros,
     /// Longest time from the publication of a configuration until a gateway applied it, in microseconds.
-    longest_configuration_propagation: Micros,
+    max_configuration_propagation: Micros,
     /// Times from the arrival of a request to its first attempt, in microseconds.
-    queueing_times: Histogram<u64>,
+    first_attempt_delays: Histogram<u64>,
     /// Requests of tenants that stay within their quotas; the rejection of a hot tenant's request is not
     /// caused by a fault.
     pub timeline: Timeline,
@@ -63,9 +63,9 @@
             counts: Counts::default(),
             begins_at,
             counts_at_end: None,
-            longest_change_propagation: 0,
-            longest_configuration_propagation: 0,
-            queueing_times: latency_histogram(),
+            max_endpoint_propagation: 0,
+            max_configuration_propagation: 0,
+            first_attempt_delays: latency_histogram(),
             timeline: Timeline::default(),
             server_gateway_pairs: BTreeSet::new(),
             hot_units: 0.0,
@@ -76,9 +76,9 @@
     /// it.
     pub fn begin(&mut self) {
         self.counts = Counts::default();
-        self.longest_change_propagation = 0;
-        self.longest_configuration_propagation = 0;
-        self.queueing_times.reset();
+        self.max_endpoint_propagation = 0;
+        self.max_configuration_propagation = 0;
+        self.first_attempt_delays.reset();
         self.server_gateway_pairs.clear();
     }
 
@@ -117,28 +117,31 @@
     }
 
     /// Records the time from the arrival of a request to its first attempt, in microseconds.
-    pub fn record_queueing_time(&mut self, time: Micros) {
-        self.queueing_times.saturating_record(time);
+    pub fn record_first_attempt_delay(&mut self, time: Micros) {
+        self.first_attempt_delays.saturating_record(time);
     }
 
     /// Records the time in microseconds from a change of the endpoint list until a gateway applied it.
-    pub fn record_change_propagation(&mut self, elapsed: Micros) {
-        self.longest_change_propagation = self.longest_change_propagation.max(elapsed);
+    pub fn record_endpoint_propagation(&mut self, elapsed: Micros) {
+        self.max_endpoint_propagation = self.max_endpoint_propagation.max(elapsed);
     }
 
     /// Records the time in microseconds from the publication of a configuration until a gateway applied it.
     pub fn record_configuration_propagation(&mut self, elapsed: Micros) {
-        self.longest_configuration_propagation = self.longest_configuration_propagation.max(elapsed);
+        self.max_configuration_propagation = self.max_configuration_propagation.max(elapsed);
     }
 
     /// Returns the counts, and the times that have been measured, by metric.
     pub fn metrics(&self) -> impl Iterator<Item = (Metric, f64)> {
-        let queueing_times = Some(&self.queueing_times).filter(|times| !times.is_empty());
+        let first_attempt_delays = Some(&self.first_attempt_delays).filter(|times| !times.is_empty());
         let milliseconds = |time: Micros| (time > 0).then_some(time as f64 / 1e3);
         let times = [
-            (Metric::FirstAttemptDelayP99, queueing_times.map(|times| times.value_at_quantile(0.99) as f64)),
-            (Metric::EndpointPropagation, milliseconds(self.longest_change_propagation)),
-            (Metric::ConfigurationPropagation, milliseconds(self.longest_configuration_propagation)),
+            (
+                Metric::FirstAttemptDelayP99,
+                first_attempt_delays.map(|times| times.value_at_quantile(0.99) as f64),
+            ),
+            (Metric::EndpointPropagation, milliseconds(self.max_endpoint_propagation)),
+            (Metric::ConfigurationPropagation, milliseconds(self.max_configuration_propagation)),
         ];
         let times = times.into_iter().filter_map(|(metric, time)| Some((metric, time?)));
         count_metrics(&self.final_counts()).chain(times)
@@ -156,8 +159,8 @@
         (Metric::DiscoveryCalls, counts.discovery_calls),
         (Metric::DiscoveryBytes, counts.discovery_bytes),
         (Metric::RelayBytes, counts.relay_bytes),
-        (Metric::PeerMessages, counts.gossip_messages),
-        (Metric::PeerBytes, counts.gossip_bytes),
+        (Metric::GossipMessages, counts.gossip_messages),
+        (Metric::GossipBytes, counts.gossip_bytes),
     ];
     let outcomes = counts.outcomes.metrics();
     metrics.into_iter().chain(outcomes).map(|(metric, count)| (metric, count as f64))
--- a/crates/scale-laboratory/src/hollow/mod.rs
+++ b/crates/scale-laboratory/src/hollow/mod.rs
@@ -31,5 +31,5 @@
 pub fn measure(experiment: &Experiment, size: Option<u64>, progress: &Progress) -> Result<Point> {
     let mut simulation = simulation::Simulation::new(experiment.clone(), progress.clone())?;
     simulation.run()?;
-    Ok(Point { size, ..simulation.point() })
+    Ok(Point { size, ..simulation.into_point() })
 }
--- a/crates/scale-laboratory/src/hollow/point.rs
+++ b/crates/scale-laboratory/src/hollow/point.rs
@@ -6,7 +6,7 @@
 
 impl Simulation {
     /// Returns the measurements as a point without its size.
-    pub fn point(self) -> Point {
+    pub fn into_point(self) -> Point {
         let counts = self.measurements.final_counts();
         let mut point = Point::default();
         point.metrics.extend(self.measurements.metrics());
--- a/crates/scale-laboratory/src/hollow/servers.rs
+++ b/crates/scale-laboratory/src/hollow/servers.rs
@@ -9,7 +9,7 @@
 
 /// Response of a server to a request that reaches it.
 #[derive(Clone, Copy, Debug)]
-pub struct ServerResponse {
+pub struct AttemptEnd {
     /// Time of the response, in microseconds.
     pub at: Micros,
     /// Status with which the attempt ends.
@@ -84,10 +84,10 @@
 
     /// Serves or rejects a request that reaches a running server. Service times are exponentially
     /// distributed.
-    pub fn serve(&mut self, arrives_at: Micros, server: usize, rng: &mut ChaCha8Rng) -> ServerResponse {
+    pub fn serve(&mut self, arrives_at: Micros, server: usize, rng: &mut ChaCha8Rng) -> AttemptEnd {
         let mean_us = self.mean_service_time_us / self.slow_start_factor(arrives_at, server);
         let max_queued = self.max_queued as f64;
-        let rejected = ServerResponse { at: arrives_at, status: AttemptStatus::Rejected };
+        let rejected = AttemptEnd { at: arrives_at, status: AttemptStatus::Rejected };
         let workers = &mut self.servers[server].workers_idle_at;
         let max_wait_us = max_queued * mean_us / workers.len() as f64;
         let Some(idle_at) = workers.iter_mut().min() else { return rejected };
@@ -98,7 +98,7 @@
         let draw: f64 = rng.random();
         let at = begins_at + (-(1.0 - draw).ln() * mean_us) as Micros;
         *idle_at = at;
-        ServerResponse { at, status: AttemptStatus::Ok }
+        AttemptEnd { at, status: AttemptStatus::Ok }
     }
 
     /// Returns the share of its full capacity that a server has during slow start.
@@ -107,7 +107,7 @@
         if started_at == 0 {
             return 1.0;
         }
-        let warmed_up = now.saturating_sub(started_at) as f64 / self.rules.warm_up as f64;
-        (self.rules.initial_capacity + (1.0 - self.rules.initial_capacity) * warmed_up).min(1.0)
+        let warm_up_progress = now.saturating_sub(started_at) as f64 / self.rules.warm_up as f64;
+        (self.rules.initial_capacity + (1.0 - self.rules.initial_capacity) * warm_up_progress).min(1.0)
     }
 }
--- a/crates/scale-laboratory/src/hollow/shared_counter.rs
+++ b/crates/scale-laboratory/src/hollow/shared_counter.rs
@@ -67,7 +67,7 @@
     pub fn new(settings: &CounterService) -> SharedCounter {
         SharedCounter {
             latency: micros_from_milliseconds(settings.latency_milliseconds),
-            timeout: micros_from_milliseconds(settings.limit_milliseconds),
+            timeout: micros_from_milliseconds(settings.timeout_milliseconds),
             service_time_us: 1e6 / settings.capacity_per_second,
             busy_until_us: 0.0,
             unresponsive: false,
--- a/crates/scale-laboratory/src/hollow/simulation.rs
+++ b/crates/scale-laboratory/src/hollow/simulation.rs
@@ -31,11 +31,11 @@
 pub(super) const RESPONSE_SLACK: Micros = 100_000;
 /// Time after the measurement in which its last requests get their responses, in microseconds.
 const DRAIN_TIME: Micros = DEADLINE + 2 * RESPONSE_SLACK;
-/// Number of events between two progress reports.
-const PROGRESS_EVENTS: u64 = 1_024;
+/// Number of events between two progress steps.
+const EVENTS_PER_PROGRESS_STEP: u64 = 1_024;
 /// Number of events between two memory checks.
-const MEMORY_CHECK_EVENTS: u64 = 1 << 16;
-/// Wall time between two log lines.
+const EVENTS_PER_MEMORY_CHECK: u64 = 1 << 16;
+/// Wall-clock time between two log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// A fleet of hollow gateways with its simulated surroundings: network, servers, discovery, counter and
@@ -142,10 +142,10 @@
             self.now = at;
             self.dispatch(event)?;
             events += 1;
-            if events.is_multiple_of(PROGRESS_EVENTS) {
+            if events.is_multiple_of(EVENTS_PER_PROGRESS_STEP) {
                 self.progress.step()?;
             }
-            if events.is_multiple_of(MEMORY_CHECK_EVENTS) {
+            if events.is_multiple_of(EVENTS_PER_MEMORY_CHECK) {
                 check_memory(0)?;
             }
             if logged_at.elapsed() >= LOG_INTERVAL {
--- a/crates/scale-laboratory/src/memory.rs
+++ b/crates/scale-laboratory/src/memory.rs
@@ -1,4 +1,4 @@
-//! The laboratory's memory bound, half of the machine's memory: estimated before a run and checked during it.
+//! The laboratory's memory limit, half of the machine's memory: estimated before a run and checked during it.
 
 use crate::error::{LaboratoryError, Result};
 use crate::experiment::{Experiment, Mode};
@@ -30,7 +30,7 @@
 }
 
 /// Returns half of the machine's memory, in bytes.
-fn memory_bound_bytes() -> Result<u64> {
+fn memory_limit_bytes() -> Result<u64> {
     let text =
         fs::read_to_string("/proc/meminfo").map_err(|error| LaboratoryError::io("/proc/meminfo", error))?;
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:")).unwrap_or_default();
@@ -59,33 +59,33 @@
     BASE_BYTES.saturating_add(shared_bytes).saturating_add(gateways_bytes)
 }
 
-/// Rejects an experiment if one of its points needs more memory than the bound.
+/// Rejects an experiment if one of its points needs more memory than the limit.
 pub fn check_estimate(experiment: &Experiment) -> Result<()> {
-    let bound = memory_bound_bytes()?;
+    let limit = memory_limit_bytes()?;
     for point in experiment.points() {
         let needed = estimate_bytes(&point.experiment);
-        if needed > bound {
-            let what = match (&experiment.sweep, point.size) {
+        if needed > limit {
+            let consumer = match (&experiment.sweep, point.size) {
                 (Some(sweep), Some(size)) => format!("size {size} of {}", sweep.parameter),
                 _ => experiment.name.clone(),
             };
-            return Err(memory_bound_error(what, needed, bound));
+            return Err(memory_limit_error(consumer, needed, limit));
         }
     }
     Ok(())
 }
 
-/// Returns an error if a run uses more memory than the bound, with `children_bytes` used by the processes it
+/// Returns an error if a run uses more memory than the limit, with `children_bytes` used by the processes it
 /// started.
 pub fn check_memory(children_bytes: u64) -> Result<()> {
     let used = heap_bytes() + children_bytes;
-    let bound = memory_bound_bytes()?;
-    if used > bound {
-        return Err(memory_bound_error("the run".to_owned(), used, bound));
+    let limit = memory_limit_bytes()?;
+    if used > limit {
+        return Err(memory_limit_error("the run".to_owned(), used, limit));
     }
     Ok(())
 }
 
-fn memory_bound_error(consumer: String, needed: u64, bound: u64) -> LaboratoryError {
-    LaboratoryError::MemoryLimitExceeded { consumer, needed_mib: needed / MIB, limit_mib: bound / MIB }
+fn memory_limit_error(consumer: String, needed: u64, limit: u64) -> LaboratoryError {
+    LaboratoryError::MemoryLimitExceeded { consumer, needed_mib: needed / MIB, limit_mib: limit / MIB }
 }
--- a/crates/scale-laboratory/src/metric.rs
+++ b/crates/scale-laboratory/src/metric.rs
@@ -81,9 +81,9 @@
     /// Bytes of lists and changes that relays passed to agents.
     RelayBytes = "relay-bytes", "bytes";
     /// Messages between gateways.
-    PeerMessages = "peer-messages", "messages";
+    GossipMessages = "peer-messages", "messages";
     /// Bytes of messages between gateways.
-    PeerBytes = "peer-bytes", "bytes";
+    GossipBytes = "peer-bytes", "bytes";
     /// Longest time until a change of members was in force at the last gateway.
     EndpointPropagation = "change-in-force", "ms";
     /// Longest time until a change of configuration was in force at the last gateway.
--- a/crates/scale-laboratory/src/real/clients.rs
+++ b/crates/scale-laboratory/src/real/clients.rs
@@ -42,7 +42,7 @@
     /// Number of consecutive requests without a response, by gateway.
     consecutive_unanswered: Vec<u32>,
     /// Start of the measured time; `None` during the warm-up.
-    measured_from: Option<Instant>,
+    measurement_start: Option<Instant>,
 }
 
 impl ClientStatistics {
@@ -74,7 +74,7 @@
             outcomes: OutcomeCounts::default(),
             added_latency: latency_histogram(),
             consecutive_unanswered: vec![0; gateways],
-            measured_from: None,
+            measurement_start: None,
         };
         Arc::new(Clients { statistics: Mutex::new(statistics), addresses: Mutex::new(vec![None; gateways]) })
     }
@@ -86,7 +86,7 @@
 
     /// Starts the measured time. Requests sent earlier are not part of the metrics.
     pub fn start_measurement(&self) {
-        self.statistics().measured_from = Some(Instant::now());
+        self.statistics().measurement_start = Some(Instant::now());
     }
 
     /// Returns a running gateway that has stopped responding, if there is one.
@@ -112,7 +112,7 @@
     fn record_arrival(&self) -> Instant {
         let now = Instant::now();
         let mut statistics = self.statistics();
-        if let Some(start) = statistics.measured_from {
+        if let Some(start) = statistics.measurement_start {
             statistics.arrivals += 1;
             statistics.timeline.record_arrival((now - start).as_micros() as u64);
         }
@@ -126,7 +126,7 @@
         let mut statistics = self.statistics();
         let unanswered = &mut statistics.consecutive_unanswered[gateway];
         *unanswered = if running && result.outcome == Outcome::Lost { *unanswered + 1 } else { 0 };
-        let sent_after = statistics.measured_from.and_then(|start| sent_at.checked_duration_since(start));
+        let sent_after = statistics.measurement_start.and_then(|start| sent_at.checked_duration_since(start));
         let Some(sent_after) = sent_after else { return };
         statistics.outcomes.record(result.outcome);
         statistics.timeline.record_outcome(sent_after.as_micros() as u64, result.outcome);
--- a/crates/scale-laboratory/src/real/discovery_agents.rs
+++ b/crates/scale-laboratory/src/real/discovery_agents.rs
@@ -33,7 +33,7 @@
     /// Versions after the first, in order.
     versions: Vec<Version>,
     /// Longest time from the publication of a version until a gateway watched from it.
-    max_propagation_delay: Duration,
+    max_endpoint_propagation: Duration,
 }
 
 /// State shared by all agents.
@@ -108,8 +108,8 @@
 
     /// Returns the longest time from the publication of a version until a gateway watched from it, and resets
     /// that time.
-    pub fn take_max_propagation_delay(&self) -> Duration {
-        std::mem::take(&mut self.shared.list().max_propagation_delay)
+    pub fn take_max_endpoint_propagation(&self) -> Duration {
+        std::mem::take(&mut self.shared.list().max_endpoint_propagation)
     }
 }
 
@@ -121,15 +121,15 @@
     request: Request<Incoming>,
 ) -> StubResponse {
     shared.hang_if_unresponsive().await;
-    let since = query_parameter(&request, "index").and_then(|index| index.parse::<u64>().ok());
-    let Some(since) = since else { return json_response(&snapshot(&shared)) };
+    let known_version = query_parameter(&request, "index").and_then(|index| index.parse::<u64>().ok());
+    let Some(known_version) = known_version else { return json_response(&snapshot(&shared)) };
     let wait = query_parameter(&request, "wait").and_then(|wait| wait.parse().ok());
     let wait = wait.map_or(MAX_WATCH_DURATION, Duration::from_millis).min(MAX_WATCH_DURATION);
-    record_applied_version(&shared, &applied_version, since);
+    record_applied_version(&shared, &applied_version, known_version);
     let mut version = shared.version.subscribe();
-    let _ = timeout(wait, version.wait_for(|version| *version > since)).await;
+    let _ = timeout(wait, version.wait_for(|version| *version > known_version)).await;
     shared.hang_if_unresponsive().await;
-    json_response(&delta(&shared, since))
+    json_response(&delta(&shared, known_version))
 }
 
 /// Records how long the versions up to `watched_from` took to reach a gateway. A gateway that watches from a
@@ -141,27 +141,28 @@
     let last = (watched_from.saturating_sub(FIRST_VERSION) as usize).min(list.versions.len());
     let applied = list.versions.get(first as usize..last).unwrap_or_default();
     let longest_delay = applied.iter().map(|version| version.published_at.elapsed()).max();
-    list.max_propagation_delay = list.max_propagation_delay.max(longest_delay.unwrap_or_default());
+    list.max_endpoint_propagation = list.max_endpoint_propagation.max(longest_delay.unwrap_or_default());
     *applied_version = (*applied_version).max(watched_from);
 }
 
 /// Returns the complete list in its latest version.
 fn snapshot(shared: &SharedState) -> EndpointListMessage {
-    let index = *shared.version.borrow();
-    EndpointListMessage { index, snapshot: true, endpoints: shared.list().snapshot.clone() }
+    let version = *shared.version.borrow();
+    EndpointListMessage { version, snapshot: true, endpoints: shared.list().snapshot.clone() }
 }
 
 /// Returns the entries that changed after a version, each in its latest state.
-fn delta(shared: &SharedState, since: u64) -> EndpointListMessage {
+fn delta(shared: &SharedState, known_version: u64) -> EndpointListMessage {
     let list = shared.list();
-    let index = list.versions.len() as u64 + FIRST_VERSION;
-    let versions = list.versions.get(since.saturating_sub(FIRST_VERSION) as usize..).unwrap_or_default();
+    let version = list.versions.len() as u64 + FIRST_VERSION;
+    let versions =
+        list.versions.get(known_version.saturating_sub(FIRST_VERSION) as usize..).unwrap_or_default();
     let mut endpoints: Vec<EndpointMessage> = Vec::new();
     for changed in versions.iter().flat_map(|version| &version.endpoints) {
         endpoints.retain(|endpoint| endpoint.name != changed.name);
         endpoints.push(changed.clone());
     }
-    EndpointListMessage { index, snapshot: false, endpoints }
+    EndpointListMessage { version, snapshot: false, endpoints }
 }
 
 /// Returns a response with the list as its JSON body.
--- a/crates/scale-laboratory/src/real/faults.rs
+++ b/crates/scale-laboratory/src/real/faults.rs
@@ -2,52 +2,52 @@
 
 use super::fleet::RealFleet;
 use super::gateway_process::GatewayProcess;
-use super::schedule::FaultAction;
+use super::schedule::FleetAction;
 use crate::error::Result;
-use crate::experiment::Domain;
+use crate::experiment::FailureDomain;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 impl RealFleet {
     /// Carries out one scheduled action.
-    pub(super) async fn apply(&mut self, action: FaultAction) -> Result<()> {
+    pub(super) async fn apply(&mut self, action: FleetAction) -> Result<()> {
         tracing::info!(?action, "applying fault action");
         match action {
-            FaultAction::KillGateways(gateways) => {
+            FleetAction::KillGateways(gateways) => {
                 for gateway in gateways {
                     self.kill_gateway(gateway).await;
                 }
             }
-            FaultAction::StartGateways(gateways) => {
+            FleetAction::StartGateways(gateways) => {
                 for gateway in gateways {
                     self.start_gateway(gateway).await?;
                 }
             }
-            FaultAction::StopServers { domain, index } => self.set_servers_unresponsive(domain, index, true),
-            FaultAction::PublishStop { domain, index } => {
+            FleetAction::StopServers { domain, index } => self.set_servers_unresponsive(domain, index, true),
+            FleetAction::PublishStop { domain, index } => {
                 self.publish(self.servers_in(domain, index), "gone", 0);
             }
-            FaultAction::RestoreServers { domain, index } => {
+            FleetAction::RestoreServers { domain, index } => {
                 self.set_servers_unresponsive(domain, index, false);
                 self.publish(self.servers_in(domain, index), "ready", unix_time_ms());
             }
-            FaultAction::SilenceCounter(unresponsive) => {
+            FleetAction::SetCounterUnresponsive(unresponsive) => {
                 self.counters.iter().for_each(|counter| counter.set_unresponsive(unresponsive));
             }
-            FaultAction::SilenceDiscovery(unresponsive) => self.agents.set_unresponsive(unresponsive),
-            FaultAction::ChangeEndpoints(count) => {
+            FleetAction::SetDiscoveryUnresponsive(unresponsive) => self.agents.set_unresponsive(unresponsive),
+            FleetAction::ChangeEndpoints(count) => {
                 self.publish((0..count).collect(), "ready", unix_time_ms());
             }
-            FaultAction::ChangeConfiguration => self.change_configuration()?,
+            FleetAction::ChangeConfiguration => self.change_configuration()?,
         }
         Ok(())
     }
 
-    fn servers_in(&self, domain: Domain, index: usize) -> Vec<usize> {
+    fn servers_in(&self, domain: FailureDomain, index: usize) -> Vec<usize> {
         (0..self.servers.len()).filter(|server| self.topology.is_in_domain(*server, domain, index)).collect()
     }
 
     /// Sets whether the servers of a domain leave requests without a response.
-    fn set_servers_unresponsive(&self, domain: Domain, index: usize, unresponsive: bool) {
+    fn set_servers_unresponsive(&self, domain: FailureDomain, index: usize, unresponsive: bool) {
         for server in self.servers_in(domain, index) {
             self.servers[server].set_unresponsive(unresponsive);
         }
--- a/crates/scale-laboratory/src/real/gateway_process.rs
+++ b/crates/scale-laboratory/src/real/gateway_process.rs
@@ -20,7 +20,7 @@
 /// Text in the gateway's log line about a new counter address (`lifecycle/reload.rs` of the gateway).
 const COUNTER_CHANGED_MARKER: &str = "counter_changed=true";
 /// Clock ticks per second, the unit of processor times in `/proc/PID/stat`.
-const TICKS_PER_SECOND: f64 = 100.0;
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 /// Index of the user-mode processor time among the fields of `/proc/PID/stat` after the program's name.
 const USER_TIME_FIELD: usize = 11;
 /// Index of the kernel-mode processor time among the same fields.
@@ -81,7 +81,9 @@
         let text = fs::read_to_string(self.proc_file("stat")).unwrap_or_default();
         let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
         let ticks = |field: usize| fields.get(field).and_then(|ticks| ticks.parse::<u64>().ok()).unwrap_or(0);
-        Duration::from_secs_f64((ticks(USER_TIME_FIELD) + ticks(SYSTEM_TIME_FIELD)) as f64 / TICKS_PER_SECOND)
+        Duration::from_secs_f64(
+            (ticks(USER_TIME_FIELD) + ticks(SYSTEM_TIME_FIELD)) as f64 / CLOCK_TICKS_PER_SECOND,
+        )
     }
 
     /// Returns the resident memory of the process in bytes.
--- a/crates/scale-laboratory/src/real/measurements.rs
+++ b/crates/scale-laboratory/src/real/measurements.rs
@@ -36,11 +36,11 @@
         point.metrics.extend(self.process_metrics(after.cpu.saturating_sub(before.cpu)));
         let statistics = self.clients.statistics();
         point.metrics.extend(statistics.metrics());
-        let propagation_delay = self.agents.take_max_propagation_delay();
-        if !propagation_delay.is_zero() {
-            point.metrics.insert(Metric::EndpointPropagation, milliseconds(propagation_delay));
+        let endpoint_propagation = self.agents.take_max_endpoint_propagation();
+        if !endpoint_propagation.is_zero() {
+            point.metrics.insert(Metric::EndpointPropagation, milliseconds(endpoint_propagation));
         }
-        if let Some(elapsed) = self.configuration_delay() {
+        if let Some(elapsed) = self.configuration_propagation() {
             point.metrics.insert(Metric::ConfigurationPropagation, milliseconds(elapsed));
         }
         let duration = micros_from_seconds(self.experiment.load.duration_seconds);
@@ -66,7 +66,7 @@
     }
 
     /// Returns the time until the last gateway applied the new configuration; `None` unless all of them have.
-    fn configuration_delay(&self) -> Option<Duration> {
+    fn configuration_propagation(&self) -> Option<Duration> {
         let changed_at = self.configuration_changed_at?;
         let applied_at = self.gateways.iter().flatten().map(GatewayProcess::counter_changed_at);
         let applied_at: Vec<_> = applied_at.collect::<Option<_>>()?;
--- a/crates/scale-laboratory/src/real/mod.rs
+++ b/crates/scale-laboratory/src/real/mod.rs
@@ -34,7 +34,7 @@
     }
     let reason =
         format!("{} is not a file; build it with 'cargo build --release -p grebehook'", program.display());
-    Err(LaboratoryError::field("--gateway-program", reason))
+    Err(LaboratoryError::invalid_field("--gateway-program", reason))
 }
 
 /// Measures an experiment at one size.
--- a/crates/scale-laboratory/src/real/run.rs
+++ b/crates/scale-laboratory/src/real/run.rs
@@ -3,7 +3,7 @@
 use super::clients::{run_client, TenantRoute, Workload, MAX_CONSECUTIVE_UNANSWERED};
 use super::fleet::RealFleet;
 use super::gateway_process::GatewayProcess;
-use super::schedule::{steps, Step};
+use super::schedule::{schedule, ScheduledAction};
 use crate::error::{LaboratoryError, Result};
 use crate::experiment::Experiment;
 use crate::memory::check_memory;
@@ -32,12 +32,12 @@
     async fn measure(&mut self, progress: &Progress) -> Result<Point> {
         self.start_clients();
         let warm_up = Duration::from_secs_f64(self.experiment.load.warm_up_seconds);
-        self.run_steps(warm_up, VecDeque::new(), progress).await?;
+        self.run_schedule(warm_up, VecDeque::new(), progress).await?;
         self.clients.start_measurement();
-        self.agents.take_max_propagation_delay();
+        self.agents.take_max_endpoint_propagation();
         let before = self.resource_snapshot();
         let duration = Duration::from_secs_f64(self.experiment.load.duration_seconds);
-        self.run_steps(duration, steps(&self.experiment).into(), progress).await?;
+        self.run_schedule(duration, schedule(&self.experiment).into(), progress).await?;
         let after = self.resource_snapshot();
         Ok(self.point(&before, &after))
     }
@@ -66,18 +66,18 @@
     }
 
     /// Applies steps as they fall due and checks the fleet regularly, until the duration has passed.
-    async fn run_steps(
+    async fn run_schedule(
         &mut self,
         duration: Duration,
-        mut steps: VecDeque<Step>,
+        mut schedule: VecDeque<ScheduledAction>,
         progress: &Progress,
     ) -> Result<()> {
         let started_at = Instant::now();
         let mut checks = 0_u32;
         while started_at.elapsed() < duration {
             progress.step()?;
-            while let Some(step) = steps.pop_front_if(|step| step.at <= started_at.elapsed()) {
-                self.apply(step.action).await?;
+            while let Some(due) = schedule.pop_front_if(|next| next.at <= started_at.elapsed()) {
+                self.apply(due.action).await?;
             }
             self.check_fleet(checks)?;
             checks += 1;
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    /// Fails if a gateway has ended or stalled, or if the run exceeds its memory bound.
+    /// Fails if a gateway has ended or stalled, or if the run exceeds its memory limit.
     fn check_fleet(&mut self, completed_checks: u32) -> Result<()> {
         for process in self.gateways.iter_mut().flatten() {
             process.check_alive()?;
--- a/crates/scale-laboratory/src/report/mod.rs
+++ b/crates/scale-laboratory/src/report/mod.rs
@@ -23,8 +23,8 @@
     let run = Run::read_complete(folder)?;
     let report = Report::of(&run);
     write_file(&folder.join(MARKDOWN_FILE), &report.markdown())?;
-    let json =
-        serde_json::to_string_pretty(&report).map_err(|error| LaboratoryError::results(folder, error))?;
+    let json = serde_json::to_string_pretty(&report)
+        .map_err(|error| LaboratoryError::invalid_results(folder, error))?;
     write_file(&folder.join(JSON_FILE), &(json + "\n"))?;
     metrics::write(&run, folder)?;
     let plots = folder.join(PLOTS_FOLDER);
--- a/crates/scale-laboratory/src/report/plot.rs
+++ b/crates/scale-laboratory/src/report/plot.rs
@@ -55,8 +55,8 @@
         .y_label_area_size(80)
         .build_cartesian_2d(0.0..max_x, min_y..max_y)?;
     chart.configure_mesh().x_desc(&plot.x_label).y_desc(&plot.y_label).light_line_style(WHITE).draw()?;
-    if let Some(line) = Line::through(&plot.samples) {
-        let ends = [(0.0, line.at(0.0)), (max_x, line.at(max_x))];
+    if let Some(line) = Line::fit(&plot.samples) {
+        let ends = [(0.0, line.value_at(0.0)), (max_x, line.value_at(max_x))];
         chart.draw_series(LineSeries::new(ends, &BLUE))?;
     }
     chart
--- a/crates/scale-laboratory/src/report/table.rs
+++ b/crates/scale-laboratory/src/report/table.rs
@@ -38,7 +38,7 @@
     /// Creates the report of a run.
     pub fn of(run: &Run) -> Report {
         let fit = |metric: Metric| {
-            let line = Line::through(&run.series(metric))?;
+            let line = Line::fit(&run.series(metric))?;
             Some(Fit { metric, unit: metric.unit(), line })
         };
         Report {
--- a/crates/scale-laboratory/src/results.rs
+++ b/crates/scale-laboratory/src/results.rs
@@ -81,8 +81,8 @@
     pub fn write(&self, folder: &Path) -> Result<()> {
         let failed = |error| LaboratoryError::io(format!("{} cannot be written", folder.display()), error);
         fs::create_dir_all(folder).map_err(failed)?;
-        let text =
-            serde_json::to_string_pretty(self).map_err(|error| LaboratoryError::results(folder, error))?;
+        let text = serde_json::to_string_pretty(self)
+            .map_err(|error| LaboratoryError::invalid_results(folder, error))?;
         let partial = folder.join(PARTIAL_RUN_FILE);
         fs::write(&partial, text + "\n").map_err(failed)?;
         fs::rename(&partial, folder.join(RUN_FILE)).map_err(failed)
@@ -91,10 +91,12 @@
     /// Reads a run in any status.
     pub fn read(folder: &Path) -> Result<Run> {
         let path = folder.join(RUN_FILE);
-        let text = fs::read_to_string(&path).map_err(|error| LaboratoryError::results(&path, error))?;
-        let run: Run = serde_json::from_str(&text).map_err(|error| LaboratoryError::results(&path, error))?;
+        let text =
+            fs::read_to_string(&path).map_err(|error| LaboratoryError::invalid_results(&path, error))?;
+        let run: Run =
+            serde_json::from_str(&text).map_err(|error| LaboratoryError::invalid_results(&path, error))?;
         if run.format != FORMAT {
-            return Err(LaboratoryError::results(
+            return Err(LaboratoryError::invalid_results(
                 &path,
                 format!("has format {}, expected {FORMAT}", run.format),
             ));
@@ -112,7 +114,7 @@
         let total = run.experiment.points().len();
         let cause = run.error.as_deref().unwrap_or("the run did not finish");
         let reason = format!("is half written: {measured} of {total} points ({cause})");
-        Err(LaboratoryError::results(&folder.join(RUN_FILE), reason))
+        Err(LaboratoryError::invalid_results(&folder.join(RUN_FILE), reason))
     }
 
     /// Returns the values of a metric over the swept quantity; without a sweep there are none.
@@ -140,11 +142,11 @@
     if folder.join(RUN_FILE).exists() {
         return Ok(vec![folder.to_owned()]);
     }
-    let entries = fs::read_dir(folder).map_err(|error| LaboratoryError::results(folder, error))?;
+    let entries = fs::read_dir(folder).map_err(|error| LaboratoryError::invalid_results(folder, error))?;
     let paths = entries.filter_map(|entry| Some(entry.ok()?.path()));
     let mut folders: Vec<PathBuf> = paths.filter(|path| path.join(RUN_FILE).exists()).collect();
     if folders.is_empty() {
-        return Err(LaboratoryError::results(folder, format!("contains no {RUN_FILE}")));
+        return Err(LaboratoryError::invalid_results(folder, format!("contains no {RUN_FILE}")));
     }
     folders.sort();
     Ok(folders)
--- a/crates/scale-laboratory/src/settings.rs
+++ b/crates/scale-laboratory/src/settings.rs
@@ -82,7 +82,7 @@
             max_retry_after: 1_000_000,
             max_attempts: 4,
             shared_counter: experiment.counter.enabled,
-            counter_timeout: Some(micros_from_milliseconds(experiment.counter.limit_milliseconds))
+            counter_timeout: Some(micros_from_milliseconds(experiment.counter.timeout_milliseconds))
                 .filter(|limit| *limit > 0),
             usage_report_period: Some(USAGE_REPORT_PERIOD),
             ..Capabilities::default()
--- a/crates/scale-laboratory/src/timeline.rs
+++ b/crates/scale-laboratory/src/timeline.rs
@@ -14,7 +14,7 @@
 /// Number of bins before a fault that give the baseline share of served requests.
 const BASELINE_BINS: usize = 20;
 /// Share of the baseline that a window must serve to count as recovered.
-const RECOVERED_SHARE: f64 = 0.97;
+const RECOVERY_THRESHOLD: f64 = 0.97;
 /// Largest value of a latency histogram, in microseconds.
 const MAX_RECORDED_TIME_US: u64 = 10_000_000;
 /// Number of significant digits of a latency histogram.
@@ -129,7 +129,7 @@
         let baseline = self.served_share(first.saturating_sub(BASELINE_BINS), first).unwrap_or(1.0);
         let is_below_threshold = |from: &usize| {
             let share = self.served_share(*from, from + WINDOW_BINS);
-            share.is_some_and(|share| share < RECOVERED_SHARE * baseline)
+            share.is_some_and(|share| share < RECOVERY_THRESHOLD * baseline)
         };
         let windows = first..(last + 1).saturating_sub(WINDOW_BINS).max(first);
         let recovery_bin = windows.clone().rev().find(is_below_threshold).map_or(first, |from| from + 1);
--- a/crates/scale-laboratory/src/topology.rs
+++ b/crates/scale-laboratory/src/topology.rs
@@ -1,6 +1,6 @@
 //! Placement of servers and gateways in regions, zones and racks. Machines are assigned to racks round-robin.
 
-use crate::experiment::{Domain, Fleet};
+use crate::experiment::{FailureDomain, Fleet};
 
 /// Racks of a fleet, grouped into zones and regions.
 #[derive(Clone, Debug)]
@@ -52,12 +52,12 @@
     }
 
     /// Returns whether the server or gateway with the index `machine` is located in a failure domain.
-    pub fn is_in_domain(&self, machine: usize, domain: Domain, index: usize) -> bool {
+    pub fn is_in_domain(&self, machine: usize, domain: FailureDomain, index: usize) -> bool {
         let zone = self.zone_of_server(machine);
         match domain {
-            Domain::Rack => machine % self.racks == index,
-            Domain::Zone => zone == index,
-            Domain::Region => self.region_of_zone(zone) == index,
+            FailureDomain::Rack => machine % self.racks == index,
+            FailureDomain::Zone => zone == index,
+            FailureDomain::Region => self.region_of_zone(zone) == index,
         }
     }
 }
--- a/crates/scale-laboratory/src/wire.rs
+++ b/crates/scale-laboratory/src/wire.rs
@@ -38,7 +38,8 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct EndpointListMessage {
     /// Version of the endpoint list.
-    pub index: u64,
+    #[serde(rename = "index")]
+    pub version: u64,
     /// Whether this is the complete list rather than a delta.
     pub snapshot: bool,
     /// Entries of the list or of the delta.
