--- a/crates/scale-laboratory/src/capacity/needs.rs
+++ b/crates/scale-laboratory/src/capacity/needs.rs
@@ -4,11 +4,11 @@
 use super::target;
 use crate::metric::Metric;
 
-/// Measured time of `hollow-requests` and `hollow-crowded-counter`, in seconds.
+/// Duration of the measurement period of `hollow-requests` and `hollow-crowded-counter`, in seconds.
 const REQUEST_RUN_SECONDS: f64 = 10.0;
 /// Number of gateways in `hollow-requests` and `hollow-crowded-counter`.
 const REQUEST_RUN_GATEWAYS: f64 = 8.0;
-/// Measured time of `hollow-idle`, in seconds.
+/// Duration of the measurement period of `hollow-idle`, in seconds.
 const IDLE_RUN_SECONDS: f64 = 30.0;
 /// Number of gateways in `hollow-changes` and `hollow-configurations`.
 const CHANGE_RUN_GATEWAYS: f64 = 40.0;
--- a/crates/scale-laboratory/src/core_cost.rs
+++ b/crates/scale-laboratory/src/core_cost.rs
@@ -33,7 +33,7 @@
 const REQUEST_INTERVAL: Micros = 570;
 /// Quota usage that each response reports for its tenant, as a share of the quota.
 const REPORTED_USAGE: f64 = 0.1;
-/// Index of the gateway under test; any other of the fleet would do as well.
+/// Index of the gateway under test, an arbitrary one of the fleet.
 const GATEWAY: usize = 0;
 /// Number of batches per measurement.
 const BATCHES: usize = 5;
--- a/crates/scale-laboratory/src/hollow/event_queue.rs
+++ b/crates/scale-laboratory/src/hollow/event_queue.rs
@@ -18,9 +18,9 @@
 pub enum SimulationEvent {
     /// A client has sent a request to the load balancer.
     RequestArrived,
-    /// Begins the measurement and discards what was counted during the warm-up.
+    /// Begins the measurement period and discards the counts of the warm-up.
     BeginMeasurement,
-    /// Ends the measurement, after which clients send no more requests.
+    /// Ends the measurement period, after which clients send no more requests.
     EndMeasurement,
     /// A timer of a gateway's decision core has fired.
     TimerFired {
--- a/crates/scale-laboratory/src/hollow/gateway.rs
+++ b/crates/scale-laboratory/src/hollow/gateway.rs
@@ -67,7 +67,7 @@
     pub configuration_version: u32,
     /// Whether a `stop-answering` fault keeps the host from carrying out the core's actions.
     pub stalled: bool,
-    /// Whether the load balancer knows that the gateway is down.
+    /// Whether the load balancer has detected that the gateway is down.
     pub marked_down: bool,
 }
 
--- a/crates/scale-laboratory/src/hollow/measurements.rs
+++ b/crates/scale-laboratory/src/hollow/measurements.rs
@@ -33,13 +33,13 @@
     pub gossip_bytes: u64,
 }
 
-/// Quantities measured since the measurement began.
+/// Quantities measured since the start of the measurement period.
 pub struct Measurements {
     /// Current counts.
     pub counts: Counts,
-    /// Start of the measurement, in microseconds.
+    /// Start of the measurement period, in microseconds.
     begins_at: Micros,
-    /// Counts at the end of the measurement.
+    /// Counts at the end of the measurement period; `None` before it.
     counts_at_end: Option<Counts>,
     /// Longest time from the publication of an endpoint change until a gateway applied it, in microseconds.
     max_endpoint_propagation: Micros,
@@ -52,7 +52,7 @@
     pub timeline: Timeline,
     /// Pairs of a server and a gateway that sent attempts to it.
     pub server_gateway_pairs: BTreeSet<(usize, usize)>,
-    /// Units served to hot tenants during the measurement.
+    /// Units served to hot tenants in the measurement period.
     pub hot_units: f64,
 }
 
@@ -82,30 +82,30 @@
         self.server_gateway_pairs.clear();
     }
 
-    /// Ends the measurement, after which only the outcomes of its requests are counted.
+    /// Ends the measurement period, after which only the outcomes of its requests are counted.
     pub fn end(&mut self, hot_units: f64) {
         self.counts_at_end = Some(self.counts);
         self.hot_units = hot_units;
     }
 
-    /// Returns the counts of the measurement, with the outcomes of all requests sent during it.
+    /// Returns the counts of the measurement period, with the outcomes of all requests sent in it.
     pub fn final_counts(&self) -> Counts {
         Counts { outcomes: self.counts.outcomes, ..self.counts_at_end.unwrap_or(self.counts) }
     }
 
-    /// Counts a request that a client sent; `hot` is set for a hot tenant, which exceeds its quota.
-    pub fn record_arrival(&mut self, now: Micros, hot: bool) {
+    /// Counts a request that a client sent; `is_hot` is set for a hot tenant, which exceeds its quota.
+    pub fn record_arrival(&mut self, now: Micros, is_hot: bool) {
         self.counts.arrivals += 1;
-        if let Some(at) = now.checked_sub(self.begins_at).filter(|_| !hot) {
+        if let Some(at) = now.checked_sub(self.begins_at).filter(|_| !is_hot) {
             self.timeline.record_arrival(at);
         }
     }
 
-    /// Counts the outcome of a request, unless it was sent before the measurement.
-    pub fn record_outcome(&mut self, sent_at: Micros, outcome: Outcome, hot: bool) {
+    /// Counts the outcome of a request, unless it was sent before the measurement period.
+    pub fn record_outcome(&mut self, sent_at: Micros, outcome: Outcome, is_hot: bool) {
         let Some(at) = sent_at.checked_sub(self.begins_at) else { return };
         self.counts.outcomes.record(outcome);
-        if !hot {
+        if !is_hot {
             self.timeline.record_outcome(at, outcome);
         }
     }
--- a/crates/scale-laboratory/src/hollow/requests.rs
+++ b/crates/scale-laboratory/src/hollow/requests.rs
@@ -18,12 +18,12 @@
             self.queue.push(self.now + gap, SimulationEvent::RequestArrived);
         }
         let tenant = self.clients.sample_tenant(&mut self.rng);
-        let hot = self.clients.is_hot(tenant);
+        let is_hot = self.clients.is_hot(tenant);
         self.last_request_id += 1;
-        self.measurements.record_arrival(self.now, hot);
+        self.measurements.record_arrival(self.now, is_hot);
         match self.select_gateway(tenant).filter(|gateway| self.gateways[*gateway].core.is_some()) {
             Some(gateway) => self.accept_request(RequestId(self.last_request_id), tenant, gateway),
-            None => self.measurements.record_outcome(self.now, Outcome::Lost, hot),
+            None => self.measurements.record_outcome(self.now, Outcome::Lost, is_hot),
         }
     }
 
@@ -78,8 +78,8 @@
     /// Records the outcome of a request whose client no longer waits.
     pub(super) fn finish_pending(&mut self, id: RequestId, outcome: Outcome) {
         if let Some(request) = self.pending.remove(&id) {
-            let hot = self.clients.is_hot(request.tenant);
-            self.measurements.record_outcome(request.sent_at, outcome, hot);
+            let is_hot = self.clients.is_hot(request.tenant);
+            self.measurements.record_outcome(request.sent_at, outcome, is_hot);
         }
     }
 
--- a/crates/scale-laboratory/src/hollow/simulation.rs
+++ b/crates/scale-laboratory/src/hollow/simulation.rs
@@ -29,7 +29,8 @@
 const START_SPREAD: Micros = 100_000;
 /// Time that a gateway may take to respond after the deadline of a request, in microseconds.
 pub(super) const RESPONSE_SLACK: Micros = 100_000;
-/// Simulated time after the measurement in which its last requests get their responses, in microseconds.
+/// Simulated time after the measurement period in which its last requests get their responses, in
+/// microseconds.
 const DRAIN_TIME: Micros = DEADLINE + 2 * RESPONSE_SLACK;
 /// Number of events between two progress steps.
 const EVENTS_PER_PROGRESS_STEP: u64 = 1_024;
@@ -50,9 +51,9 @@
     pub(super) queue: EventQueue,
     /// Current simulated time, in microseconds.
     pub(super) now: Micros,
-    /// Start of the measurement, in microseconds.
+    /// Start of the measurement period, in microseconds.
     pub(super) measurement_start: Micros,
-    /// End of the measurement, in microseconds.
+    /// End of the measurement period, in microseconds.
     pub(super) measurement_end: Micros,
     /// Gateways by index.
     pub(super) gateways: Vec<HollowGateway>,
@@ -129,8 +130,8 @@
         self.schedule_faults();
     }
 
-    /// Runs to the end of the measurement and for `DRAIN_TIME` longer, so that the last requests get their
-    /// responses.
+    /// Runs to the end of the measurement period and for `DRAIN_TIME` longer, so that the last requests get
+    /// their responses.
     pub fn run(&mut self) -> Result<()> {
         let mut events = 0_u64;
         let mut logged_at = Instant::now();
@@ -194,13 +195,13 @@
         Ok(())
     }
 
-    /// Begins the measurement and discards the counts of the warm-up.
+    /// Begins the measurement period and discards the counts of the warm-up.
     fn begin_measurement(&mut self) {
         self.measurements.begin();
         self.clients.take_hot_units();
     }
 
-    /// Ends the measurement and records the units served to hot tenants.
+    /// Ends the measurement period and records the units served to hot tenants in it.
     fn end_measurement(&mut self) {
         let hot_units = self.clients.take_hot_units();
         self.measurements.end(hot_units);
--- a/crates/scale-laboratory/src/runner.rs
+++ b/crates/scale-laboratory/src/runner.rs
@@ -136,7 +136,7 @@
     last_steps: u64,
     /// Time of the last check that found new steps.
     last_progress_at: Instant,
-    /// Time of the last cancellation.
+    /// Time of the last cancellation; `None` unless the run was cancelled.
     cancelled_at: Option<Instant>,
 }
 
--- a/crates/scale-laboratory/src/timeline.rs
+++ b/crates/scale-laboratory/src/timeline.rs
@@ -81,7 +81,7 @@
     lost: u64,
 }
 
-/// Requests by the time at which they were sent, relative to the start of the measurement.
+/// Requests by the time at which they were sent, relative to the start of the measurement period.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
     /// The bins in chronological order.
@@ -114,7 +114,7 @@
     }
 
     /// Returns the cost of each fault in chronological order, up to the start of the next fault or the end of
-    /// the measurement.
+    /// the measurement period.
     pub fn fault_costs(&self, faults: &[Fault], duration: Micros) -> Vec<FaultCost> {
         let mut faults: Vec<&Fault> = faults.iter().collect();
         faults.sort_by(|first, second| first.at_seconds().total_cmp(&second.at_seconds()));
--- a/crates/scale-laboratory/tests/program.rs
+++ b/crates/scale-laboratory/tests/program.rs
@@ -92,7 +92,7 @@
     let output = run_experiment(&folder, &write_experiment(&folder, &toml(&[], fault)));
     assert_eq!(output.status.code(), Some(1), "{}", standard_error(&output));
     assert!(standard_error(&output).contains("gateway 4 stopped answering"), "{}", standard_error(&output));
-    // The results keep the point measured before the failure; a report on an incomplete run is refused.
+    // The results keep the point measured before the failure, but no report is written on an incomplete run.
     let results = folder.path().join("small");
     let kept = Run::read(&results).unwrap();
     assert_eq!((kept.status, kept.points.len()), (RunStatus::Failed, 1));
