--- a/crates/core/src/balancing/subset.rs
+++ b/crates/core/src/balancing/subset.rs
@@ -1,19 +1,19 @@
 //! The subset of the servers that one of many gateways sends to, so that each gateway needs few connections
 //! and observes each of its servers often enough. The subset is a range of the ready servers, ordered by
-//! number on a ring: the last is followed by the first. Positions count from the start of the range.
+//! id on a ring: the last is followed by the first. Positions count from the start of the range.
 
 use crate::endpoints::ranked_tree::Subset;
 use crate::endpoints::server::Server;
 use crate::endpoints::server_index::ServerIndex;
 use crate::gateway::Gateway;
 
-/// Number of gateways that send to a server, in fleets that have as many: enough for their differences to
-/// even out.
+/// Number of gateways that send to each server, in fleets that have as many: enough for the differences
+/// between gateways to average out.
 const GATEWAYS_PER_SERVER: usize = 16;
 /// Fractional part of the golden ratio: the fractional parts of its multiples are spread evenly over [0, 1),
 /// however many there are.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
-/// Minimum number of servers in a subset, so that there is a choice.
+/// Minimum number of servers in a subset, so that server selection always has alternatives.
 const MIN_SUBSET_SIZE: usize = 3;
 
 /// Range of the ready servers that forms a gateway's subset.
@@ -68,7 +68,7 @@
     /// Returns this gateway's subset of `ready` servers.
     pub(super) fn subset_range(&self, ready: usize) -> SubsetRange {
         let size = self.subset_size(ready);
-        // Start positions are spread evenly over the list, those of consecutive gateway numbers far apart.
+        // Start positions are spread evenly over the list, those of consecutive gateway indexes far apart.
         let start = if size == ready { 0 } else { (self.start_fraction() * ready as f64) as usize };
         SubsetRange { start, size, ready }
     }
@@ -80,8 +80,8 @@
 
     /// Returns how many servers one gateway sends to, of `servers` ready ones.
     pub(crate) fn subset_size(&self, servers: usize) -> usize {
-        let shared = (servers * GATEWAYS_PER_SERVER).div_ceil(self.settings.gateway_count);
-        shared.max(MIN_SUBSET_SIZE).min(servers)
+        let size = (servers * GATEWAYS_PER_SERVER).div_ceil(self.settings.gateway_count);
+        size.max(MIN_SUBSET_SIZE).min(servers)
     }
 
     /// Returns the mean number of gateways whose subset contains a given server.
--- a/crates/gateway/src/driver/decision_driver.rs
+++ b/crates/gateway/src/driver/decision_driver.rs
@@ -27,7 +27,7 @@
 use tokio::sync::Notify;
 use tracing::warn;
 
-/// Time after which a health check without a response has failed.
+/// Time after which a health check without a response counts as failed.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Network services that carry out the actions of the decision core.
@@ -36,7 +36,7 @@
     pub upstream: Rc<Upstream>,
     /// Sends gossip; `None` if gossip is not configured.
     pub peers: Option<Rc<GossipSocket>>,
-    /// Client of the shared counter, if one is configured.
+    /// Client of the shared counter; `None` if no counter is configured.
     pub counter: Option<Rc<SharedCounter>>,
     /// Path that health checks request.
     pub health_check_path: &'static str,
@@ -53,7 +53,7 @@
     actions: Vec<Action>,
 }
 
-/// The owner of the decision core. It stays on one thread and is shared by `Rc`.
+/// Owner of the decision core, which it runs on the single thread of the async runtime.
 pub struct DecisionDriver {
     state: RefCell<DriverState>,
     /// Wakes the timer loop when a timer is armed that is due before the next scheduled wake-up.
@@ -66,7 +66,7 @@
 }
 
 impl DecisionDriver {
-    /// Creates a driver of a decision core that has not handled any event.
+    /// Creates a driver for a decision core that has not handled any event yet.
     pub fn new(
         decision_core: Gateway,
         clock: Clock,
@@ -74,7 +74,7 @@
         request_counters: Rc<RequestCounters>,
     ) -> Rc<DecisionDriver> {
         let mut timers = TimerQueue::default();
-        timers.arm(clock.now() + timer_loop::CLOSE_EXPIRED_INTERVAL, Timer::CloseExpiredConnections);
+        timers.arm(clock.now() + timer_loop::EXPIRY_CHECK_INTERVAL, Timer::CloseExpiredServerConnections);
         let state = DriverState {
             decision_core,
             requests: RequestTable::default(),
@@ -93,7 +93,7 @@
     }
 
     /// Applies an event of the endpoint watch to the connection pool, then to the decision core.
-    pub fn endpoints_changed(self: &Rc<Self>, watch_event: WatchEvent, listed: Vec<ListedEndpoint>) {
+    pub fn handle_endpoint_update(self: &Rc<Self>, watch_event: WatchEvent, listed: Vec<ListedEndpoint>) {
         if watch_event != WatchEvent::Failed {
             self.transports.upstream.pool.update(watch_event != WatchEvent::Delta, &listed);
         }
@@ -104,30 +104,32 @@
         self.process_events(&mut state);
     }
 
-    /// Notifies the decision core of a shutdown: every request must have its final answer by the deadline.
-    pub fn shut_down_by(self: &Rc<Self>, deadline: Instant) {
-        self.handle(Event::Shutdown { deadline: self.clock.micros_at(deadline) });
+    /// Notifies the decision core of a graceful shutdown, in which every request must have its final answer
+    /// by the deadline.
+    pub fn begin_shutdown(self: &Rc<Self>, deadline: Instant) {
+        self.handle_event(Event::Shutdown { deadline: self.clock.micros_at(deadline) });
     }
 
     /// Passes a gossip message from another gateway to the decision core.
-    pub fn gossip_received(self: &Rc<Self>, from: usize, message: Vec<u8>) {
-        self.handle(Event::GossipReceived { from, message });
+    pub fn handle_gossip(self: &Rc<Self>, from: usize, message: Vec<u8>) {
+        self.handle_event(Event::GossipReceived { from, message });
     }
 
-    /// Returns the state of the decision core for the successor process.
-    pub fn hand_over(&self) -> String {
+    /// Returns the serialized state of the decision core, for hand-over to the successor process.
+    pub fn handover_state(&self) -> String {
         self.state.borrow_mut().decision_core.hand_over(self.clock.now())
     }
 
-    /// Restores the state from the predecessor process. Continues without it if it is not valid.
-    pub fn take_over(&self, text: &str) {
+    /// Restores the state of the decision core from that of the predecessor process. An invalid state is
+    /// logged and ignored.
+    pub fn restore_handover_state(&self, text: &str) {
         if let Err(error) = self.state.borrow_mut().decision_core.take_over(self.clock.now(), text) {
             warn!(%error, "cannot restore the predecessor's state; the decision core starts without it");
         }
     }
 
     /// Closes the idle connections to servers.
-    pub fn close_idle(&self) {
+    pub fn close_idle_server_connections(&self) {
         self.transports.upstream.pool.close_idle();
     }
 
@@ -138,7 +140,7 @@
     }
 
     /// Queues an event and processes all queued events.
-    fn handle(self: &Rc<Self>, event: Event) {
+    fn handle_event(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         state.events.push_back(event);
         self.process_events(&mut state);
@@ -146,11 +148,11 @@
 
     /// Passes all queued events to the decision core and carries out its actions.
     fn process_events(self: &Rc<Self>, state: &mut DriverState) {
-        self.process_events_from(state, self.clock.now());
+        self.process_events_at(state, self.clock.now());
     }
 
-    /// Processes all queued events, the first one with `now` as its time.
-    fn process_events_from(self: &Rc<Self>, state: &mut DriverState, mut now: Micros) {
+    /// Processes all queued events: the first one at the time `now`, the others at the current time.
+    fn process_events_at(self: &Rc<Self>, state: &mut DriverState, mut now: Micros) {
         while let Some(event) = state.events.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
             let decision_core = &mut state.decision_core;
@@ -195,11 +197,11 @@
             let path = driver.transports.health_check_path;
             let HealthCheckResult { status, load_report } =
                 upstream.check_health(server, path, HEALTH_CHECK_TIMEOUT).await;
-            driver.handle(Event::HealthCheckCompleted { server, status, load_report });
+            driver.handle_event(Event::HealthCheckCompleted { server, status, load_report });
         });
     }
 
-    /// Sends a gossip message, if gossip is configured.
+    /// Sends a gossip message to the gateway with index `to`, if gossip is configured.
     fn send_gossip(&self, to: usize, message: &[u8]) {
         if let Some(peers) = &self.transports.peers {
             peers.send(to, message);
@@ -223,7 +225,7 @@
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             let reply = shared_counter.add(counter, amount, ttl).await;
-            driver.handle(reply);
+            driver.handle_event(reply);
         });
     }
 }
