--- a/crates/scale-laboratory/src/hollow/event_queue.rs
+++ b/crates/scale-laboratory/src/hollow/event_queue.rs
@@ -4,8 +4,7 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A period of a gateway between a start and the following stop. Events for an earlier incarnation are
-/// dropped.
+/// A gateway between one of its starts and the following stop. Events for an earlier incarnation are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Incarnation {
     /// Index of the gateway.
@@ -14,14 +13,14 @@
     pub number: u32,
 }
 
-/// Something that happens in the simulation, or an operation scheduled for a time.
+/// Event of the simulation, or an operation that it carries out at a scheduled time.
 #[derive(Clone, Debug)]
 pub enum SimulationEvent {
     /// A client has sent a request to the load balancer.
     RequestArrived,
-    /// Begins the measurement and discards what was counted during the warm-up.
+    /// Begins the measurement period and discards the counts of the warm-up.
     BeginMeasurement,
-    /// Ends the measurement, after which clients send no more requests.
+    /// Ends the measurement period, after which clients send no more requests.
     EndMeasurement,
     /// A timer of a gateway's decision core has fired.
     TimerFired {
@@ -50,7 +49,7 @@
         /// Result of the call.
         result: CounterResult,
     },
-    /// A relay has passed the changes up to a version to a gateway's agent.
+    /// A relay has sent the changes up to a version to a gateway's agent.
     AgentUpdated {
         /// Index of the gateway.
         gateway: usize,
@@ -102,7 +101,7 @@
         /// Index of the gateway.
         gateway: usize,
     },
-    /// Updates the load balancer in front of the gateways on whether one of them is down.
+    /// Makes the load balancer detect whether a gateway is down.
     UpdateLoadBalancer {
         /// Index of the gateway.
         gateway: usize,
@@ -124,8 +123,8 @@
     },
 }
 
-/// A scheduled event, ordered by time and then by sequence number.
-struct Scheduled {
+/// Event in the queue, ordered by time and then by sequence number.
+struct ScheduledEvent {
     /// Time of the event, in microseconds.
     at: Micros,
     /// Number of events scheduled before this one.
@@ -133,21 +132,21 @@
     event: SimulationEvent,
 }
 
-impl PartialEq for Scheduled {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Scheduled {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Scheduled {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Scheduled {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
         (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
@@ -157,7 +156,7 @@
 #[derive(Default)]
 pub struct EventQueue {
     /// Scheduled events, the earliest on top.
-    heap: BinaryHeap<Reverse<Scheduled>>,
+    heap: BinaryHeap<Reverse<ScheduledEvent>>,
     /// Sequence number of the next event that is scheduled.
     next_sequence: u64,
 }
@@ -167,7 +166,7 @@
     pub fn push(&mut self, at: Micros, event: SimulationEvent) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.heap.push(Reverse(Scheduled { at, sequence, event }));
+        self.heap.push(Reverse(ScheduledEvent { at, sequence, event }));
     }
 
     /// Removes the earliest event and returns it with its time in microseconds.
--- a/crates/scale-laboratory/src/metric.rs
+++ b/crates/scale-laboratory/src/metric.rs
@@ -3,7 +3,8 @@
 use serde::{Deserialize, Serialize};
 
 /// Defines the metrics with their names and units. The doc comment of each is its help text in
-/// `metrics.prom`, so changing it changes stored results.
+/// `metrics.prom`, so changing it changes stored results. In these texts a round is a tick, a member is an
+/// endpoint, an answer is a reply or response, and a refused request is a rejected one.
 macro_rules! metrics {
     ($($(#[doc = $doc:literal])+ $variant:ident = $name:literal, $unit:literal;)+) => {
         /// Measured quantity of a point.
@@ -81,9 +82,9 @@
     /// Bytes of lists and changes that relays passed to agents.
     RelayBytes = "relay-bytes", "bytes";
     /// Messages between gateways.
-    PeerMessages = "peer-messages", "messages";
+    GossipMessages = "peer-messages", "messages";
     /// Bytes of messages between gateways.
-    PeerBytes = "peer-bytes", "bytes";
+    GossipBytes = "peer-bytes", "bytes";
     /// Longest time until a change of members was in force at the last gateway.
     EndpointPropagation = "change-in-force", "ms";
     /// Longest time until a change of configuration was in force at the last gateway.
--- a/crates/scale-laboratory/src/real/run.rs
+++ b/crates/scale-laboratory/src/real/run.rs
@@ -1,9 +1,10 @@
-//! One point of a real run: warm-up, then the measured time with its steps and with checks of the processes.
+//! Measurement of one point in real mode: the warm-up, then the measurement period, in which the scheduled
+//! actions are applied and the gateway processes are checked.
 
 use super::clients::{run_client, TenantRoute, Workload, MAX_CONSECUTIVE_UNANSWERED};
 use super::fleet::RealFleet;
 use super::gateway_process::GatewayProcess;
-use super::schedule::{steps, Step};
+use super::schedule::{schedule, ScheduledAction};
 use crate::error::{LaboratoryError, Result};
 use crate::experiment::Experiment;
 use crate::memory::check_memory;
@@ -14,12 +15,12 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Interval between checks for due steps and for ended or stalled gateways.
+/// Interval between checks for due actions and for gateways that have ended or stalled.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Number of these checks from one check of the memory to the next.
+/// Number of fleet checks per memory check.
 const CHECKS_PER_MEMORY_CHECK: u32 = 10;
 
-/// Runs one point: starts its fleet, measures it and stops it, also if the measurement fails.
+/// Measures one point: starts a fleet, measures it and stops it, also if the measurement fails.
 pub async fn run_point(experiment: &Experiment, program: &Path, progress: &Progress) -> Result<Point> {
     let mut fleet = RealFleet::start(experiment, program, progress).await?;
     let result = fleet.measure(progress).await;
@@ -28,16 +29,16 @@
 }
 
 impl RealFleet {
-    /// Runs the warm-up and the measured time, and returns the measurements.
+    /// Runs the warm-up and the measurement period, and returns the measurements.
     async fn measure(&mut self, progress: &Progress) -> Result<Point> {
         self.start_clients();
         let warm_up = Duration::from_secs_f64(self.experiment.load.warm_up_seconds);
-        self.run_steps(warm_up, VecDeque::new(), progress).await?;
+        self.run_schedule(warm_up, VecDeque::new(), progress).await?;
         self.clients.start_measurement();
-        self.agents.take_max_propagation_delay();
+        self.agents.take_max_endpoint_propagation();
         let before = self.resource_snapshot();
         let duration = Duration::from_secs_f64(self.experiment.load.duration_seconds);
-        self.run_steps(duration, steps(&self.experiment).into(), progress).await?;
+        self.run_schedule(duration, schedule(&self.experiment).into(), progress).await?;
         let after = self.resource_snapshot();
         Ok(self.point(&before, &after))
     }
@@ -65,19 +66,19 @@
         }
     }
 
-    /// Applies steps as they fall due and checks the fleet regularly, until the duration has passed.
-    async fn run_steps(
+    /// Applies actions when they are due and checks the fleet regularly, until the duration has passed.
+    async fn run_schedule(
         &mut self,
         duration: Duration,
-        mut steps: VecDeque<Step>,
+        mut schedule: VecDeque<ScheduledAction>,
         progress: &Progress,
     ) -> Result<()> {
         let started_at = Instant::now();
         let mut checks = 0_u32;
         while started_at.elapsed() < duration {
             progress.step()?;
-            while let Some(step) = steps.pop_front_if(|step| step.at <= started_at.elapsed()) {
-                self.apply(step.action).await?;
+            while let Some(due) = schedule.pop_front_if(|next| next.at <= started_at.elapsed()) {
+                self.apply(due.action).await?;
             }
             self.check_fleet(checks)?;
             checks += 1;
@@ -86,7 +87,7 @@
         Ok(())
     }
 
-    /// Fails if a gateway has ended or stalled, or if the run exceeds its memory bound.
+    /// Fails if a gateway has ended or stalled, or if the run exceeds its memory limit.
     fn check_fleet(&mut self, completed_checks: u32) -> Result<()> {
         for process in self.gateways.iter_mut().flatten() {
             process.check_alive()?;
