--- a/crates/scale-laboratory/src/hollow/measurements.rs
+++ b/crates/scale-laboratory/src/hollow/measurements.rs
@@ -25,7 +25,7 @@
     pub discovery_calls: u64,
     /// Bytes of the watch calls and their responses.
     pub discovery_bytes: u64,
-    /// Bytes passed from relays to agents.
+    /// Bytes that relays sent to agents.
     pub relay_bytes: u64,
     /// Gossip messages between gateways.
     pub gossip_messages: u64,
@@ -33,26 +33,26 @@
     pub gossip_bytes: u64,
 }
 
-/// Quantities measured since the measurement began.
+/// Quantities measured since the start of the measurement period.
 pub struct Measurements {
     /// Current counts.
     pub counts: Counts,
-    /// Start of the measurement, in microseconds.
+    /// Start of the measurement period, in microseconds.
     begins_at: Micros,
-    /// Counts at the end of the measurement.
+    /// Counts at the end of the measurement period; `None` before it.
     counts_at_end: Option<Counts>,
-    /// Longest time from a change of the endpoint list until a gateway applied it, in microseconds.
-    longest_change_propagation: Micros,
+    /// Longest time from the publication of an endpoint change until a gateway applied it, in microseconds.
+    max_endpoint_propagation: Micros,
     /// Longest time from the publication of a configuration until a gateway applied it, in microseconds.
-    longest_configuration_propagation: Micros,
+    max_configuration_propagation: Micros,
     /// Times from the arrival of a request to its first attempt, in microseconds.
-    queueing_times: Histogram<u64>,
-    /// Requests of tenants that stay within their quotas; the rejection of a hot tenant's request is not
-    /// caused by a fault.
+    first_attempt_delays: Histogram<u64>,
+    /// Requests of tenants that are not hot. Hot tenants exceed their quotas, so that their requests are
+    /// rejected without a fault as well.
     pub timeline: Timeline,
     /// Pairs of a server and a gateway that sent attempts to it.
     pub server_gateway_pairs: BTreeSet<(usize, usize)>,
-    /// Units served to hot tenants during the measurement.
+    /// Units served to hot tenants in the measurement period.
     pub hot_units: f64,
 }
 
@@ -63,49 +63,49 @@
             counts: Counts::default(),
             begins_at,
             counts_at_end: None,
-            longest_change_propagation: 0,
-            longest_configuration_propagation: 0,
-            queueing_times: latency_histogram(),
+            max_endpoint_propagation: 0,
+            max_configuration_propagation: 0,
+            first_attempt_delays: latency_histogram(),
             timeline: Timeline::default(),
             server_gateway_pairs: BTreeSet::new(),
             hot_units: 0.0,
         }
     }
 
-    /// Discards what was recorded during the warm-up, except the timeline, which has only requests sent after
-    /// it.
+    /// Discards the measurements of the warm-up. The timeline has none, because it contains only requests
+    /// sent after the warm-up.
     pub fn begin(&mut self) {
         self.counts = Counts::default();
-        self.longest_change_propagation = 0;
-        self.longest_configuration_propagation = 0;
-        self.queueing_times.reset();
+        self.max_endpoint_propagation = 0;
+        self.max_configuration_propagation = 0;
+        self.first_attempt_delays.reset();
         self.server_gateway_pairs.clear();
     }
 
-    /// Ends the measurement; afterwards only the outcomes of its requests are counted.
+    /// Ends the measurement period, after which only the outcomes of its requests are counted.
     pub fn end(&mut self, hot_units: f64) {
         self.counts_at_end = Some(self.counts);
         self.hot_units = hot_units;
     }
 
-    /// Returns the counts of the measurement, with the outcomes of all requests sent during it.
+    /// Returns the counts of the measurement period, with the outcomes of all requests sent in it.
     pub fn final_counts(&self) -> Counts {
         Counts { outcomes: self.counts.outcomes, ..self.counts_at_end.unwrap_or(self.counts) }
     }
 
-    /// Counts a request that a client sent; `hot` is set for a hot tenant, which exceeds its quota.
-    pub fn record_arrival(&mut self, now: Micros, hot: bool) {
+    /// Counts a request that a client sent; `is_hot` is set for a hot tenant, which exceeds its quota.
+    pub fn record_arrival(&mut self, now: Micros, is_hot: bool) {
         self.counts.arrivals += 1;
-        if let Some(at) = now.checked_sub(self.begins_at).filter(|_| !hot) {
+        if let Some(at) = now.checked_sub(self.begins_at).filter(|_| !is_hot) {
             self.timeline.record_arrival(at);
         }
     }
 
-    /// Counts the outcome of a request, unless it was sent before the measurement.
-    pub fn record_outcome(&mut self, sent_at: Micros, outcome: Outcome, hot: bool) {
+    /// Counts the outcome of a request, unless it was sent before the measurement period.
+    pub fn record_outcome(&mut self, sent_at: Micros, outcome: Outcome, is_hot: bool) {
         let Some(at) = sent_at.checked_sub(self.begins_at) else { return };
         self.counts.outcomes.record(outcome);
-        if !hot {
+        if !is_hot {
             self.timeline.record_outcome(at, outcome);
         }
     }
@@ -117,28 +117,32 @@
     }
 
     /// Records the time from the arrival of a request to its first attempt, in microseconds.
-    pub fn record_queueing_time(&mut self, time: Micros) {
-        self.queueing_times.saturating_record(time);
+    pub fn record_first_attempt_delay(&mut self, time: Micros) {
+        self.first_attempt_delays.saturating_record(time);
     }
 
-    /// Records the time in microseconds from a change of the endpoint list until a gateway applied it.
-    pub fn record_change_propagation(&mut self, elapsed: Micros) {
-        self.longest_change_propagation = self.longest_change_propagation.max(elapsed);
+    /// Records the time in microseconds from the publication of an endpoint change until a gateway applied
+    /// it.
+    pub fn record_endpoint_propagation(&mut self, elapsed: Micros) {
+        self.max_endpoint_propagation = self.max_endpoint_propagation.max(elapsed);
     }
 
     /// Records the time in microseconds from the publication of a configuration until a gateway applied it.
     pub fn record_configuration_propagation(&mut self, elapsed: Micros) {
-        self.longest_configuration_propagation = self.longest_configuration_propagation.max(elapsed);
+        self.max_configuration_propagation = self.max_configuration_propagation.max(elapsed);
     }
 
-    /// Returns the counts, and the times that have been measured, by metric.
+    /// Returns the counts and the measured times by metric.
     pub fn metrics(&self) -> impl Iterator<Item = (Metric, f64)> {
-        let queueing_times = Some(&self.queueing_times).filter(|times| !times.is_empty());
+        let first_attempt_delays = Some(&self.first_attempt_delays).filter(|times| !times.is_empty());
         let milliseconds = |time: Micros| (time > 0).then_some(time as f64 / 1e3);
         let times = [
-            (Metric::FirstAttemptDelayP99, queueing_times.map(|times| times.value_at_quantile(0.99) as f64)),
-            (Metric::EndpointPropagation, milliseconds(self.longest_change_propagation)),
-            (Metric::ConfigurationPropagation, milliseconds(self.longest_configuration_propagation)),
+            (
+                Metric::FirstAttemptDelayP99,
+                first_attempt_delays.map(|times| times.value_at_quantile(0.99) as f64),
+            ),
+            (Metric::EndpointPropagation, milliseconds(self.max_endpoint_propagation)),
+            (Metric::ConfigurationPropagation, milliseconds(self.max_configuration_propagation)),
         ];
         let times = times.into_iter().filter_map(|(metric, time)| Some((metric, time?)));
         count_metrics(&self.final_counts()).chain(times)
@@ -156,8 +160,8 @@
         (Metric::DiscoveryCalls, counts.discovery_calls),
         (Metric::DiscoveryBytes, counts.discovery_bytes),
         (Metric::RelayBytes, counts.relay_bytes),
-        (Metric::PeerMessages, counts.gossip_messages),
-        (Metric::PeerBytes, counts.gossip_bytes),
+        (Metric::GossipMessages, counts.gossip_messages),
+        (Metric::GossipBytes, counts.gossip_bytes),
     ];
     let outcomes = counts.outcomes.metrics();
     metrics.into_iter().chain(outcomes).map(|(metric, count)| (metric, count as f64))
--- a/crates/scale-laboratory/src/hollow/simulation.rs
+++ b/crates/scale-laboratory/src/hollow/simulation.rs
@@ -1,5 +1,5 @@
-//! Event loop of the simulation: dispatches events in chronological order and carries out the actions of the
-//! decision cores.
+//! Event loop of the simulation, which dispatches events in chronological order and carries out the actions
+//! of the decision cores.
 
 use super::clients::{Clients, PendingRequest};
 use super::endpoint_history::EndpointHistory;
@@ -27,19 +27,19 @@
 /// Period over which the starts of the gateways are spread, so that their ticks do not coincide; in
 /// microseconds.
 const START_SPREAD: Micros = 100_000;
-/// Time after the client timeout by which a gateway must have responded, in microseconds.
+/// Time that a gateway may take to respond after the deadline of a request, in microseconds.
 pub(super) const RESPONSE_SLACK: Micros = 100_000;
-/// Time after the measurement in which its last requests get their responses, in microseconds.
+/// Simulated time after the measurement period in which its last requests get their responses, in
+/// microseconds.
 const DRAIN_TIME: Micros = DEADLINE + 2 * RESPONSE_SLACK;
-/// Number of events between two progress reports.
-const PROGRESS_EVENTS: u64 = 1_024;
+/// Number of events between two progress steps.
+const EVENTS_PER_PROGRESS_STEP: u64 = 1_024;
 /// Number of events between two memory checks.
-const MEMORY_CHECK_EVENTS: u64 = 1 << 16;
-/// Wall time between two log lines.
+const EVENTS_PER_MEMORY_CHECK: u64 = 1 << 16;
+/// Wall-clock time between two log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A fleet of hollow gateways with its simulated surroundings: network, servers, discovery, counter and
-/// clients.
+/// Fleet of hollow gateways with the network, servers, discovery, shared counter and clients around it.
 pub struct Simulation {
     /// Experiment that is simulated.
     pub(super) experiment: Experiment,
@@ -51,9 +51,9 @@
     pub(super) queue: EventQueue,
     /// Current simulated time, in microseconds.
     pub(super) now: Micros,
-    /// Start of the measurement, in microseconds.
+    /// Start of the measurement period, in microseconds.
     pub(super) measurement_start: Micros,
-    /// End of the measurement, in microseconds.
+    /// End of the measurement period, in microseconds.
     pub(super) measurement_end: Micros,
     /// Gateways by index.
     pub(super) gateways: Vec<HollowGateway>,
@@ -71,13 +71,13 @@
     pub(super) measurements: Measurements,
     /// Random numbers of everything outside the decision cores.
     pub(super) rng: ChaCha8Rng,
-    /// Whether discovery responds to no calls.
+    /// Whether discovery leaves calls unanswered.
     pub(super) discovery_unresponsive: bool,
     /// Newest version of the configuration.
     pub(super) configuration_version: u32,
     /// Time at which the newest configuration was published, in microseconds.
     pub(super) configuration_published_at: Micros,
-    /// Number of the last request.
+    /// Id of the newest request; ids are consecutive.
     pub(super) last_request_id: u64,
     /// Progress shared with the thread that watches the run.
     progress: Progress,
@@ -130,8 +130,8 @@
         self.schedule_faults();
     }
 
-    /// Runs to the end of the measurement and for `DRAIN_TIME` longer, so that the last requests get their
-    /// responses.
+    /// Runs to the end of the measurement period and for `DRAIN_TIME` longer, so that the last requests get
+    /// their responses.
     pub fn run(&mut self) -> Result<()> {
         let mut events = 0_u64;
         let mut logged_at = Instant::now();
@@ -142,10 +142,10 @@
             self.now = at;
             self.dispatch(event)?;
             events += 1;
-            if events.is_multiple_of(PROGRESS_EVENTS) {
+            if events.is_multiple_of(EVENTS_PER_PROGRESS_STEP) {
                 self.progress.step()?;
             }
-            if events.is_multiple_of(MEMORY_CHECK_EVENTS) {
+            if events.is_multiple_of(EVENTS_PER_MEMORY_CHECK) {
                 check_memory(0)?;
             }
             if logged_at.elapsed() >= LOG_INTERVAL {
@@ -195,13 +195,13 @@
         Ok(())
     }
 
-    /// Begins the measurement and discards the counts of the warm-up.
+    /// Begins the measurement period and discards the counts of the warm-up.
     fn begin_measurement(&mut self) {
         self.measurements.begin();
         self.clients.take_hot_units();
     }
 
-    /// Ends the measurement and records the units served to hot tenants.
+    /// Ends the measurement period and records the units served to hot tenants in it.
     fn end_measurement(&mut self) {
         let hot_units = self.clients.take_hot_units();
         self.measurements.end(hot_units);
--- a/crates/scale-laboratory/src/real/gateway_process.rs
+++ b/crates/scale-laboratory/src/real/gateway_process.rs
@@ -1,4 +1,4 @@
-//! A gateway process: start, resource usage from `/proc`, reload and termination.
+//! Start, resource usage, reload and termination of a gateway process.
 
 use crate::error::{LaboratoryError, Result};
 use rustix::process::{kill_process, Pid, Signal};
@@ -13,14 +13,14 @@
 use tokio::process::{Child, ChildStderr, Command};
 use tokio::time::timeout;
 
-/// Time within which a gateway has to listen after its start.
+/// Longest time from the start of a gateway until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Text in the gateway's log line that ends with the address of its listener (`main.rs` of the gateway).
 const LISTENING_MARKER: &str = "accepting clients";
 /// Text in the gateway's log line about a new counter address (`lifecycle/reload.rs` of the gateway).
 const COUNTER_CHANGED_MARKER: &str = "counter_changed=true";
 /// Clock ticks per second, the unit of processor times in `/proc/PID/stat`.
-const TICKS_PER_SECOND: f64 = 100.0;
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 /// Index of the user-mode processor time among the fields of `/proc/PID/stat` after the program's name.
 const USER_TIME_FIELD: usize = 11;
 /// Index of the kernel-mode processor time among the same fields.
@@ -29,7 +29,7 @@
 /// Lines of a gateway's log, read from its standard error.
 type LogLines = Lines<BufReader<ChildStderr>>;
 
-/// A gateway process that has been started and listens.
+/// A gateway process that was started and has opened its listener.
 pub struct GatewayProcess {
     /// Index of the gateway in the fleet.
     gateway: usize,
@@ -37,7 +37,7 @@
     pub address: SocketAddr,
     child: Child,
     pid: u32,
-    /// Time at which the gateway was seen to listen; the base of `counter_changed_us`.
+    /// Time at which the log reported the listener; `counter_changed_us` counts from it.
     listening_since: Instant,
     /// Time of the last logged change of the counter address, in microseconds after `listening_since`;
     /// 0 if none was logged.
@@ -81,7 +81,9 @@
         let text = fs::read_to_string(self.proc_file("stat")).unwrap_or_default();
         let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
         let ticks = |field: usize| fields.get(field).and_then(|ticks| ticks.parse::<u64>().ok()).unwrap_or(0);
-        Duration::from_secs_f64((ticks(USER_TIME_FIELD) + ticks(SYSTEM_TIME_FIELD)) as f64 / TICKS_PER_SECOND)
+        Duration::from_secs_f64(
+            (ticks(USER_TIME_FIELD) + ticks(SYSTEM_TIME_FIELD)) as f64 / CLOCK_TICKS_PER_SECOND,
+        )
     }
 
     /// Returns the resident memory of the process in bytes.
@@ -95,7 +97,7 @@
         PathBuf::from(format!("/proc/{}/{file}", self.pid))
     }
 
-    /// Fails if the process has ended by itself.
+    /// Returns an error if the process has ended by itself.
     pub fn check_alive(&mut self) -> Result<()> {
         let reason = match self.child.try_wait() {
             Ok(None) => return Ok(()),
@@ -105,7 +107,7 @@
         Err(LaboratoryError::Process { gateway: self.gateway, reason })
     }
 
-    /// Makes the gateway reload its configuration, by the signal SIGHUP.
+    /// Sends SIGHUP, on which the gateway reloads its configuration.
     pub fn reload(&self) {
         if let Some(pid) = i32::try_from(self.pid).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, Signal::HUP);
