--- a/crates/core/tests/bounded_work.rs
+++ b/crates/core/tests/bounded_work.rs
@@ -23,7 +23,7 @@
 
 /// A gateway whose visited entries are counted. Its clock starts at two seconds.
 struct MeasuredGateway {
-    gateway: Gateway,
+    core: Gateway,
     /// Current time on the gateway's clock.
     now: Micros,
     /// Id of the most recent request.
@@ -42,19 +42,18 @@
         settings.capabilities.gossip = true;
         settings.classes.push(class(key));
         settings.plans[0] = Plan { rate: 200.0, burst: 400.0, ..plan() };
-        let gateway = Gateway::new(settings, 11, SECOND).expect("settings are valid");
-        let mut measured =
-            MeasuredGateway { gateway, now: 2 * SECOND, last_request_id: 0, actions: Vec::new() };
+        let core = Gateway::new(settings, 11, SECOND).expect("settings are valid");
+        let mut measured = MeasuredGateway { core, now: 2 * SECOND, last_request_id: 0, actions: Vec::new() };
         measured.handle(endpoint_snapshot(endpoints.to_vec()));
         measured
     }
 
     /// Delivers an event. Returns the number of entries visited for it.
     fn handle(&mut self, event: Event) -> u64 {
-        let before = self.gateway.entries_visited();
+        let before = self.core.entries_visited();
         self.actions.clear();
-        self.gateway.handle(self.now, event, &mut self.actions);
-        self.gateway.entries_visited() - before
+        self.core.handle(self.now, event, &mut self.actions);
+        self.core.entries_visited() - before
     }
 
     /// Delivers a request 600 µs after the previous event. Returns the number of entries visited.
@@ -137,8 +136,8 @@
     (1..=count as u64).map(server).collect()
 }
 
-/// A request compares up to 128 servers. A tick and an endpoint list change sum over
-/// all servers one by one only for up to 512 servers.
+/// A request compares up to 128 servers. A tick and an endpoint list change sum over all servers one by one
+/// only for up to 512 servers.
 #[test]
 fn work_does_not_grow_with_the_servers() {
     for server_count in SIZES {
@@ -192,9 +191,9 @@
             }
         }
         for k in 1..4 {
-            let before = gateway.gateway.entries_visited();
+            let before = gateway.core.entries_visited();
             gateway.tick(now + k * 100 * MILLISECOND);
-            let visited = gateway.gateway.entries_visited() - before;
+            let visited = gateway.core.entries_visited() - before;
             assert!(visited <= 1_200, "{customer_count} customers: {visited} entries visited for a tick");
         }
     }
@@ -225,7 +224,7 @@
         let warming: BTreeSet<ServerId> = restarted.iter().map(|endpoint| endpoint.server).collect();
         gateway.handle(endpoint_delta(restarted));
         let visited = gateway.request(0, 5);
-        assert!(!warming.contains(&gateway.forwarded_to()), "a server without a budget gets the request");
+        assert!(!warming.contains(&gateway.forwarded_to()), "a server that warms up gets the request");
         assert!(visited <= 2_600, "{server_count} servers: {visited} entries visited");
     }
 }
--- a/crates/gateway/tests/loopback/discovery.rs
+++ b/crates/gateway/tests/loopback/discovery.rs
@@ -146,8 +146,8 @@
     std::thread::scope(|scope| {
         for polled in [false, true] {
             for gateways in [2, 350] {
-                for refused in [true, false] {
-                    scope.spawn(move || assert_recovers_in_time(polled, gateways, refused));
+                for calls_fail in [true, false] {
+                    scope.spawn(move || assert_recovers_in_time(polled, gateways, calls_fail));
                 }
             }
         }
@@ -155,7 +155,8 @@
 }
 
 /// Makes discovery fail and recover with a new list, and asserts that the gateway uses the new list in time.
-fn assert_recovers_in_time(polled: bool, gateways: usize, refused: bool) {
+/// During the outage, calls fail with an error if `calls_fail` is set, and are not answered otherwise.
+fn assert_recovers_in_time(polled: bool, gateways: usize, calls_fail: bool) {
     let first = Server::responding_with("first");
     let second = Server::responding_with("second");
     let mut deployment = fleet_deployment(gateways, &first);
@@ -164,7 +165,7 @@
     }
     let gateway = deployment.start();
     deployment.agent.wait_for_calls(1);
-    if refused {
+    if calls_fail {
         deployment.agent.fail();
     } else {
         // The call in flight has just started and is never answered.
@@ -175,7 +176,7 @@
     let started_at = Instant::now();
     deployment.agent.recover(vec![Endpoint::ready("s-2", second.address)]);
     let elapsed = started_at.elapsed();
-    let case = format!("polled {polled}, {gateways} gateways, refused {refused}");
+    let case = format!("polled {polled}, {gateways} gateways, calls fail {calls_fail}");
     assert!(elapsed < NOTIFICATION_DEADLINE, "{case}: {elapsed:?}");
     assert_eq!(response_body(&mut gateway.connect()), b"second");
 }
@@ -226,7 +227,7 @@
         .set("/limits", json!({"cores": 1.0, "memory_mb": 32, "sockets": 256}))
         .gateway_count(gateways)
         .set("/settings/me", gateways - 1)
-        .descriptors(256);
+        .descriptor_limit(256);
     let gateway = deployment.start();
     let mut client = gateway.connect();
     let request_from = |first_gateway: usize| {
@@ -257,9 +258,9 @@
     let second = Server::responding_with("second");
     let counter = Server::start(|_| Reply::ok("1"));
     let deployment = Deployment::with_server(&first)
-        .configured_sockets(256)
+        .configured_socket_limit(256)
         .shared_counter(counter.address, 80_000)
-        .descriptors(256);
+        .descriptor_limit(256);
     let gateway = deployment.start();
     deployment.agent.inject(WatchFault::Down);
     let started_at = Instant::now();
@@ -307,13 +308,7 @@
 
 /// Returns a successful response with a body.
 fn raw_response(body: &str) -> String {
-    format!(
-        "HTTP/1.1 200 OK
-Content-Length: {}
-
-{body}",
-        body.len()
-    )
+    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
 /// Returns a snapshot with one endpoint.
@@ -321,7 +316,7 @@
     json!({"index": index, "snapshot": true, "endpoints": [Endpoint::ready(name, server.address)]})
 }
 
-/// Peers are identified by their address. Datagrams of other senders and malformed or oversized ones are
+/// Peers are identified by their addresses. Datagrams from other senders and malformed or oversized ones are
 /// ignored.
 #[test]
 fn peers_exchange_small_datagrams_and_ignore_malformed_ones() {
@@ -335,7 +330,7 @@
         .set("/peers", json!([gateway_address.to_string(), peer.local_addr().unwrap().to_string()]))
         .start();
     let mut data = [0; 2_000];
-    let (length, sender) = peer.recv_from(&mut data).expect("a gossip message from the gateway");
+    let (length, sender) = peer.recv_from(&mut data).expect("the gateway sends a gossip message");
     assert!(length > 0 && length <= 256, "{length} bytes");
     assert_eq!(sender, gateway_address);
     let unknown_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -344,5 +339,5 @@
         unknown_sender.send_to(datagram, gateway_address).unwrap();
     }
     assert_eq!(gateway.connect().call(&idempotent_request()).status(), 200);
-    peer.recv_from(&mut data).expect("a gossip message after malformed datagrams");
+    peer.recv_from(&mut data).expect("the gateway sends a gossip message after malformed datagrams");
 }
