--- a/crates/gateway/tests/loopback/discovery.rs
+++ b/crates/gateway/tests/loopback/discovery.rs
@@ -306,9 +306,10 @@
     assert_eq!(response_body(&mut client), b"third");
 }
 
-/// Returns a successful response with a body.
+/// Returns a successful response with a body. Its lines end in a bare line feed, which the gateway accepts
+/// from discovery.
 fn raw_response(body: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!("HTTP/1.1 200 OK\nContent-Length: {}\n\n{body}", body.len())
 }
 
 /// Returns a snapshot with one endpoint.
--- a/crates/gateway/tests/loopback/long_bodies.rs
+++ b/crates/gateway/tests/loopback/long_bodies.rs
@@ -13,8 +13,8 @@
 
 /// Number of bytes in a mebibyte.
 const MIB: usize = 1 << 20;
-/// Short successful response.
-const DONE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
+/// Short successful response. Its lines end in a bare line feed, which the gateway accepts from servers.
+const DONE: &[u8] = b"HTTP/1.1 200 OK\nContent-Length: 4\n\ndone";
 
 /// Returns bytes that reveal a gap or a repetition.
 fn pattern(length: usize) -> Vec<u8> {
