--- a/crates/core/src/quota/usage_report.rs
+++ b/crates/core/src/quota/usage_report.rs
@@ -1,5 +1,5 @@
-//! Usage reports in responses: a customer's usage over all gateways, and the settlement of a request's true
-//! units.
+//! Usage reports in responses: a customer's usage over all gateways, and the settlement of the units that a
+//! request actually used.
 
 use crate::api::{Micros, RequestId};
 use crate::customer::Customer;
@@ -7,30 +7,30 @@
 use crate::gateway::Gateway;
 use crate::quota::MAX_DEMAND;
 
-/// Number of requests at which a usage report gets half of its full weight; a report based on fewer has
-/// little significance.
+/// Number of requests at which a usage report gets half of its full weight; a report on fewer requests says
+/// little about the demand.
 const PRIOR_REQUESTS: f64 = 1.0;
 /// Demand, in multiples of the quota, below which a customer of many gateways needs no counter calls.
 const LOW_DEMAND: f64 = 0.5;
 /// Number of a customer's requests that the quota must allow within a report's period before a low demand is
 /// relied on.
 const LOW_DEMAND_MIN_REQUESTS: f64 = 2.0;
-/// Reported usage, as a fraction of the quota, from which a customer new to this gateway keeps in its bucket
+/// Reported usage, in multiples of the quota, from which a customer new to this gateway keeps in its bucket
 /// only what the counter's total leaves of the burst; without a total, nothing.
 const FULL_USAGE: f64 = 1.0;
 
-/// The accounting data of the request whose response holds a report.
+/// The accounting data of the request whose response carries a report.
 #[derive(Clone, Copy)]
 struct ReportedRequest {
-    /// Units that the request declared.
+    /// Estimated units of the request.
     units: f64,
     /// Whether the request was forwarded within the quota and has had no final answer yet.
     may_settle: bool,
 }
 
 impl Gateway {
-    /// Applies a response's report of the customer's usage over all gateways and of the true units of a
-    /// request that declared an estimate.
+    /// Applies a response's report of the customer's usage over all gateways and of the units to settle for a
+    /// request whose units were an estimate.
     pub(crate) fn apply_usage_report(
         &mut self,
         now: Micros,
@@ -38,7 +38,7 @@
         reported_usage: Option<f64>,
         settled_units: Option<f64>,
     ) {
-        let phase = self.random_source.next_fraction();
+        let random_fraction = self.random_source.next_fraction();
         let Some(request) = self.requests.get(&id) else { return };
         let customer_id = request.customer;
         let reported =
@@ -51,14 +51,14 @@
         let Some(usage) = reported_usage.filter(is_usable) else { return };
         self.usage_reported_at = now;
         let period_s = seconds(self.settings.capabilities.usage_report_period.unwrap_or(0));
-        let exceeds_quota = update_demand(customer, now, usage, period_s, reported.units, phase);
+        let exceeds_quota = update_demand(customer, now, usage, period_s, reported.units, random_fraction);
         if exceeds_quota && !self.gossip.is_full_mesh() {
             self.publish(customer_id);
         }
     }
 }
 
-/// Records the difference between a request's true and declared units.
+/// Records the difference between a request's settled and estimated units.
 fn settle_units(customer: &mut Customer, difference: f64) {
     customer.bucket.settle(difference, &customer.plan);
     if customer.is_served_by_few_gateways() {
@@ -76,7 +76,7 @@
     usage: f64,
     period_s: f64,
     units: f64,
-    phase: f64,
+    random_fraction: f64,
 ) -> bool {
     let rate = customer.plan.rate;
     if customer.is_served_by_few_gateways() && customer.demand.is_unknown() && usage >= FULL_USAGE {
@@ -92,7 +92,7 @@
     let requests_seen = usage * rate * period_s / units.max(1e-9);
     let weight = customer.demand.weight_of_report(now) * requests_seen / (requests_seen + PRIOR_REQUESTS);
     let demand = (before + weight * (usage * before.max(1.0) - before)).min(MAX_DEMAND);
-    customer.record_demand(now, demand, phase * units);
+    customer.record_demand(now, demand, random_fraction * units);
     let has_enough_requests = rate * period_s >= LOW_DEMAND_MIN_REQUESTS * units;
     customer
         .demand
--- a/crates/core/tests/unit/ranked_tree.rs
+++ b/crates/core/tests/unit/ranked_tree.rs
@@ -1,9 +1,13 @@
+//! Unit tests of the ranked tree against a sorted map, and of its depth.
+
 use crate::endpoints::ranked_tree::{RankedTree, Slot, Subset};
 use proptest::prelude::{any, prop, prop_oneof, proptest, ProptestConfig, Strategy};
 use std::collections::BTreeMap;
 
+/// All subsets, in the order of their indexes in a membership array.
 const SUBSETS: [Subset; 3] = [Subset::Ready, Subset::Healthy, Subset::WarmedUp];
 
+/// A step of a random sequence, applied to the tree and to the reference model.
 #[derive(Clone, Debug)]
 enum Step {
     Insert(u64),
@@ -15,7 +19,8 @@
     prop_oneof![
         3 => (0u64..60).prop_map(Step::Insert),
         1 => (0u64..60).prop_map(Step::Remove),
-        3 => (0u64..60, any::<[bool; 3]>()).prop_map(|(key, member)| Step::SetMembership(key, member)),
+        3 => (0u64..60, any::<[bool; 3]>())
+            .prop_map(|(key, membership)| Step::SetMembership(key, membership)),
     ]
 }
 
@@ -28,7 +33,7 @@
         assert_eq!(tree.find(key), model.get(&key).map(|(slot, _)| *slot));
     }
     for subset in SUBSETS {
-        let is_member = |(_, (_, member)): &(&u64, &(Slot, [bool; 3]))| member[subset as usize];
+        let is_member = |(_, (_, membership)): &(&u64, &(Slot, [bool; 3]))| membership[subset as usize];
         let members: Vec<(u64, Slot)> =
             model.iter().filter(is_member).map(|(key, (slot, _))| (*key, *slot)).collect();
         assert_eq!(tree.count(subset), members.len());
@@ -61,10 +66,10 @@
                     tree.remove(key);
                     model.remove(&key);
                 }
-                Step::SetMembership(key, member) => {
+                Step::SetMembership(key, membership) => {
                     if let Some((slot, known)) = model.get_mut(&key) {
-                        tree.set_membership(*slot, member);
-                        *known = member;
+                        tree.set_membership(*slot, membership);
+                        *known = membership;
                     }
                 }
                 Step::Insert(_) => {}
@@ -74,7 +79,7 @@
     }
 }
 
-/// Ascending keys degenerate an unbalanced search tree into a list.
+/// Guards against a degenerate tree: without balancing, ascending keys form a list.
 #[test]
 fn depth_stays_logarithmic() {
     let mut tree = RankedTree::default();
--- a/crates/gateway/src/lifecycle/services.rs
+++ b/crates/gateway/src/lifecycle/services.rs
@@ -1,9 +1,10 @@
-//! What the gateway runs before it accepts clients: the decision driver, its transports and the control plane.
+//! Services that start before clients are accepted: the decision driver, its transports and the control
+//! plane.
 
 use crate::config::document::{Config, RejectedSettings};
 use crate::control::counter::SharedCounter;
 use crate::control::discovery::EndpointWatch;
-use crate::control::peers::Peers;
+use crate::control::peers::GossipSocket;
 use crate::driver::clock::Clock;
 use crate::driver::decision_driver::{DecisionDriver, Transports};
 use crate::lifecycle::error::RunError;
@@ -18,54 +19,54 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// The path of health checks where servers report their load.
+/// HTTP path of health checks if servers report their load.
 const LOAD_REPORT_PATH: &str = "/_load";
-/// The path of health checks where they do not.
+/// HTTP path of health checks if servers do not report their load.
 const PING_PATH: &str = "/ping";
 
-/// The running services.
+/// Running services of the gateway.
 pub struct Services {
-    /// The decision driver.
+    /// Driver that runs the decision core and carries out its actions.
     pub driver: Rc<DecisionDriver>,
-    /// The shared counter, where there is one.
+    /// Client of the shared counter, if the gateway uses one.
     pub counter: Option<Rc<SharedCounter>>,
-    /// Moves the endpoint watch to another discovery agent.
-    pub discovery_agent: watch::Sender<SocketAddr>,
+    /// Sends the address of the discovery agent to the endpoint watch when it changes.
+    pub discovery_address: watch::Sender<SocketAddr>,
 }
 
-/// Starts the services with the endpoint list of the configuration, which is moved out of it.
+/// Starts the services. Moves the known endpoint list out of the configuration.
 pub async fn start(config: &mut Config, resources: &ResourceBudget) -> Result<Services, RunError> {
     let clock = Clock::start();
     let gateway = Gateway::new(config.settings.clone(), config.seed, clock.now());
     let gateway = gateway.map_err(RejectedSettings::from)?;
-    let transports = transports(config, resources).await?;
+    let transports = create_transports(config, resources).await?;
     let counter = transports.counter.clone();
     let peers = transports.peers.clone();
     let request_counters = RequestCounters::new(config.names.classes.clone());
     let driver = DecisionDriver::new(gateway, clock, transports, request_counters);
     let known_endpoints = std::mem::take(&mut config.known_endpoints.endpoints);
-    driver.endpoints_changed(WatchEvent::CachedSnapshot, known_endpoints);
+    driver.handle_endpoint_update(WatchEvent::CachedSnapshot, known_endpoints);
     spawn_local(driver.clone().run_timers());
     if let Some(peers) = peers {
         let driver = driver.clone();
-        spawn_local(peers.receive(move |from, message| driver.gossip_received(from, message)));
+        spawn_local(peers.receive(move |from, message| driver.handle_gossip(from, message)));
     }
-    let (discovery_agent, addresses) = watch::channel(config.discovery);
-    let known_index = config.known_endpoints.index;
+    let (discovery_address, addresses) = watch::channel(config.discovery_address);
+    let known_version = config.known_endpoints.version;
     let names = config.names.clone();
-    let watch = EndpointWatch::new(addresses, names, known_index, &config.settings, config.seed);
+    let watch = EndpointWatch::new(addresses, names, known_version, &config.settings, config.seed);
     spawn_local(watch.run(driver.clone()));
-    Ok(Services { driver, counter, discovery_agent })
+    Ok(Services { driver, counter, discovery_address })
 }
 
-/// What the actions of the decision core are carried out with.
-async fn transports(config: &Config, resources: &ResourceBudget) -> Result<Transports, RunError> {
+/// Creates the transports with which the actions of the decision core are carried out.
+async fn create_transports(config: &Config, resources: &ResourceBudget) -> Result<Transports, RunError> {
     let pool =
         ConnectionPool::new(resources.server_connections, config.connect_timeout, config.server_idle_timeout);
     let upstream = Upstream::new(pool, resources.response_bytes, config.max_units);
     let peers = match config.peer_listen {
         Some(address) => {
-            let bind = || Peers::bind(address, config.peers.clone());
+            let bind = || GossipSocket::bind(address, config.peers.clone());
             Some(Rc::new(startup::retry_bind("gossip", bind).await?))
         }
         None => None,
@@ -75,7 +76,7 @@
     Ok(Transports {
         upstream: Rc::new(upstream),
         peers,
-        counter: config.counter.map(counter_at),
+        counter: config.counter_address.map(counter_at),
         health_check_path: if reports_load { LOAD_REPORT_PATH } else { PING_PATH },
     })
 }
--- a/crates/gateway/src/network/headers.rs
+++ b/crates/gateway/src/network/headers.rs
@@ -7,15 +7,15 @@
 
 /// Request ID assigned by the client.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-call-id");
-/// Name of the class to which a request belongs.
+/// Name of the class that a request belongs to.
 pub const REQUEST_CLASS: HeaderName = HeaderName::from_static("x-call-class");
-/// Key by which servers recognize a repeated request.
+/// Key by which servers recognize a retried request.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Name of the customer's plan.
 pub const PLAN: HeaderName = HeaderName::from_static("api-plan");
 /// ID of the customer, in hexadecimal digits.
 pub const CUSTOMER: HeaderName = HeaderName::from_static("api-customer");
-/// Units that the request takes of the quota, and the gateways that share it: see [`QuotaParameters`].
+/// Quota units that the request uses, and the gateways that share the quota: see [`QuotaParameters`].
 pub const QUOTA_PARAMETERS: HeaderName = HeaderName::from_static("api-terms");
 /// Remaining time for which the sender waits for the response, in milliseconds.
 pub const TIMEOUT_MS: HeaderName = HeaderName::from_static("x-budget-ms");
@@ -26,9 +26,9 @@
 /// Set to 1 by a server that rejected a request before executing it.
 const REJECTED: HeaderName = HeaderName::from_static("x-rejected");
 /// The customer's usage of its quota, in percent.
-const USAGE: HeaderName = HeaderName::from_static("api-usage");
-/// Units that the request actually took.
-const CHARGE: HeaderName = HeaderName::from_static("api-charge");
+const REPORTED_USAGE: HeaderName = HeaderName::from_static("api-usage");
+/// Quota units that the request actually used.
+const SETTLED_UNITS: HeaderName = HeaderName::from_static("api-charge");
 
 /// Hop-by-hop headers besides `Connection` and the two that define the length of the body.
 const HOP_BY_HOP: [&str; 5] = ["keep-alive", "proxy-connection", "te", "trailer", "upgrade"];
@@ -42,18 +42,18 @@
 #[error("{0} is missing or malformed")]
 pub struct InvalidHeader(pub HeaderName);
 
-/// Units that a request takes of its customer's quota, and the gateways that share the quota.
+/// Quota units that a request uses, and the gateways that share its customer's quota.
 pub struct QuotaParameters {
-    /// Units that the request takes.
+    /// Number of quota units that the request uses.
     pub units: f64,
     /// Number of gateways that serve the customer.
-    pub gateway_count: usize,
+    pub customer_gateway_count: usize,
     /// Index of the first of these gateways.
     pub first_gateway: usize,
 }
 
-/// Returns the value of a header that must occur exactly once, since a server might use the other value of
-/// two.
+/// Returns the value of a header that must occur exactly once. If it were repeated, a server might use a
+/// different value than the gateway.
 pub fn single(headers: &HeaderMap, name: HeaderName) -> Result<&HeaderValue, InvalidHeader> {
     let mut values = headers.get_all(&name).iter();
     match (values.next(), values.next()) {
@@ -67,7 +67,7 @@
     single(headers, name.clone())?.to_str().map_err(|_| InvalidHeader(name))
 }
 
-/// Returns the customer of a request.
+/// Returns the id of the customer that sent a request.
 pub fn customer(headers: &HeaderMap) -> Result<CustomerId, InvalidHeader> {
     parse_customer(single_text(headers, CUSTOMER)?).ok_or(InvalidHeader(CUSTOMER))
 }
@@ -89,19 +89,23 @@
 /// Parses quota parameters; other names than these three are ignored.
 fn parse_quota_parameters(text: &str) -> Option<QuotaParameters> {
     let mut units = None;
-    let mut gateway_count = None;
+    let mut customer_gateway_count = None;
     let mut first_gateway = None;
     for pair in text.split(',') {
         let (name, value) = pair.split_once('=')?;
         let value = value.trim();
         match name.trim() {
             "units" => units = value.parse().ok(),
-            "spread" => gateway_count = value.parse().ok(),
+            "spread" => customer_gateway_count = value.parse().ok(),
             "first" => first_gateway = value.parse().ok(),
             _ => {}
         }
     }
-    Some(QuotaParameters { units: units?, gateway_count: gateway_count?, first_gateway: first_gateway? })
+    Some(QuotaParameters {
+        units: units?,
+        customer_gateway_count: customer_gateway_count?,
+        first_gateway: first_gateway?,
+    })
 }
 
 /// Returns whether the client marked the request as a retry.
@@ -115,14 +119,15 @@
 }
 
 /// Returns the customer's usage of its quota that a response reports, as a fraction of the quota.
-pub fn usage(headers: &HeaderMap) -> Option<f64> {
-    let percent: f64 = headers.get(USAGE)?.to_str().ok()?.trim().parse().ok()?;
+pub fn reported_usage(headers: &HeaderMap) -> Option<f64> {
+    let percent: f64 = headers.get(REPORTED_USAGE)?.to_str().ok()?.trim().parse().ok()?;
     Some(percent / 100.0).filter(|usage| usage.is_finite() && *usage >= 0.0)
 }
 
-/// Returns the units that a request actually took. Values that no request can take are ignored.
-pub fn charged_units(headers: &HeaderMap, max_units: f64) -> Option<f64> {
-    let units: f64 = headers.get(CHARGE)?.to_str().ok()?.trim().parse().ok()?;
+/// Returns the quota units that a request actually used. Impossible values, not positive or above
+/// `max_units`, are ignored.
+pub fn settled_units(headers: &HeaderMap, max_units: f64) -> Option<f64> {
+    let units: f64 = headers.get(SETTLED_UNITS)?.to_str().ok()?.trim().parse().ok()?;
     Some(units).filter(|units| *units > 0.0 && *units <= max_units)
 }
 
--- a/crates/gateway/src/servers/exchange/tests.rs
+++ b/crates/gateway/src/servers/exchange/tests.rs
@@ -13,14 +13,14 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-/// Time limit that no test reaches.
+/// Timeout that no test reaches.
 const GENEROUS_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Makes one attempt at the server at `address`, over a pool of at most `max_connections` connections.
 async fn exchange(
     address: SocketAddr,
     max_connections: usize,
-    send_by: Instant,
+    send_deadline: Instant,
     client_has_disconnected: impl Fn() -> bool + 'static,
 ) -> AttemptOutcome {
     let pool = ConnectionPool::new(max_connections, GENEROUS_TIMEOUT, GENEROUS_TIMEOUT);
@@ -35,7 +35,7 @@
         client_has_disconnected: Rc::new(client_has_disconnected),
     };
     let connection = AttemptConnection::default();
-    let deadlines = AttemptDeadlines { send_by, answer_by: Instant::now() + GENEROUS_TIMEOUT };
+    let deadlines = AttemptDeadlines { send_deadline, response_deadline: Instant::now() + GENEROUS_TIMEOUT };
     upstream.exchange(ServerId(1), &connection, &request, deadlines, None).await
 }
 
@@ -63,18 +63,18 @@
     }
 }
 
-/// Guards against a server reported as unreachable because the gateway has no capacity for another
+/// Guards against reporting a server as unreachable because the gateway has no capacity for another
 /// connection.
 #[test]
-fn attempt_is_not_sent_when_the_pool_is_full_and_the_server_is_not_blamed() {
+fn attempt_fails_as_not_sent_when_the_pool_is_full() {
     run(async {
-        let send_by = Instant::now() + GENEROUS_TIMEOUT;
-        let outcome = exchange(([127, 0, 0, 1], 1).into(), 0, send_by, || false).await;
+        let send_deadline = Instant::now() + GENEROUS_TIMEOUT;
+        let outcome = exchange(([127, 0, 0, 1], 1).into(), 0, send_deadline, || false).await;
         assert_eq!(outcome.status, AttemptStatus::NotSent);
     });
 }
 
-/// Guards against a request sent for a client that disconnects between the last check and the write, while
+/// Guards against sending a request for a client that disconnects between the last check and the write, while
 /// the gateway waits for a CPU core.
 #[test]
 fn nothing_is_written_for_a_client_that_has_just_disconnected() {
@@ -82,16 +82,16 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let checks = Cell::new(0);
         let disconnects_after_two_checks = move || checks.replace(checks.get() + 1) >= 2;
-        let send_by = Instant::now() + GENEROUS_TIMEOUT;
+        let send_deadline = Instant::now() + GENEROUS_TIMEOUT;
         let address = listener.local_addr().unwrap();
-        let attempt = exchange(address, 1, send_by, disconnects_after_two_checks);
+        let attempt = exchange(address, 1, send_deadline, disconnects_after_two_checks);
         let (outcome, received) = tokio::join!(attempt, bytes_received_by(&listener));
         assert_eq!((received, outcome.status), (0, AttemptStatus::NotSent));
     });
 }
 
-/// Guards against a forwarded timeout computed long before the write, with the gateway waiting for a CPU core
-/// in between.
+/// Guards against sending a forwarded timeout that was computed long before the write, because the gateway
+/// waited for a CPU core in between.
 #[test]
 fn nothing_is_written_with_an_outdated_forwarded_timeout() {
     run(async {
@@ -104,16 +104,16 @@
     });
 }
 
-/// Guards against an attempt written after the end of its deduplication window, because the gateway waited
+/// Guards against writing an attempt after the end of its deduplication window, because the gateway waited
 /// for a CPU core just before the write.
 #[test]
 fn nothing_is_written_after_the_send_deadline() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let delayed_at_the_second_check = delayed_client_check(1, Duration::from_millis(300));
-        let send_by = Instant::now() + Duration::from_millis(200);
+        let send_deadline = Instant::now() + Duration::from_millis(200);
         let address = listener.local_addr().unwrap();
-        let attempt = exchange(address, 1, send_by, delayed_at_the_second_check);
+        let attempt = exchange(address, 1, send_deadline, delayed_at_the_second_check);
         let (outcome, received) = tokio::join!(attempt, bytes_received_by(&listener));
         assert_eq!((received, outcome.status), (0, AttemptStatus::NotSent));
     });
--- a/crates/gateway/src/servers/pool.rs
+++ b/crates/gateway/src/servers/pool.rs
@@ -34,7 +34,7 @@
 }
 
 impl ServerProcess {
-    fn of(listed: &ListedEndpoint) -> ServerProcess {
+    fn from_listed(listed: &ListedEndpoint) -> ServerProcess {
         ServerProcess { address: listed.address, started_at: listed.endpoint.started_at }
     }
 }
@@ -47,7 +47,7 @@
     pub connection: Rc<ServerConnection>,
     /// Server process that the connection was opened to.
     process: ServerProcess,
-    /// End of the last response, or the time of opening before the first one.
+    /// Time at which the last response ended, or the connection was opened.
     idle_since: Instant,
 }
 
@@ -68,15 +68,19 @@
 
 impl PooledServer {
     fn new(listed: &ListedEndpoint) -> PooledServer {
-        PooledServer { process: ServerProcess::of(listed), state: listed.endpoint.state, idle: Vec::new() }
+        PooledServer {
+            process: ServerProcess::from_listed(listed),
+            state: listed.endpoint.state,
+            idle: Vec::new(),
+        }
     }
 
-    /// Applies the server's entry in the list, and closes idle connections that do not lead to the listed
-    /// process.
+    /// Applies the server's entry in the list, and closes idle connections that were not opened to the listed
+    /// process, or all of them if the server is not ready.
     fn update(&mut self, listed: &ListedEndpoint) {
-        self.process = ServerProcess::of(listed);
+        self.process = ServerProcess::from_listed(listed);
         self.state = listed.endpoint.state;
-        // A machine that failed has not closed its connections, and a machine that restarted has lost them.
+        // A failed machine does not close its connections, and a restarted one no longer knows them.
         let process = self.process;
         let is_ready = self.is_ready();
         self.idle.retain(|idle| is_ready && idle.process == process);
@@ -116,8 +120,8 @@
         }
     }
 
-    /// Applies a delta of the endpoint list, or a complete list. Closes idle connections that do not lead to
-    /// a listed process.
+    /// Applies a delta of the endpoint list, or a complete list. Closes idle connections that were not opened
+    /// to a listed process or whose server is not ready.
     pub fn update(&self, is_complete: bool, endpoints: &[ListedEndpoint]) {
         let mut servers = self.servers.borrow_mut();
         if is_complete {
@@ -175,7 +179,8 @@
     }
 
     /// Returns an unused connection to the pool. Its idle time continues, because its server has seen it idle
-    /// since the last response. Closes a connection that does not lead to a listed process.
+    /// since the last response. Closes a connection that was not opened to a listed process or whose server
+    /// is not ready.
     pub fn release_unused(&self, server: ServerId, connection: PooledConnection) {
         if let Some(server) = self.servers.borrow_mut().get_mut(&server) {
             if server.process == connection.process && server.is_ready() && !connection.sender.is_closed() {
@@ -193,13 +198,13 @@
         let open_guard = OpenConnectionGuard::new(&self.open_connections);
         let stream = self.open_stream(process.address).await?;
         let connection = ServerConnection::new(stream, open_guard);
-        let (sender, driver) = http1::Builder::new()
+        let (sender, connection_task) = http1::Builder::new()
             .max_buf_size(MAX_READ_BUFFER_BYTES)
             .writev(false)
             .handshake(TokioIo::new(ServerConnectionIo(connection.clone())))
             .await
             .map_err(|_| AttemptStatus::ConnectFailed)?;
-        tokio::task::spawn_local(driver);
+        tokio::task::spawn_local(connection_task);
         Ok(PooledConnection { sender, connection, process, idle_since: Instant::now() })
     }
 
