--- a/crates/gateway/src/clients/request_error.rs
+++ b/crates/gateway/src/clients/request_error.rs
@@ -4,8 +4,7 @@
 use hyper::StatusCode;
 use thiserror::Error;
 
-/// The reason for not accepting a client's request. Its message is the text of the response, which the
-/// protocol defines.
+/// The reason for not accepting a client's request. Its message is the text of the response.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
     /// A header is missing, repeated or malformed, or its value is not configured.
